--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -51,7 +51,7 @@
 /** Requests from now on are routed by @p table; a reference is taken. NULL: none is known. */
 void forwarder_set_routes(forwarder_t *forwarder, route_table_t *table);
 /** The routes or the back ends have changed: requests that waited for them go on. */
-void forwarder_learnt(forwarder_t *forwarder);
+void forwarder_on_change(forwarder_t *forwarder);
 /** Ask the scheduler beside the leader of the control boxes for placements; without it, or while it does not answer,
  *  the box places by itself. */
 void forwarder_set_scheduler(forwarder_t *forwarder, reporter_t *reporter);
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -76,7 +76,7 @@
     return true;
 }
 
-void forwarder_learnt(forwarder_t *fw)
+void forwarder_on_change(forwarder_t *fw)
 {
     early_t *e, *next;
     limit_learn_told(fw);
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -157,10 +157,10 @@
     route_table_t *const table = read_config();
     forwarder_set_routes(f->forwarder, table);
     route_table_unref(table);
-    forwarder_learnt(f->forwarder); /* no back end is known yet: it waits on */
+    forwarder_on_change(f->forwarder); /* no back end is known yet: it waits on */
     g_assert_false(c->done);
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
-    forwarder_learnt(f->forwarder);
+    forwarder_on_change(f->forwarder);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->status, ==, 200);
     lab_call_free(c);
