--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -552,7 +552,7 @@
     return fw->caps;
 }
 
-unsigned forwarder_busy(const forwarder_t *fw)
+unsigned forwarder_in_flight(const forwarder_t *fw)
 {
     return fw->busy;
 }
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -70,7 +70,7 @@
 /** A leader answered that report. @return whether it is to be told more at once */
 bool forwarder_take_limits(forwarder_t *forwarder, const msg_report_ack_t *ack);
 /** Requests under way. */
-unsigned forwarder_busy(const forwarder_t *forwarder);
+unsigned forwarder_in_flight(const forwarder_t *forwarder);
 
 /** A web_handler_t; @p arg is the forwarder. */
 void forwarder_handle(void *arg, web_exchange_t *exchange, const web_request_t *request);
--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -281,7 +281,7 @@
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    g_assert_cmpuint(forwarder_busy(f->forwarder), ==, 0);
+    g_assert_cmpuint(forwarder_in_flight(f->forwarder), ==, 0);
     web_client_destroy(f->callers);
     web_client_destroy(f->client);
     web_server_stop(f->server);
--- a/tests/platform/test_availability.c
+++ b/tests/platform/test_availability.c
@@ -21,7 +21,7 @@
 
 static bool is_idle(void *arg)
 {
-    return forwarder_busy(((fixture_t *)arg)->forwarder) == 0;
+    return forwarder_in_flight(((fixture_t *)arg)->forwarder) == 0;
 }
 
 static bool is_closed(const fixture_t *f, const char *id)
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -139,7 +139,7 @@
 /** Whether a request is under way. */
 static bool is_busy(void *arg)
 {
-    return forwarder_busy(((fixture_t *)arg)->forwarder) > 0;
+    return forwarder_in_flight(((fixture_t *)arg)->forwarder) > 0;
 }
 
 static bool is_idle(void *arg)
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -17,7 +17,7 @@
 
 static bool is_idle(void *arg)
 {
-    return forwarder_busy(((fixture_t *)arg)->forwarder) == 0;
+    return forwarder_in_flight(((fixture_t *)arg)->forwarder) == 0;
 }
 
 static bool has_bytes(void *arg)
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -204,7 +204,7 @@
 
 static bool is_idle(void *arg)
 {
-    return forwarder_busy(((entry_t *)arg)->forwarder) == 0;
+    return forwarder_in_flight(((entry_t *)arg)->forwarder) == 0;
 }
 
 static void stop_entry(world_t *w, int i)
--- a/tests/platform/test_stream_events.c
+++ b/tests/platform/test_stream_events.c
@@ -83,7 +83,7 @@
     g_assert_false(c->done);
     web_call_cancel(c->call);
     lab_call_free(c);
-    while (forwarder_busy(f->forwarder) > 0)
+    while (forwarder_in_flight(f->forwarder) > 0)
         lab_run_for(f->loop, 1);
 }
 
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -449,7 +449,7 @@
         }
         done &= c->done;
     }
-    return done && forwarder_busy(w->f->forwarder) == 0;
+    return done && forwarder_in_flight(w->f->forwarder) == 0;
 }
 
 /* ===== What callers got ===== */
--- a/tests/platform/test_workspaces.c
+++ b/tests/platform/test_workspaces.c
@@ -119,7 +119,7 @@
 
 static bool is_idle(void *arg)
 {
-    return forwarder_busy(((world_t *)arg)->f.forwarder) == 0;
+    return forwarder_in_flight(((world_t *)arg)->f.forwarder) == 0;
 }
 
 static void tear_down_world(world_t *w, gconstpointer data)
