--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -68,7 +68,7 @@
  *  and notices, for free(). */
 void forwarder_fill_report(forwarder_t *forwarder, msg_report_t *report);
 /** A leader answered that report. @return whether it is to be told more at once */
-bool forwarder_take_limits(forwarder_t *forwarder, const msg_report_ack_t *ack);
+bool forwarder_apply_limits(forwarder_t *forwarder, const msg_report_ack_t *ack);
 /** Requests under way. */
 unsigned forwarder_in_flight(const forwarder_t *forwarder);
 
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -136,7 +136,7 @@
     return false;
 }
 
-bool forwarder_take_limits(forwarder_t *fw, const msg_report_ack_t *ack)
+bool forwarder_apply_limits(forwarder_t *fw, const msg_report_ack_t *ack)
 {
     const tc_time_t now = tc_time_now();
     if (ack->limits.hash != fw->limits_hash) {
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -161,7 +161,7 @@
 
 static bool take_limits(void *arg, const msg_report_ack_t *ack)
 {
-    return forwarder_take_limits(((entry_t *)arg)->forwarder, ack);
+    return forwarder_apply_limits(((entry_t *)arg)->forwarder, ack);
 }
 
 static void start_entry(world_t *w, int i)
