--- a/lib/forward/forward_caller.c
+++ b/lib/forward/forward_caller.c
@@ -35,7 +35,7 @@
 /** Whether this box can be sure that what its configuration does not know is not there. */
 static bool is_sure(const forwarder_t *fw)
 {
-    return !fw->scheduler || reporter_is_current(fw->scheduler, fw->options.sure_for);
+    return !fw->scheduler || reporter_is_current(fw->scheduler, fw->options.config_fresh_ms);
 }
 
 int caller_status(const forwarder_t *fw, int final)
