--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -32,8 +32,8 @@
     uint64_t incarnation; /**< of this start of it */
     const char *dc;       /**< data centre of this box */
     retry_rules_t retries;
-    tc_time_t pause_limit;     /**< a stream that may be taken up elsewhere is, after a silence of this long, where its
-                                  route names no pause; ms */
+    tc_time_t silence_timeout_ms; /**< a stream that may be taken up elsewhere is, after a silence of this long, where
+                              its route names no pause; ms */
     tc_time_t config_fresh_ms; /**< a box that no leader answered for so long may not know of the newest configuration,
                            so it says of no request that there is no such route or key; ms */
     cap_rules_t caps;
--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -263,7 +263,7 @@
     const forwarder_options_t options = {.box = "box",
                                          .dc = "a",
                                          .retries = {.ratio = ratio, .allowance = 0, .window = 60000},
-                                         .pause_limit = 60000,
+                                         .silence_timeout_ms = 60000,
                                          .caps = {.window = 8000}};
     f->forwarder = forwarder_create(f->loop, f->fleet, f->client, &options);
     route_table_t *const table = read_config();
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -180,7 +180,7 @@
         .incarnation = e->self.incarnation,
         .dc = "a",
         .retries = {.ratio = 1, .allowance = 0, .window = 60000},
-        .pause_limit = 60000,
+        .silence_timeout_ms = 60000,
         .caps = {.window = 8000},
         .limits = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                    .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}}};
--- a/tests/platform/test_stream_silence.c
+++ b/tests/platform/test_stream_silence.c
@@ -83,7 +83,8 @@
     set_up(f, data);
     web_server_stop(f->server);
     forwarder_destroy(f->forwarder);
-    const forwarder_options_t options = {.box = "box", .dc = "a", .retries = {.window = 60000}, .pause_limit = 60000};
+    const forwarder_options_t options = {
+        .box = "box", .dc = "a", .retries = {.window = 60000}, .silence_timeout_ms = 60000};
     f->forwarder = forwarder_create(f->loop, f->fleet, f->client, &options);
     route_table_t *const table = read_config();
     forwarder_set_routes(f->forwarder, table);
