--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_reader.c
@@ -125,7 +125,7 @@
     const web_ask_where_t where = {.loop = r->loop,
                                    .client = r->client,
                                    .addr = engine->addr,
-                                   .is_ours = dialect_answers_question,
+                                   .is_ours = dialect_is_query_answer,
                                    .on_head = on_head,
                                    .connect_ms = CONNECT_MS,
                                    .limit_ms = ANSWER_MS};
--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -133,7 +133,7 @@
 
 /** Whether an answer may be one to a question of ours, which has no request's id: one that carries an id is a request's
  *  late answer. */
-bool dialect_answers_question(const web_head_t *head);
+bool dialect_is_query_answer(const web_head_t *head);
 
 /** Header lines of an answer that are passed on to the caller. */
 GString *dialect_pass_head(const web_head_t *head);
--- a/lib/forward/forward_ask.c
+++ b/lib/forward/forward_ask.c
@@ -68,7 +68,7 @@
     const web_ask_where_t where = {.loop = f->owner->loop,
                                    .client = f->owner->client,
                                    .addr = instance->listed.addr,
-                                   .is_ours = dialect_answers_question,
+                                   .is_ours = dialect_is_query_answer,
                                    .on_head = on_engine_head,
                                    .connect_ms = limits->connect_ms,
                                    .limit_ms = limits->answer_ms};
--- a/lib/roles/mover.c
+++ b/lib/roles/mover.c
@@ -202,7 +202,7 @@
     const web_ask_where_t where = {.loop = m->loop,
                                    .client = m->client,
                                    .addr = move->engine.addr,
-                                   .is_ours = dialect_answers_question,
+                                   .is_ours = dialect_is_query_answer,
                                    .on_head = on_head,
                                    .connect_ms = CONNECT_MS,
                                    .limit_ms = ORDER_MS};
