--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -136,7 +136,7 @@
 bool dialect_is_query_answer(const web_head_t *head);
 
 /** Header lines of an answer that are passed on to the caller. */
-GString *dialect_pass_head(const web_head_t *head);
+GString *dialect_forward_headers(const web_head_t *head);
 
 /** Header line that tells a caller when to come back. @param after in ms; @return text for g_free */
 char *dialect_retry_after(tc_time_t after);
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -395,7 +395,7 @@
     limit_hear(s);
     if (s->ask == DIALECT_PREFILL || s->reply.not_run)
         return WEB_TAKE;
-    s->head = dialect_pass_head(head);
+    s->head = dialect_forward_headers(head);
     const bool streams = f->route->kind == ROUTE_STREAM && s->reply.success && s->reply.genuine;
     if (streams && f->handle.instance)
         handle_forget(f); /* the decode engine has it */
