--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_reader.c
@@ -130,7 +130,7 @@
                                    .connect_ms = CONNECT_MS,
                                    .limit_ms = ANSWER_MS};
     codec_copy_string(q->engine, sizeof(q->engine), engine->id);
-    web_ask(&q->ask, &where, dialect_write_look(engine->addr), on_answer, q);
+    web_ask(&q->ask, &where, dialect_write_engine_query(engine->addr), on_answer, q);
 }
 
 /* ===== Life ===== */
--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -172,7 +172,7 @@
 /* ===== Roles of engines ===== */
 
 /** The call that asks an engine what it is. @return bytes for web_call */
-GByteArray *dialect_write_look(const char *addr);
+GByteArray *dialect_write_engine_query(const char *addr);
 
 /** Read its answer. @return false, with @p engine zeroed, when it does not say what it is and how many orders it has
  *  taken */
--- a/lib/roles/mover.c
+++ b/lib/roles/mover.c
@@ -343,7 +343,7 @@
     move->until = now + FORGET_MS;
     cds_list_add_tail(&move->node, &m->moves);
     log_move(m, move, "look", 0);
-    call_engine(m, move, dialect_write_look(engine->addr), on_looked);
+    call_engine(m, move, dialect_write_engine_query(engine->addr), on_looked);
 }
 
 /** Whether the same has been wanted for long enough. @param other it is not what there is: a wish at all */
