--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -167,7 +167,7 @@
 char *dialect_read_hold(const char *body, size_t size);
 
 /** The call by which an engine gives it back. @return bytes for web_call */
-GByteArray *dialect_write_hold_drop(const char *addr, const char *hold);
+GByteArray *dialect_write_hold_release(const char *addr, const char *hold);
 
 /* ===== Roles of engines ===== */
 
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -33,7 +33,8 @@
 {
     drop_question(f);
     if (f->hold.instance && f->hold.instance->present && tc_time_now() < f->hold.until)
-        upkeep_call(f->owner, f->hold.instance, dialect_write_hold_drop(f->hold.instance->listed.addr, f->hold.name));
+        upkeep_call(f->owner, f->hold.instance,
+                    dialect_write_hold_release(f->hold.instance->listed.addr, f->hold.name));
     hold_forget(f);
 }
 
