--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -81,7 +81,7 @@
     const char *hold;         /**< memory that was set aside for it there, or NULL */
     bool hides_caller;        /**< credentials go no further: the back end is told the workspace instead, */
     const char *workspace;    /**< that of the caller, or NULL for none */
-} dialect_step_t;
+} dialect_call_t;
 
 /** What the head of an answer says. */
 typedef struct {
@@ -123,7 +123,7 @@
 
 /** Write the request as a back end is to get it: method, target and body unchanged, headers that are ours to set
  *  taken from @p step whatever the caller sent. @return bytes for web_call */
-GByteArray *dialect_write_request(const web_request_t *request, const char *addr, const dialect_step_t *step);
+GByteArray *dialect_write_request(const web_request_t *request, const char *addr, const dialect_call_t *step);
 
 /** Read what the head of an answer says. @param id of the request, "" when it has none */
 void dialect_read_reply(const web_head_t *head, const char *id, dialect_reply_t *reply);
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -464,7 +464,7 @@
     s->tokens = ask == DIALECT_DECODE ? 0 : f->facts.prompt_tokens;
     s->body = g_byte_array_new();
     s->began = now;
-    const dialect_step_t step = {.ask = ask,
+    const dialect_call_t step = {.ask = ask,
                                  .instance = instance->listed.id,
                                  .time_left = f->deadline - now,
                                  .priority = f->priority,
