--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -152,11 +152,11 @@
 /* ===== Prompts that engines keep ===== */
 
 /** The call that asks an engine which parts of prompts it keeps. @return bytes for web_call */
-GByteArray *dialect_write_kept(const char *addr);
+GByteArray *dialect_write_cache_query(const char *addr);
 
 /** How many tokens of a prompt, from its start, the engine keeps by its answer: those of the parts before the first
  *  that it does not keep. 0 when it does not say. */
-unsigned dialect_read_kept(const char *body, size_t size, const dialect_request_t *facts);
+unsigned dialect_read_cached_tokens(const char *body, size_t size, const dialect_request_t *facts);
 
 /* ===== Memory set aside ===== */
 
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -59,7 +59,8 @@
 /** Take the instance when it keeps more of the prompt than the best so far, by what it told last. */
 static void compare(forward_t *f, instance_t *instance)
 {
-    const unsigned tokens = dialect_read_kept((const char *)instance->kept->data, instance->kept->len, &f->facts);
+    const unsigned tokens =
+        dialect_read_cached_tokens((const char *)instance->kept->data, instance->kept->len, &f->facts);
     if (tokens <= f->locate.tokens)
         return;
     if (f->locate.instance)
@@ -96,7 +97,7 @@
     }
     if (f->owner->locating >= LOCATE_MOST)
         return;
-    GByteArray *const request = dialect_write_kept(instance->listed.addr);
+    GByteArray *const request = dialect_write_cache_query(instance->listed.addr);
     engine_ask_t *const question = engine_ask(f, instance_ref(instance), request, &limits, on_answer);
     question->next = f->locate.asks;
     f->locate.asks = question;
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -433,9 +433,10 @@
     static const char all[] = "{\"held\":[[\"\",\"e4402b7d\",250,\"m\"],[\"\",\"5c1e07a2\",800,\"m\"],"
                               "[\"\",\"91bd3f06\",410,\"m\"]]}";
     static const char gap[] = "{\"held\":[[\"\",\"e4402b7d\",250,\"m\"],[\"\",\"5c1e07a2\",800,\"m\"]]}";
-    g_assert_cmpuint(dialect_read_kept(all, strlen(all), &facts), ==, 1460);
-    g_assert_cmpuint(dialect_read_kept(gap, strlen(gap), &facts), ==, 800); /* only up to the first that is missing */
-    g_assert_cmpuint(dialect_read_kept("{", 1, &facts), ==, 0);
+    g_assert_cmpuint(dialect_read_cached_tokens(all, strlen(all), &facts), ==, 1460);
+    g_assert_cmpuint(dialect_read_cached_tokens(gap, strlen(gap), &facts), ==,
+                     800); /* only up to the first that is missing */
+    g_assert_cmpuint(dialect_read_cached_tokens("{", 1, &facts), ==, 0);
     read_parts("5c1e07a2,x:1", &facts);
     g_assert_cmpuint(facts.parts_n, ==, 0);
     read_parts("0123456789012345678901234567890123:5,a:7", &facts);
