--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -67,11 +67,11 @@
     DIALECT_SERVE,   /**< answer it, prompt and all */
     DIALECT_PREFILL, /**< compute the prompt only and keep the result for a decode engine */
     DIALECT_DECODE   /**< answer it from a prefill result held elsewhere */
-} dialect_ask_t;
+} dialect_op_t;
 
 /** One call to one back end, beside the caller's request. Borrowed. */
 typedef struct {
-    dialect_ask_t ask;
+    dialect_op_t op;
     const char *instance;     /**< only this start of the back end may take it */
     tc_time_t time_left;      /**< until the answer is of no use any more, ms */
     unsigned priority;        /**< 0 is the most urgent */
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -157,7 +157,7 @@
 static void on_limit(void *arg)
 {
     forward_t *const f = arg;
-    if (f->step && f->step->ask != DIALECT_PREFILL && web_call_sent(f->step->call))
+    if (f->step && f->step->op != DIALECT_PREFILL && web_call_sent(f->step->call))
         f->runs++; /* it is with a back end that has not answered */
     forward_fail(f, "time is over");
 }
@@ -221,17 +221,17 @@
 }
 
 /** Of the stage that a call is to, where the service has engines. */
-static stage_t stage_of_ask(const forward_t *f, dialect_ask_t ask)
+static stage_t stage_of_ask(const forward_t *f, dialect_op_t op)
 {
     if (!f->split)
         return STAGE_NONE;
-    return ask == DIALECT_PREFILL ? STAGE_PREFILL : STAGE_DECODE;
+    return op == DIALECT_PREFILL ? STAGE_PREFILL : STAGE_DECODE;
 }
 
-static void send_to(forward_t *f, dialect_ask_t ask, instance_t *instance)
+static void send_to(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     if (!instance) {
-        fail_without_backend(f, stage_of_ask(f, ask));
+        fail_without_backend(f, stage_of_ask(f, op));
         return;
     }
     /* Promise: a request under which so many back ends have ended is sent to no other one, whoever found it out. */
@@ -244,10 +244,10 @@
         instance_unref(instance);
         return;
     }
-    limit_send(f, ask, instance);
+    limit_send(f, op, instance);
 }
 
-void forward_send(forward_t *f, dialect_ask_t ask, instance_t *instance)
+void forward_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     if (!instance_takes_work(instance, tc_time_now())) { /* since it was chosen */
         f->asked_again = false;
@@ -255,11 +255,11 @@
         forward_go_on(f);
         return;
     }
-    if (ask != DIALECT_PREFILL)
+    if (op != DIALECT_PREFILL)
         f->arrivals++;
-    if (ask != DIALECT_PREFILL && f->split)
+    if (op != DIALECT_PREFILL && f->split)
         place_note(f, instance);
-    step_begin(f, ask, instance);
+    step_begin(f, op, instance);
 }
 
 /** Send a stream that is taken up again to the engine that keeps its prompt, if one does. */
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -94,7 +94,7 @@
 /** One call to one back end. */
 typedef struct {
     forward_t *request;
-    dialect_ask_t ask;
+    dialect_op_t op;
     instance_t *instance;
     uint64_t tokens; /* counted at the instance */
     web_call_t *call;
@@ -136,9 +136,9 @@
 typedef struct {
     struct cds_list_head node;
     forward_t *request;
-    look_t *at;        /* NULL: it does not wait */
-    dialect_ask_t ask; /* of the call that was lost, */
-    const char *why;   /* and why it was */
+    look_t *at;      /* NULL: it does not wait */
+    dialect_op_t op; /* of the call that was lost, */
+    const char *why; /* and why it was */
 } look_wait_t;
 
 /** A request's placement by the scheduler. */
@@ -186,7 +186,7 @@
 typedef struct {
     leader_ask_t *asking; /* the question under way, or NULL */
     instance_t *instance; /* a reference, or NULL: it does not wait */
-    dialect_ask_t ask;
+    dialect_op_t op;
 } limit_ask_t;
 
 /** The search for an engine that keeps the prompt of a stream that is taken up again. */
@@ -313,7 +313,7 @@
 void forward_route(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request);
 
 /** Send the request to a back end, if that still takes work. @param instance a reference, taken over */
-void forward_send(forward_t *f, dialect_ask_t ask, instance_t *instance);
+void forward_send(forward_t *f, dialect_op_t op, instance_t *instance);
 /** One of the back ends that fit, as a reference, or NULL. */
 instance_t *forward_choose(forward_t *f, stage_t stage);
 /** Whether there is one. */
@@ -401,7 +401,7 @@
 look_t *look_begin(forward_t *f, instance_t *instance);
 /** Have the request wait for what is found: step_looked follows. @param ask of the call that was lost @param why it
  * was, a constant */
-void look_wait(forward_t *f, look_t *look, dialect_ask_t ask, const char *why);
+void look_wait(forward_t *f, look_t *look, dialect_op_t op, const char *why);
 /** It waits no more. */
 void look_leave(forward_t *f);
 /** End all looks: before the forwarder is destroyed. */
@@ -422,7 +422,7 @@
 void limit_learn_told(forwarder_t *fw);
 /** Send the request, now or when it is allowed, unless the back end's limit is reached: then forward_go_on follows.
  *  @param instance a reference, taken over */
-void limit_send(forward_t *f, dialect_ask_t ask, instance_t *instance);
+void limit_send(forward_t *f, dialect_op_t op, instance_t *instance);
 /** Nobody waits for an answer any more. */
 void limit_end(forward_t *f);
 
@@ -439,10 +439,10 @@
 /** Whether one more arrival at a back end is allowed by this box's part of the budget; takes it. */
 bool retry_spend(forward_t *f);
 /** A call has ended. */
-void retry_note(forward_t *f, dialect_ask_t ask, arrival_t how);
+void retry_note(forward_t *f, dialect_op_t op, arrival_t how);
 /** Whether more must be paid before the call that is next is sent. A prefill is of no use without the decode behind it,
  *  so both are paid: a stream that broke off and is read anew elsewhere arrives twice. */
-bool retry_owes(const forward_t *f, dialect_ask_t ask);
+bool retry_owes(const forward_t *f, dialect_op_t op);
 /** Run @p then, at once or later, when one more arrival is allowed by this box's part or the leader's; else @p denied.
  */
 void retry_ask(forward_t *f, void (*then)(forward_t *f), void (*denied)(forward_t *f));
@@ -493,7 +493,7 @@
  *  scheduler has an engine read one prompt at a time, since that slows its streams. */
 bool place_is_solo(const forward_t *f);
 /** Whether the leader counted this call to the engine with its placement; it does so for one call. */
-bool place_use_grant(forward_t *f, dialect_ask_t ask, const instance_t *instance);
+bool place_use_grant(forward_t *f, dialect_op_t op, const instance_t *instance);
 /** The request goes to a decode engine: when the scheduler did not choose it, it is told which and counts it there. */
 void place_note(forward_t *f, const instance_t *decode);
 /** Tell the scheduler how far the request is. @param bad instance that failed, or NULL */
@@ -506,7 +506,7 @@
 /* ===== forward_step.c ===== */
 
 /** Send the request to @p instance, whose reference is taken over. */
-void step_begin(forward_t *f, dialect_ask_t ask, instance_t *instance);
+void step_begin(forward_t *f, dialect_op_t op, instance_t *instance);
 /** A back end whose answer was lost was looked at: go on with the request that waited for that. */
 void step_looked(forward_t *f, instance_t *instance, bool ended);
 /** Drop the call under way, if there is one. @param why for the log */
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -68,7 +68,7 @@
 /** Whether the absence of a limit means something: the back end itself answered, and did not fail. */
 static bool speaks_for_backend(const step_t *s)
 {
-    return s->reply.limited || (s->reply.success && (s->reply.genuine || s->ask == DIALECT_PREFILL));
+    return s->reply.limited || (s->reply.success && (s->reply.genuine || s->op == DIALECT_PREFILL));
 }
 
 void limit_hear(const step_t *s)
@@ -183,9 +183,9 @@
 {
     cap_t cap;
     cap_verdict_t verdict;
-    const cap_ask_t ask = ask_of(instance, rate, &cap);
+    const cap_ask_t charge = ask_of(instance, rate, &cap);
     const bool taken =
-        cap_parts_take(parts, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict);
+        cap_parts_take(parts, &charge, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict);
     *after = verdict.after;
     return taken;
 }
@@ -218,11 +218,11 @@
 }
 
 /** @param instance a reference, taken over */
-static void decide_alone(forward_t *f, dialect_ask_t ask, instance_t *instance)
+static void decide_alone(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     tc_time_t after;
     if (take_own_part(f, instance, &after))
-        forward_send(f, ask, instance);
+        forward_send(f, op, instance);
     else
         close_for(f, instance, after, "this box's part of its limit");
 }
@@ -230,10 +230,10 @@
 static void on_answer(forward_t *f, int rc, uint32_t type, const void *message)
 {
     instance_t *const instance = f->limit_asks.instance;
-    const dialect_ask_t ask = f->limit_asks.ask;
+    const dialect_op_t op = f->limit_asks.op;
     f->limit_asks.instance = NULL;
     if (rc != TC_OK || type != MSG_TAKE_LIMIT_ACK) {
-        decide_alone(f, ask, instance);
+        decide_alone(f, op, instance);
         return;
     }
     const msg_take_limit_ack_t *const ack = message;
@@ -242,35 +242,35 @@
         return;
     }
     note_sent(f, instance);
-    forward_send(f, ask, instance);
+    forward_send(f, op, instance);
 }
 
-static bool ask_leader(forward_t *f, dialect_ask_t ask, instance_t *instance)
+static bool ask_leader(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     msg_take_limit_t message = {.limit = news_of(instance), .cold = is_cold(f, instance)};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
     f->limit_asks.instance = instance;
-    f->limit_asks.ask = ask;
+    f->limit_asks.op = op;
     if (f->owner->scheduler && leader_ask(f, &f->limit_asks.asking, MSG_TAKE_LIMIT, &message, ANSWER_MS, on_answer))
         return true;
     f->limit_asks.instance = NULL;
     return false;
 }
 
-void limit_send(forward_t *f, dialect_ask_t ask, instance_t *instance)
+void limit_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     const bool limited = instance->limit.is_set || is_cold(f, instance);
     if (!limited || SABOTAGE_IS(SABOTAGE_NO_LIMIT)) {
-        forward_send(f, ask, instance);
+        forward_send(f, op, instance);
         return;
     }
-    if (place_use_grant(f, ask, instance)) {
+    if (place_use_grant(f, op, instance)) {
         note_sent(f, instance);
-        forward_send(f, ask, instance);
+        forward_send(f, op, instance);
         return;
     }
-    if (!ask_leader(f, ask, instance))
-        decide_alone(f, ask, instance);
+    if (!ask_leader(f, op, instance))
+        decide_alone(f, op, instance);
 }
 
 void limit_end(forward_t *f)
--- a/lib/forward/forward_look.c
+++ b/lib/forward/forward_look.c
@@ -148,9 +148,9 @@
     return look;
 }
 
-void look_wait(forward_t *f, look_t *look, dialect_ask_t ask, const char *why)
+void look_wait(forward_t *f, look_t *look, dialect_op_t op, const char *why)
 {
-    f->looks_at = (look_wait_t){.request = f, .at = look, .ask = ask, .why = why};
+    f->looks_at = (look_wait_t){.request = f, .at = look, .op = op, .why = why};
     cds_list_add_tail(&f->looks_at.node, &look->waiters);
 }
 
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -241,9 +241,9 @@
     return stage == STAGE_PREFILL ? &f->placement.prefill_granted : &f->placement.decode_granted;
 }
 
-bool place_use_grant(forward_t *f, dialect_ask_t ask, const instance_t *instance)
+bool place_use_grant(forward_t *f, dialect_op_t op, const instance_t *instance)
 {
-    const stage_t stage = ask == DIALECT_PREFILL ? STAGE_PREFILL : STAGE_DECODE;
+    const stage_t stage = op == DIALECT_PREFILL ? STAGE_PREFILL : STAGE_DECODE;
     const char *const chosen = stage == STAGE_PREFILL ? f->placement.prefill : f->placement.decode;
     bool *const granted = granted_flag(f, stage);
     if (!*granted || strcmp(chosen, instance->listed.id) != 0)
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -46,17 +46,17 @@
 
 /* ===== Arrivals of a request ===== */
 
-void retry_note(forward_t *f, dialect_ask_t ask, arrival_t how)
+void retry_note(forward_t *f, dialect_op_t op, arrival_t how)
 {
-    const bool first_prefill = ask == DIALECT_PREFILL && how == ARRIVAL_TAKEN && !f->retry.read;
+    const bool first_prefill = op == DIALECT_PREFILL && how == ARRIVAL_TAKEN && !f->retry.read;
     f->retry.read = f->retry.read || first_prefill;
     if (how != ARRIVAL_NONE && !first_prefill)
         f->retry.counted++;
 }
 
-bool retry_owes(const forward_t *f, dialect_ask_t ask)
+bool retry_owes(const forward_t *f, dialect_op_t op)
 {
-    const unsigned before = f->retry.counted + (ask == DIALECT_PREFILL && f->retry.read);
+    const unsigned before = f->retry.counted + (op == DIALECT_PREFILL && f->retry.read);
     return before > f->retry.paid; /* the first is free, so those before it are what must be paid */
 }
 
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -85,9 +85,9 @@
 }
 
 /** It is not tried again for this request. */
-static void mark_tried(forward_t *f, instance_t *instance, dialect_ask_t ask)
+static void mark_tried(forward_t *f, instance_t *instance, dialect_op_t op)
 {
-    g_ptr_array_add(ask == DIALECT_PREFILL ? f->tried_prefill : f->tried, instance_ref(instance));
+    g_ptr_array_add(op == DIALECT_PREFILL ? f->tried_prefill : f->tried, instance_ref(instance));
 }
 
 /* ===== Outcomes ===== */
@@ -104,10 +104,10 @@
 static void not_run(step_t *s, const char *why, bool refused)
 {
     forward_t *const f = s->request;
-    const dialect_ask_t ask = s->ask;
+    const dialect_op_t op = s->op;
     const tc_time_t now = tc_time_now();
     forward_log(f, "not_run", why, s->status, s->instance);
-    retry_note(f, ask, refused ? ARRIVAL_REFUSED : ARRIVAL_NONE);
+    retry_note(f, op, refused ? ARRIVAL_REFUSED : ARRIVAL_NONE);
     f->asked_again = false;
     if (s->reply.other)
         instance_outdated(s->instance, now);
@@ -115,12 +115,12 @@
         instance_refused(s->instance, now);
     else
         instance_failed(s->instance, now);
-    mark_tried(f, s->instance, s->ask);
-    if (ask == DIALECT_PREFILL)
+    mark_tried(f, s->instance, s->op);
+    if (op == DIALECT_PREFILL)
         place_tell(f, PHASE_PREFILL, s->instance); /* the scheduler leaves it alone for a moment */
-    if (ask == DIALECT_DECODE && refused && f->handle.instance && now >= f->handle.until)
+    if (op == DIALECT_DECODE && refused && f->handle.instance && now >= f->handle.until)
         handle_forget(f);
-    codec_copy_string(f->bad, sizeof(f->bad), ask == DIALECT_DECODE ? s->instance->listed.id : "");
+    codec_copy_string(f->bad, sizeof(f->bad), op == DIALECT_DECODE ? s->instance->listed.id : "");
     f->trouble = s->reply.other ? TROUBLE_OUTDATED : (refused ? TROUBLE_FULL : TROUBLE_STALLED);
     step_free(s, why);
     if (refused)
@@ -131,26 +131,26 @@
 
 /** An engine whose answer was lost has the prompt still, unless it died with it: it is asked once more, which computes
  *  nothing anew. */
-static void ask_same_engine(forward_t *f, instance_t *instance, dialect_ask_t ask)
+static void ask_same_engine(forward_t *f, instance_t *instance, dialect_op_t op)
 {
     if (!mechanism_is_on(MECHANISM_SAME_ENGINE) || !f->split || f->repeated || instance->failures > 1) {
-        mark_tried(f, instance, ask);
+        mark_tried(f, instance, op);
         return;
     }
     f->repeated = true;
-    if (ask == DIALECT_PREFILL)
+    if (op == DIALECT_PREFILL)
         codec_copy_string(f->placement.prefill, sizeof(f->placement.prefill), instance->listed.id);
     else
         locate_take(f, instance);
 }
 
 /** The engine has ended: another one is asked for, of the scheduler if it chose that one. */
-static void leave_ended(forward_t *f, instance_t *instance, dialect_ask_t ask)
+static void leave_ended(forward_t *f, instance_t *instance, dialect_op_t op)
 {
-    mark_tried(f, instance, ask);
-    codec_copy_string(f->bad, sizeof(f->bad), ask == DIALECT_PREFILL ? "" : instance->listed.id);
+    mark_tried(f, instance, op);
+    codec_copy_string(f->bad, sizeof(f->bad), op == DIALECT_PREFILL ? "" : instance->listed.id);
     f->trouble = TROUBLE_STALLED;
-    if (ask == DIALECT_PREFILL)
+    if (op == DIALECT_PREFILL)
         place_tell(f, PHASE_PREFILL, instance); /* no box need find it out again */
 }
 
@@ -159,9 +159,9 @@
 enum { REPEAT_ENDS = 2 };
 
 /** Go on after a lost answer, if that is paid for. */
-static void repeat(forward_t *f, dialect_ask_t ask, const char *why)
+static void repeat(forward_t *f, dialect_op_t op, const char *why)
 {
-    if (ask == DIALECT_PREFILL)
+    if (op == DIALECT_PREFILL)
         retry_then(f, go_elsewhere);
     else if (!retry_owes(f, DIALECT_DECODE) || retry_spend(f))
         go_elsewhere(f);
@@ -171,46 +171,46 @@
 
 void step_looked(forward_t *f, instance_t *instance, bool ended)
 {
-    const dialect_ask_t ask = f->looks_at.ask;
+    const dialect_op_t op = f->looks_at.op;
     if (ended && forward_ends(f) >= REPEAT_ENDS) {
         forward_fail(f, REASON_ENDS);
         return;
     }
     f->bad[0] = '\0'; /* of a call before */
     if (ended)
-        leave_ended(f, instance, ask);
+        leave_ended(f, instance, op);
     else
-        ask_same_engine(f, instance, ask);
-    repeat(f, ask, f->looks_at.why);
+        ask_same_engine(f, instance, op);
+    repeat(f, op, f->looks_at.why);
 }
 
 /** The back end may have run the request and its answer is lost. */
 static void maybe_run(step_t *s, const char *why)
 {
     forward_t *const f = s->request;
-    const dialect_ask_t ask = s->ask;
+    const dialect_op_t op = s->op;
     counter_add(&c_broken, 1);
     forward_log(f, "answer_lost", why, s->status, s->instance);
-    retry_note(f, ask, ARRIVAL_TAKEN);
+    retry_note(f, op, ARRIVAL_TAKEN);
     instance_failed(s->instance, tc_time_now());
     look_t *const look = s->given_up ? NULL : look_begin(f, s->instance);
-    if (ask == DIALECT_PREFILL && s->given_up)
+    if (op == DIALECT_PREFILL && s->given_up)
         place_tell(f, PHASE_PREFILL, s->instance); /* no box need find it out again */
-    if (ask == DIALECT_DECODE && f->handle.instance)
+    if (op == DIALECT_DECODE && f->handle.instance)
         handle_forget(f); /* taken, or about to lapse */
     if (s->given_up)
-        mark_tried(f, s->instance, ask);
+        mark_tried(f, s->instance, op);
     f->bad[0] = '\0';
     step_free(s, why);
-    const bool again = ask == DIALECT_PREFILL || may_run_again(f);
-    if (ask != DIALECT_PREFILL)
+    const bool again = op == DIALECT_PREFILL || may_run_again(f);
+    if (op != DIALECT_PREFILL)
         count_run(f);
     if (!again)
         forward_fail(f, why);
     else if (look)
-        look_wait(f, look, ask, why);
+        look_wait(f, look, op, why);
     else
-        repeat(f, ask, why);
+        repeat(f, op, why);
 }
 
 /** A run has ended well: whatever ended under the request before was not its doing. */
@@ -282,9 +282,9 @@
         !has_other(s, forward_has_unlimited) || !retry_spend(f))
         return false;
     forward_log(f, "backend_failed", "tried once more elsewhere", s->status, s->instance);
-    retry_note(f, s->ask, ARRIVAL_TAKEN);
+    retry_note(f, s->op, ARRIVAL_TAKEN);
     count_run(f);
-    mark_tried(f, s->instance, s->ask);
+    mark_tried(f, s->instance, s->op);
     if (f->handle.instance)
         handle_forget(f);
     step_free(s, "tried once more elsewhere");
@@ -300,7 +300,7 @@
         not_run(s, "turned away", true);
         return;
     }
-    if (s->ask == DIALECT_PREFILL) {
+    if (s->op == DIALECT_PREFILL) {
         prefilled(s);
         return;
     }
@@ -393,7 +393,7 @@
     s->head_seen = true;
     s->status = head->status;
     limit_hear(s);
-    if (s->ask == DIALECT_PREFILL || s->reply.not_run)
+    if (s->op == DIALECT_PREFILL || s->reply.not_run)
         return WEB_TAKE;
     s->head = dialect_forward_headers(head);
     const bool streams = f->route->kind == ROUTE_STREAM && s->reply.success && s->reply.genuine;
@@ -446,12 +446,12 @@
 /* ===== Sending ===== */
 
 /** Kept connections may close at any moment, so only what may be sent again goes over them. */
-static bool may_reuse(const forward_t *f, dialect_ask_t ask)
+static bool may_reuse(const forward_t *f, dialect_op_t op)
 {
-    return ask == DIALECT_PREFILL || route_is_repeatable(f->route);
+    return op == DIALECT_PREFILL || route_is_repeatable(f->route);
 }
 
-void step_begin(forward_t *f, dialect_ask_t ask, instance_t *instance)
+void step_begin(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     assert(!f->step); /* one call at a time: a request never runs on two back ends by our will */
     const tc_time_t now = tc_time_now();
@@ -459,12 +459,12 @@
     counter_add(&c_calls, 1);
     step_t *const s = g_new0(step_t, 1);
     s->request = f;
-    s->ask = ask;
+    s->op = op;
     s->instance = instance;
-    s->tokens = ask == DIALECT_DECODE ? 0 : f->facts.prompt_tokens;
+    s->tokens = op == DIALECT_DECODE ? 0 : f->facts.prompt_tokens;
     s->body = g_byte_array_new();
     s->began = now;
-    const dialect_call_t step = {.ask = ask,
+    const dialect_call_t step = {.op = op,
                                  .instance = instance->listed.id,
                                  .time_left = f->deadline - now,
                                  .priority = f->priority,
@@ -481,9 +481,9 @@
         hold_forget(f); /* it serves once */
     s->ends = forward_ends(f);
     instance_begin(instance, s->tokens, s->ends);
-    forward_log(f, "send", ask == DIALECT_PREFILL ? "prefill" : (ask == DIALECT_DECODE ? "decode" : "serve"), 0,
+    forward_log(f, "send", op == DIALECT_PREFILL ? "prefill" : (op == DIALECT_DECODE ? "decode" : "serve"), 0,
                 instance);
-    s->call = web_call(f->owner->client, instance->listed.addr, request, may_reuse(f, ask), CONNECT_MS, &sink);
-    if (ask == DIALECT_PREFILL)
+    s->call = web_call(f->owner->client, instance->listed.addr, request, may_reuse(f, op), CONNECT_MS, &sink);
+    if (op == DIALECT_PREFILL)
         loop_arm(f->owner->loop, &f->patience, now + PREFILL_LIMIT_MS, on_prefill_late, f);
 }
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -186,7 +186,7 @@
         add(&h, forged[i], "forged");
     add(&h, "Connection", "X-Hop"); /* names a header of this connection */
     web_headers_t with_hop = h;
-    const dialect_call_t step = {.ask = DIALECT_DECODE,
+    const dialect_call_t step = {.op = DIALECT_DECODE,
                                  .instance = "i-1",
                                  .time_left = 1234,
                                  .handle_at = "10.0.0.2:80",
@@ -210,7 +210,7 @@
     web_headers_t h;
     web_headers_init(&h);
     add(&h, "X-A", "one\r\nStage: prefill");
-    const dialect_call_t step = {.ask = DIALECT_SERVE, .instance = "i", .time_left = 5, .resume_after = ""};
+    const dialect_call_t step = {.op = DIALECT_SERVE, .instance = "i", .time_left = 5, .resume_after = ""};
     char *const text = written(&h, &step);
     g_assert_null(strstr(text, "\nStage"));
     g_free(text);
