--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -50,7 +50,7 @@
     tc_time_t patience;     /**< how long the caller waits from when the request came in, ms; 0 when it said nothing */
     unsigned prompt_tokens; /**< 0 when unknown */
     unsigned output_tokens; /**< most that may be generated, 0 when unknown */
-    unsigned output_guess;  /**< the caller's guess of what will be, often far off; 0 when it made none */
+    unsigned output_hint;   /**< the caller's guess of what will be, often far off; 0 when it made none */
     const char *resume_after; /**< last event that the caller has of a stream it takes up again, or ""; borrowed from
                                  the request */
     const char *credentials;  /**< by which the caller proves who it is, or ""; borrowed from the request */
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -36,7 +36,7 @@
 uint32_t place_output(const dialect_request_t *facts)
 {
     const double most = facts->output_tokens;
-    const double likely = facts->output_guess > 0 ? facts->output_guess : USUAL_SHARE * most;
+    const double likely = facts->output_hint > 0 ? facts->output_hint : USUAL_SHARE * most;
     return (uint32_t)(MEAN_HELD * (likely < most ? likely : most));
 }
 
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -286,7 +286,7 @@
     g_assert_cmpint(facts.patience, ==, 14000);
     g_assert_cmpuint(facts.prompt_tokens, ==, 1460);
     g_assert_cmpuint(facts.output_tokens, ==, 80);
-    g_assert_cmpuint(facts.output_guess, ==, 33);
+    g_assert_cmpuint(facts.output_hint, ==, 33);
     web_headers_free(&h);
 }
 
