--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -57,7 +57,7 @@
     dialect_key_t has_key;    /**< whether these are a key */
     const char *key;          /**< DIALECT_KEY_GIVEN: the key, a secret; borrowed from the request, */
     size_t key_size;          /**< so many bytes of it */
-    bool counts_tokens;       /**< the caller said how many tokens the request is */
+    bool has_token_count;     /**< the caller said how many tokens the request is */
     dialect_part_t parts[DIALECT_PARTS_MAX]; /**< of the prompt, from its start, in order */
     unsigned parts_n;                        /**< 0 when the caller names none */
 } dialect_request_t;
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -21,7 +21,7 @@
     if (!has_cap(f))
         return 0;
     const uint64_t tokens = (uint64_t)f->facts.prompt_tokens + f->facts.output_tokens;
-    return cap_cost(&f->workspace->cap, f->facts.counts_tokens ? tokens : 0);
+    return cap_cost(&f->workspace->cap, f->facts.has_token_count ? tokens : 0);
 }
 
 static cap_ask_t ask_of(const forward_t *f)
