--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -79,7 +79,7 @@
     const char *handle;       /**< DECODE: names the result */
     const char *resume_after; /**< last event that the caller has, or "" */
     const char *hold;         /**< memory that was set aside for it there, or NULL */
-    bool hides_caller;        /**< credentials go no further: the back end is told the workspace instead, */
+    bool strips_credentials;  /**< credentials go no further: the back end is told the workspace instead, */
     const char *workspace;    /**< that of the caller, or NULL for none */
 } dialect_call_t;
 
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -472,7 +472,7 @@
                                  .handle = f->handle.name,
                                  .hold = f->hold.instance == instance ? f->hold.name : NULL,
                                  .resume_after = f->last_event,
-                                 .hides_caller = f->table->workspaces != NULL,
+                                 .strips_credentials = f->table->workspaces != NULL,
                                  .workspace = f->workspace ? f->workspace->name : NULL};
     const web_sink_t sink = {.on_head = on_head, .on_data = on_data, .on_end = on_end, .arg = s};
     GByteArray *const request = dialect_write_request(&f->request, instance->listed.addr, &step);
