--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -68,7 +68,7 @@
 /** Whether the absence of a limit means something: the back end itself answered, and did not fail. */
 static bool speaks_for_backend(const step_t *s)
 {
-    return s->reply.limited || (s->reply.success && (s->reply.genuine || s->op == DIALECT_PREFILL));
+    return s->reply.limited || (s->reply.success && (s->reply.authentic || s->op == DIALECT_PREFILL));
 }
 
 void limit_hear(const step_t *s)
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -304,7 +304,7 @@
         prefilled(s);
         return;
     }
-    if (!s->reply.genuine) {
+    if (!s->reply.authentic) {
         counter_add(&c_spoiled, 1);
         maybe_run(s, "answer without proof of origin");
         return;
@@ -396,7 +396,7 @@
     if (s->op == DIALECT_PREFILL || s->reply.not_run)
         return WEB_TAKE;
     s->head = dialect_forward_headers(head);
-    const bool streams = f->route->kind == ROUTE_STREAM && s->reply.success && s->reply.genuine;
+    const bool streams = f->route->kind == ROUTE_STREAM && s->reply.success && s->reply.authentic;
     if (streams && f->handle.instance)
         handle_forget(f); /* the decode engine has it */
     if (streams && !f->begun) {
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -238,9 +238,9 @@
     g_assert_true(reply_of(421, NULL, NULL, NULL, NULL).not_run);
     g_assert_false(reply_of(503, NULL, NULL, NULL, NULL).not_run); /* nothing else says so */
     g_assert_false(reply_of(200, "Not-Executed", "1", NULL, NULL).not_run);
-    g_assert_true(reply_of(200, "Server-Seal", "x", NULL, NULL).genuine);
-    g_assert_false(reply_of(200, NULL, NULL, NULL, NULL).genuine);
-    g_assert_false(reply_of(200, "Server-Seal", "x", "Content-Encoding", "gzip").genuine);
+    g_assert_true(reply_of(200, "Server-Seal", "x", NULL, NULL).authentic);
+    g_assert_false(reply_of(200, NULL, NULL, NULL, NULL).authentic);
+    g_assert_false(reply_of(200, "Server-Seal", "x", "Content-Encoding", "gzip").authentic);
     g_assert_false(reply_of(200, "Attempt-Id", "other", NULL, NULL).ours);
     g_assert_true(reply_of(200, "Attempt-Id", "id1", NULL, NULL).ours);
 }
