--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -85,13 +85,13 @@
 
 /** What the head of an answer says. */
 typedef struct {
-    bool ours;      /**< it belongs to this request, as far as it says; otherwise an earlier one's late answer */
-    bool not_run;   /**< the back end says that it did not run the request and will not */
-    bool other;     /**< the same, since it is another start of it, or has another role, than the list says */
-    bool authentic; /**< it carries the back end's proof of origin, and its body is as the back end made it */
-    bool success;   /**< 2xx */
-    bool limited;   /**< it names a limit: */
-    double limit;   /**< requests a second that the back end takes of all boxes together, 0 or more */
+    bool matches_request; /**< it belongs to this request, as far as it says; otherwise an earlier one's late answer */
+    bool not_run;         /**< the back end says that it did not run the request and will not */
+    bool other;           /**< the same, since it is another start of it, or has another role, than the list says */
+    bool authentic;       /**< it carries the back end's proof of origin, and its body is as the back end made it */
+    bool success;         /**< 2xx */
+    bool limited;         /**< it names a limit: */
+    double limit;         /**< requests a second that the back end takes of all boxes together, 0 or more */
 } dialect_reply_t;
 
 /** What an engine says of itself. */
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -387,7 +387,7 @@
     dialect_reply_t reply;
     dialect_read_reply(head, f->facts.id, &reply);
     notice_hear(f->owner, s->instance, head); /* a late answer of another request comes from the same back end */
-    if (!reply.ours)
+    if (!reply.matches_request)
         return WEB_SKIP;
     s->reply = reply;
     s->head_seen = true;
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -241,8 +241,8 @@
     g_assert_true(reply_of(200, "Server-Seal", "x", NULL, NULL).authentic);
     g_assert_false(reply_of(200, NULL, NULL, NULL, NULL).authentic);
     g_assert_false(reply_of(200, "Server-Seal", "x", "Content-Encoding", "gzip").authentic);
-    g_assert_false(reply_of(200, "Attempt-Id", "other", NULL, NULL).ours);
-    g_assert_true(reply_of(200, "Attempt-Id", "id1", NULL, NULL).ours);
+    g_assert_false(reply_of(200, "Attempt-Id", "other", NULL, NULL).matches_request);
+    g_assert_true(reply_of(200, "Attempt-Id", "id1", NULL, NULL).matches_request);
 }
 
 static availability_notice_t notice_of(int status, const char *name, const char *value)
