--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -87,7 +87,7 @@
 typedef struct {
     bool matches_request; /**< it belongs to this request, as far as it says; otherwise an earlier one's late answer */
     bool not_run;         /**< the back end says that it did not run the request and will not */
-    bool other;           /**< the same, since it is another start of it, or has another role, than the list says */
+    bool wrong_instance;  /**< the same, since it is another start of it, or has another role, than the list says */
     bool authentic;       /**< it carries the back end's proof of origin, and its body is as the back end made it */
     bool success;         /**< 2xx */
     bool limited;         /**< it names a limit: */
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -109,7 +109,7 @@
     forward_log(f, "not_run", why, s->status, s->instance);
     retry_note(f, op, refused ? ARRIVAL_REFUSED : ARRIVAL_NONE);
     f->asked_again = false;
-    if (s->reply.other)
+    if (s->reply.wrong_instance)
         instance_outdated(s->instance, now);
     else if (refused)
         instance_refused(s->instance, now);
@@ -121,7 +121,7 @@
     if (op == DIALECT_DECODE && refused && f->handle.instance && now >= f->handle.until)
         handle_forget(f);
     codec_copy_string(f->bad, sizeof(f->bad), op == DIALECT_DECODE ? s->instance->listed.id : "");
-    f->trouble = s->reply.other ? TROUBLE_OUTDATED : (refused ? TROUBLE_FULL : TROUBLE_STALLED);
+    f->trouble = s->reply.wrong_instance ? TROUBLE_OUTDATED : (refused ? TROUBLE_FULL : TROUBLE_STALLED);
     step_free(s, why);
     if (refused)
         retry_then(f, go_elsewhere);
