--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -47,7 +47,8 @@
 /** What placement and timing need to know of a request. */
 typedef struct {
     char id[DIALECT_ID_SIZE]; /**< of this one try of the caller; "" when it sent none */
-    tc_time_t patience;     /**< how long the caller waits from when the request came in, ms; 0 when it said nothing */
+    tc_time_t
+        caller_timeout;     /**< how long the caller waits from when the request came in, ms; 0 when it said nothing */
     unsigned prompt_tokens; /**< 0 when unknown */
     unsigned output_tokens; /**< most that may be generated, 0 when unknown */
     unsigned output_hint;   /**< the caller's guess of what will be, often far off; 0 when it made none */
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -416,8 +416,8 @@
     f->tried = g_ptr_array_new_with_free_func(drop_instance);
     f->tried_prefill = g_ptr_array_new_with_free_func(drop_instance);
     f->last_event = g_strdup(facts->resume_after);
-    const bool hurried = facts->patience > 0 && facts->patience < route->timeout;
-    f->deadline = request->arrived + (hurried ? facts->patience : route->timeout) - ANSWER_MARGIN_MS;
+    const bool hurried = facts->caller_timeout > 0 && facts->caller_timeout < route->timeout;
+    f->deadline = request->arrived + (hurried ? facts->caller_timeout : route->timeout) - ANSWER_MARGIN_MS;
     cds_list_add(&f->node, &fw->requests);
     fw->busy++;
     return f;
--- a/lib/forward/forward_log.c
+++ b/lib/forward/forward_log.c
@@ -12,7 +12,7 @@
     log_str(&line, "prefix", f->route->prefix);
     log_hash(&line, "fingerprint", f->fingerprint);
     log_int(&line, "config", (int64_t)f->table->version);
-    log_int(&line, "patience_ms", f->facts.patience);
+    log_int(&line, "patience_ms", f->facts.caller_timeout);
     log_int(&line, "timeout_ms", f->route->timeout);
     log_int(&line, "prompt_tokens", f->facts.prompt_tokens);
     log_int(&line, "output_tokens", f->facts.output_tokens);
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -283,7 +283,7 @@
     dialect_request_t facts;
     dialect_read_request(&request, &facts);
     g_assert_cmpstr(facts.id, ==, "9c41");
-    g_assert_cmpint(facts.patience, ==, 14000);
+    g_assert_cmpint(facts.caller_timeout, ==, 14000);
     g_assert_cmpuint(facts.prompt_tokens, ==, 1460);
     g_assert_cmpuint(facts.output_tokens, ==, 80);
     g_assert_cmpuint(facts.output_hint, ==, 33);
