--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -42,7 +42,7 @@
     DIALECT_KEY_NONE,  /**< nothing */
     DIALECT_KEY_WRONG, /**< something else than one key */
     DIALECT_KEY_GIVEN
-} dialect_key_t;
+} dialect_key_state_t;
 
 /** What placement and timing need to know of a request. */
 typedef struct {
@@ -55,10 +55,10 @@
     const char *resume_after; /**< last event that the caller has of a stream it takes up again, or ""; borrowed from
                                  the request */
     const char *credentials;  /**< by which the caller proves who it is, or ""; borrowed from the request */
-    dialect_key_t has_key;    /**< whether these are a key */
-    const char *key;          /**< DIALECT_KEY_GIVEN: the key, a secret; borrowed from the request, */
-    size_t key_size;          /**< so many bytes of it */
-    bool has_token_count;     /**< the caller said how many tokens the request is */
+    dialect_key_state_t key_state;           /**< whether these are a key */
+    const char *key;                         /**< DIALECT_KEY_GIVEN: the key, a secret; borrowed from the request, */
+    size_t key_size;                         /**< so many bytes of it */
+    bool has_token_count;                    /**< the caller said how many tokens the request is */
     dialect_part_t parts[DIALECT_PARTS_MAX]; /**< of the prompt, from its start, in order */
     unsigned parts_n;                        /**< 0 when the caller names none */
 } dialect_request_t;
--- a/lib/forward/forward_caller.c
+++ b/lib/forward/forward_caller.c
@@ -10,11 +10,12 @@
 {
     if (!table->workspaces)
         return (caller_t){0};
-    const workspace_t *const holder =
-        facts->has_key == DIALECT_KEY_GIVEN ? workspaces_by_key(table->workspaces, facts->key, facts->key_size) : NULL;
+    const workspace_t *const holder = facts->key_state == DIALECT_KEY_GIVEN
+                                          ? workspaces_by_key(table->workspaces, facts->key, facts->key_size)
+                                          : NULL;
     if (holder || route->open)
         return (caller_t){.workspace = holder};
-    switch (facts->has_key) {
+    switch (facts->key_state) {
     case DIALECT_KEY_NONE: return (caller_t){.why = "no key"};
     case DIALECT_KEY_WRONG: return (caller_t){.why = "what it carries is not one key"};
     case DIALECT_KEY_GIVEN: return (caller_t){.why = "nobody holds its key"};
