--- a/lib/forward/forward_log.c
+++ b/lib/forward/forward_log.c
@@ -16,8 +16,8 @@
     log_int(&line, "timeout_ms", f->route->timeout);
     log_int(&line, "prompt_tokens", f->facts.prompt_tokens);
     log_int(&line, "output_tokens", f->facts.output_tokens);
-    log_int(&line, "aim_ms", f->route->aim);
-    log_int(&line, "pause_aim_ms", f->route->pause_aim);
+    log_int(&line, "aim_ms", f->route->latency_target);
+    log_int(&line, "pause_aim_ms", f->route->gap_target);
     if (f->facts.parts_n > 0) /* the caller's own: the same when it asks again */
         log_str(&line, "prompt", f->facts.parts[f->facts.parts_n - 1].id);
     if (f->facts.resume_after[0])
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -164,7 +164,7 @@
 {
     forwarder_t *const fw = f->owner;
     const tc_time_t now = tc_time_now();
-    const tc_time_t wait = f->request.arrived + f->route->aim - now;
+    const tc_time_t wait = f->request.arrived + f->route->latency_target - now;
     msg_place_t place = {.prompt_tokens = f->facts.prompt_tokens,
                          .max_tokens = place_output(&f->facts),
                          .priority = f->priority,
@@ -187,7 +187,7 @@
 /** How long a caller bears a pause of a stream: it gives up after the longest of these. */
 static tc_time_t borne_pause(const route_t *route)
 {
-    const tc_time_t by_aims = MAX(BORNE_AIMS * route->aim, BORNE_PAUSES * route->pause_aim);
+    const tc_time_t by_aims = MAX(BORNE_AIMS * route->latency_target, BORNE_PAUSES * route->gap_target);
     return MAX((tc_time_t)BORNE_MS, by_aims);
 }
 
@@ -196,7 +196,7 @@
     if (f->event_at >
         0) /* its caller holds a part of the answer: it is cut off only when nobody waits for the rest any more */
         return f->event_at + borne_pause(f->route) - RESUME_MS;
-    return f->request.arrived + (tc_time_t)(PLACE_WAIT_AIMS * (double)f->route->aim);
+    return f->request.arrived + (tc_time_t)(PLACE_WAIT_AIMS * (double)f->route->latency_target);
 }
 
 bool place_ask(forward_t *f)
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -371,7 +371,7 @@
 /** A stream that may be taken up elsewhere is not waited for longer than its pauses allow. */
 static void watch_silence(forward_t *f)
 {
-    const tc_time_t pauses = SILENT_PAUSES * f->route->pause_aim;
+    const tc_time_t pauses = SILENT_PAUSES * f->route->gap_target;
     const tc_time_t limit = pauses > 0 ? pauses : f->owner->options.silence_timeout_ms;
     retry_end(f); /* what was asked of the leader was for a silence that is over */
     if (may_run_again(f))
--- a/lib/forward/route.h
+++ b/lib/forward/route.h
@@ -36,13 +36,13 @@
     char *prefix; /**< begins and ends with a slash */
     route_kind_t kind;
     bool resumable;
-    bool open;             /**< whoever asks is served, without a key */
-    uint32_t priority;     /**< 0 is the most urgent */
-    uint32_t max_attempts; /**< most back ends that one request may run on */
-    tc_time_t timeout;     /**< longest time a request is held */
-    tc_time_t aim;         /**< answers later than this earn less */
-    tc_time_t pause_aim;   /**< streams with a longer pause between two events earn less; 0 when unknown */
-    GArray *targets;       /**< route_target_t */
+    bool open;                /**< whoever asks is served, without a key */
+    uint32_t priority;        /**< 0 is the most urgent */
+    uint32_t max_attempts;    /**< most back ends that one request may run on */
+    tc_time_t timeout;        /**< longest time a request is held */
+    tc_time_t latency_target; /**< answers later than this earn less */
+    tc_time_t gap_target;     /**< streams with a longer pause between two events earn less; 0 when unknown */
+    GArray *targets;          /**< route_target_t */
     uint32_t weight_sum;
 } route_t;
 
