--- a/lib/forward/forward_caller.c
+++ b/lib/forward/forward_caller.c
@@ -13,7 +13,7 @@
     const workspace_t *const holder = facts->key_state == DIALECT_KEY_GIVEN
                                           ? workspaces_by_key(table->workspaces, facts->key, facts->key_size)
                                           : NULL;
-    if (holder || route->open)
+    if (holder || route->auth_exempt)
         return (caller_t){.workspace = holder};
     switch (facts->key_state) {
     case DIALECT_KEY_NONE: return (caller_t){.why = "no key"};
@@ -26,7 +26,7 @@
 bool caller_is_allowed(const forward_t *f)
 {
     const route_table_t *const table = f->owner->table;
-    if (table == f->table || !table || f->route->open)
+    if (table == f->table || !table || f->route->auth_exempt)
         return true;
     const caller_t caller = caller_identify(table, f->route, &f->facts);
     const char *const before = f->workspace ? f->workspace->name : "";
--- a/lib/forward/route.h
+++ b/lib/forward/route.h
@@ -36,7 +36,7 @@
     char *prefix; /**< begins and ends with a slash */
     route_kind_t kind;
     bool resumable;
-    bool open;                /**< whoever asks is served, without a key */
+    bool auth_exempt;         /**< whoever asks is served, without a key */
     uint32_t priority;        /**< 0 is the most urgent */
     uint32_t max_attempts;    /**< most back ends that one request may run on */
     tc_time_t timeout;        /**< longest time a request is held */
