--- a/lib/forward/route.c
+++ b/lib/forward/route.c
@@ -136,7 +136,7 @@
 {
     switch (route->kind) {
     case ROUTE_SAFE: return true;
-    case ROUTE_ONCE: return false;
+    case ROUTE_UNSAFE: return false;
     case ROUTE_STREAM: return route->resumable;
     }
     return false;
--- a/lib/forward/route.h
+++ b/lib/forward/route.h
@@ -19,9 +19,9 @@
 
 /** What may happen to a request more than once. */
 typedef enum {
-    ROUTE_SAFE,  /**< may run any number of times */
-    ROUTE_ONCE,  /**< may run at most once */
-    ROUTE_STREAM /**< answered by events; at most once, unless it may be resumed */
+    ROUTE_SAFE,   /**< may run any number of times */
+    ROUTE_UNSAFE, /**< may run at most once */
+    ROUTE_STREAM  /**< answered by events; at most once, unless it may be resumed */
 } route_kind_t;
 
 /** One of the services that a route's requests are shared out to. */
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -62,7 +62,7 @@
 static void test_repeatable(void)
 {
     g_assert_true(route_is_repeatable(&(route_t){.kind = ROUTE_SAFE}));
-    g_assert_false(route_is_repeatable(&(route_t){.kind = ROUTE_ONCE}));
+    g_assert_false(route_is_repeatable(&(route_t){.kind = ROUTE_UNSAFE}));
     g_assert_false(route_is_repeatable(&(route_t){.kind = ROUTE_STREAM}));
     g_assert_true(route_is_repeatable(&(route_t){.kind = ROUTE_STREAM, .resumable = true}));
 }
