--- a/lib/forward/account.c
+++ b/lib/forward/account.c
@@ -73,7 +73,7 @@
 static void end_try(try_t *t, const json_t *line, const char *event)
 {
     static const char *const full[] = {REASON_REFUSED, REASON_NOT_IN_TIME, REASON_NO_ROOM,
-                                       REASON_LIMITED, REASON_CLOSED,      REASON_EVACUATED};
+                                       REASON_LIMITED, REASON_BACKING_OFF, REASON_EVACUATED};
     const char *const why = json_string_value(json_object_get(line, "why"));
     g_strlcpy(t->end, event, sizeof(t->end));
     t->status = number_in(line, "status", 0);
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -134,14 +134,14 @@
         return;
     }
     const tc_time_t spread = g_rand_int_range(f->owner->random, 0, OPENS_SPREAD_MS);
-    const char *const why = fleet_closed_until(f->owner->fleet, &wish) ? REASON_CLOSED : REASON_LIMITED;
+    const char *const why = fleet_closed_until(f->owner->fleet, &wish) ? REASON_BACKING_OFF : REASON_LIMITED;
     fail(f, why, until - wish.now + spread);
 }
 
 void forward_fail_held(forward_t *f)
 {
     counter_add(&c_held, 1);
-    fail(f, REASON_HELD, quarantine_left(f->owner->quarantine, f->fingerprint, tc_time_now()));
+    fail(f, REASON_QUARANTINED, quarantine_left(f->owner->quarantine, f->fingerprint, tc_time_now()));
 }
 
 unsigned forward_ends(const forward_t *f)
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -173,7 +173,7 @@
 {
     const dialect_op_t op = f->looks_at.op;
     if (ended && forward_ends(f) >= REPEAT_ENDS) {
-        forward_fail(f, REASON_ENDS);
+        forward_fail(f, REASON_BACKEND_ENDED);
         return;
     }
     f->bad[0] = '\0'; /* of a call before */
--- a/lib/forward/reasons.h
+++ b/lib/forward/reasons.h
@@ -12,13 +12,13 @@
 #define REASON_LIMITED "back ends have reached their limits"
 
 /** All back ends asked this box for no calls. */
-#define REASON_CLOSED "back ends asked for no calls"
+#define REASON_BACKING_OFF "back ends asked for no calls"
 
 /** All data centres with back ends for it are evacuated. */
 #define REASON_EVACUATED "its data centres are evacuated"
 
 /* Back ends ended under it: see cluster/quarantine.h. */
-#define REASON_HELD "back ends ended whenever they ran it" /* it is sent to none */
-#define REASON_ENDS "another back end ended under it"      /* this box repeats it no more */
+#define REASON_QUARANTINED "back ends ended whenever they ran it" /* it is sent to none */
+#define REASON_BACKEND_ENDED "another back end ended under it"    /* this box repeats it no more */
 
 #endif
