--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -492,7 +492,7 @@
     fw->limits = cap_parts_create(&options->limits.named);
     fw->cold = cap_parts_create(&options->limits.cold);
     fw->limits_told = limit_table_create();
-    fw->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    fw->service_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     fw->random = g_rand_new();
     fw->created = tc_time_now();
     CDS_INIT_LIST_HEAD(&fw->requests);
@@ -515,7 +515,7 @@
     cap_parts_destroy(fw->limits);
     cap_parts_destroy(fw->cold);
     limit_table_destroy(fw->limits_told);
-    g_hash_table_destroy(fw->paces);
+    g_hash_table_destroy(fw->service_times);
     g_rand_free(fw->random);
     g_free(fw);
 }
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -29,8 +29,8 @@
 #include "common/sharers.h"
 #include "forward/dialect.h"
 #include "forward/forward.h"
-#include "forward/pace.h"
 #include "forward/reasons.h"
+#include "forward/service_time.h"
 #include "web/web_ask.h"
 #include "web/web_probe.h"
 
@@ -269,13 +269,13 @@
     route_table_t *table;
     reporter_t *scheduler; /* NULL: place alone */
     loop_timer_t renewal;
-    bool renews_soon;    /* the renewal that is due lists what this box placed by itself */
-    bool renewed_any;    /* the scheduler counts something as ours */
-    GHashTable *budgets; /* as retry_budgets_create */
-    sharers_t sharers;   /* how many boxes there are */
-    tc_time_t stop_last; /* the box stops: nothing is begun from then on; 0: it does not stop */
-    tc_time_t stop_end;  /* and all is over by then */
-    GHashTable *paces;   /* service -> pace_t */
+    bool renews_soon;          /* the renewal that is due lists what this box placed by itself */
+    bool renewed_any;          /* the scheduler counts something as ours */
+    GHashTable *budgets;       /* as retry_budgets_create */
+    sharers_t sharers;         /* how many boxes there are */
+    tc_time_t stop_last;       /* the box stops: nothing is begun from then on; 0: it does not stop */
+    tc_time_t stop_end;        /* and all is over by then */
+    GHashTable *service_times; /* service -> service_time_t */
     unsigned busy;
     unsigned locating; /* questions of forward_locate.c under way */
     GRand *random;
--- a/lib/forward/forward_stop.c
+++ b/lib/forward/forward_stop.c
@@ -2,14 +2,14 @@
 
 #include "forward/forward_internal.h"
 
-static pace_t *pace_of(const forward_t *f)
+static service_time_t *service_time_of(const forward_t *f)
 {
-    pace_t *pace = g_hash_table_lookup(f->owner->paces, f->service);
-    if (!pace) {
-        pace = g_new0(pace_t, 1);
-        g_hash_table_insert(f->owner->paces, g_strdup(f->service), pace);
+    service_time_t *stats = g_hash_table_lookup(f->owner->service_times, f->service);
+    if (!stats) {
+        stats = g_new0(service_time_t, 1);
+        g_hash_table_insert(f->owner->service_times, g_strdup(f->service), stats);
     }
-    return pace;
+    return stats;
 }
 
 /** Tokens that a request may generate; 0 where it generates none. */
@@ -20,7 +20,7 @@
 
 void stop_learn(const forward_t *f)
 {
-    pace_learn(pace_of(f), tc_time_now() - f->request.arrived, output_of(f), f->events);
+    service_time_record(service_time_of(f), tc_time_now() - f->request.arrived, output_of(f), f->events);
 }
 
 bool stop_allows(const forward_t *f)
@@ -28,7 +28,7 @@
     const tc_time_t end = f->owner->stop_end;
     if (!end || f->deadline <= end)
         return true;
-    const tc_time_t takes = pace_expect(pace_of(f), output_of(f));
+    const tc_time_t takes = service_time_estimate(service_time_of(f), output_of(f));
     return takes != TC_TIME_NEVER && tc_time_now() + takes <= end;
 }
 
--- a/lib/forward/pace.c
+++ b/lib/forward/service_time.c
@@ -1,4 +1,4 @@
-#include "forward/pace.h"
+#include "forward/service_time.h"
 
 /** What the longest time seen loses with each request: half of it after some thirty. */
 static const double FADE = 0.98;
@@ -16,23 +16,23 @@
         *longest = ms;
 }
 
-void pace_learn(pace_t *pace, tc_time_t took, unsigned tokens, unsigned events)
+void service_time_record(service_time_t *stats, tc_time_t took, unsigned tokens, unsigned events)
 {
-    pace->seen++;
-    keep_longest(&pace->whole_ms, (double)took);
+    stats->seen++;
+    keep_longest(&stats->whole_ms, (double)took);
     if (tokens == 0 || events == 0)
         return;
-    keep_longest(&pace->event_ms, (double)took / events);
+    keep_longest(&stats->event_ms, (double)took / events);
     const double density = (double)events / tokens;
-    if (density > pace->density)
-        pace->density = density;
+    if (density > stats->density)
+        stats->density = density;
 }
 
-tc_time_t pace_expect(const pace_t *pace, unsigned tokens)
+tc_time_t service_time_estimate(const service_time_t *stats, unsigned tokens)
 {
-    if (pace->seen < (tokens > 0 ? STREAMS_MIN : 1))
+    if (stats->seen < (tokens > 0 ? STREAMS_MIN : 1))
         return TC_TIME_NEVER;
-    const double by_events = pace->event_ms * pace->density * tokens;
-    const double longest = by_events > pace->whole_ms ? by_events : pace->whole_ms;
+    const double by_events = stats->event_ms * stats->density * tokens;
+    const double longest = by_events > stats->whole_ms ? by_events : stats->whole_ms;
     return (tc_time_t)(MARGIN * longest);
 }
