--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -63,33 +63,33 @@
 #define FIRST "id: 1\ndata: a\n\n"
 #define SECOND "id: 2\ndata: b\n\n"
 
-static lab_reply_t say(const char *bytes, lab_end_t end)
+static lab_reply_t reply_bytes(const char *bytes, lab_end_t end)
 {
     return (lab_reply_t){.bytes = g_strdup(bytes), .end = end};
 }
 
-static lab_reply_t say_json(const char *body)
+static lab_reply_t reply_json(const char *body)
 {
     char *const bytes = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(body), body);
     return (lab_reply_t){.bytes = bytes, .end = LAB_KEEP};
 }
 
 /** The first bytes of a stream alone. */
-static lab_reply_t say_part(const char *stream, size_t size, lab_end_t end)
+static lab_reply_t reply_stream_part(const char *stream, size_t size, lab_end_t end)
 {
     char *const bytes = g_strdup_printf(STREAM_HEAD "%zx\r\n%.*s\r\n", size, (int)size, stream);
     return (lab_reply_t){.bytes = bytes, .end = end};
 }
 
 /** A whole stream, as one chunk. */
-static lab_reply_t say_all(const char *stream)
+static lab_reply_t reply_stream(const char *stream)
 {
     char *const bytes = g_strdup_printf(STREAM_HEAD "%zx\r\n%s\r\n0\r\n\r\n", strlen(stream), stream);
     return (lab_reply_t){.bytes = bytes, .end = LAB_KEEP};
 }
 
 /** The first bytes of an answer at once, the rest after a while. */
-static lab_reply_t say_slowly(lab_reply_t reply, size_t first, tc_time_t wait)
+static lab_reply_t reply_slowly(lab_reply_t reply, size_t first, tc_time_t wait)
 {
     const lab_piece_t pieces[] = {{.size = first}, {.size = strlen(reply.bytes) - first, .wait = wait}};
     reply.pieces = g_array_new(FALSE, FALSE, sizeof(lab_piece_t));
@@ -105,57 +105,61 @@
     if (plan->replies[plan->at + 1])
         plan->at++;
     switch (kind) {
-    case 'o': return say("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\nok", LAB_KEEP);
-    case 'E': /* to HEAD */ return say("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\n", LAB_KEEP);
-    case 'n': return say("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
-    case 'm': return say("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
+    case 'o': return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\nok", LAB_KEEP);
+    case 'E': /* to HEAD */ return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\n", LAB_KEEP);
+    case 'n': return reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
+    case 'm': return reply_bytes("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
     case 'w': /* wants no calls for a second */
-        return say("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
+        return reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
+                           LAB_KEEP);
     case 'L': /* 'o' of a back end that leaves */
-        return say("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP);
+        return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP);
     case 'V': /* 'p' of one */
-        return say("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 28\r\n\r\n"
-                   "{\"prefill_handle\":\"handle1\"}",
-                   LAB_KEEP);
+        return reply_bytes("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 28\r\n\r\n"
+                           "{\"prefill_handle\":\"handle1\"}",
+                           LAB_KEEP);
     case 'Z': /* 'S' of one */
-        return say("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 30\r\n\r\n" FIRST SECOND, LAB_KEEP);
+        return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 30\r\n\r\n" FIRST SECOND,
+                           LAB_KEEP);
     case 'I': /* 'H' of one */
-        return say("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 16\r\n\r\n{\"hold\":\"hold1\"}", LAB_KEEP);
-    case 'e': return say("HTTP/1.1 500 No\r\n" SEAL "Content-Length: 2\r\n\r\nno", LAB_KEEP);
-    case 'r': return say(NULL, LAB_RESET);
-    case 'c': return say("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 9\r\n\r\nok", LAB_CLOSE);
-    case 'g': return say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP); /* no proof of origin */
-    case 'h': return say(NULL, LAB_HANG);
+        return reply_bytes("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 16\r\n\r\n{\"hold\":\"hold1\"}",
+                           LAB_KEEP);
+    case 'e': return reply_bytes("HTTP/1.1 500 No\r\n" SEAL "Content-Length: 2\r\n\r\nno", LAB_KEEP);
+    case 'r': return reply_bytes(NULL, LAB_RESET);
+    case 'c': return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 9\r\n\r\nok", LAB_CLOSE);
+    case 'g': return reply_bytes("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP); /* no proof of origin */
+    case 'h': return reply_bytes(NULL, LAB_HANG);
     case 'x': /* somebody else's answer first */
-        return say("HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: id0\r\nContent-Length: 5\r\n\r\nother"
-                   "HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\nok",
-                   LAB_KEEP);
+        return reply_bytes("HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: id0\r\nContent-Length: 5\r\n\r\nother"
+                           "HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\nok",
+                           LAB_KEEP);
     case 'N': /* refuses, after the results of "fleeting" have lapsed */
-        return say_slowly(say("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP), 1,
-                          FLEETING_MS);
+        return reply_slowly(reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP),
+                            1, FLEETING_MS);
     case 'P': /* the prompt is read, after what was set aside for "brief" has lapsed */
-        return say_slowly(say_json("{\"prefill_handle\":\"handle1\"}"), 1, BRIEF_MS);
-    case 'p': return say_json("{\"prefill_handle\":\"handle1\"}");
+        return reply_slowly(reply_json("{\"prefill_handle\":\"handle1\"}"), 1, BRIEF_MS);
+    case 'p': return reply_json("{\"prefill_handle\":\"handle1\"}");
     case 'k': /* keeps both parts of the prompt of resume() */
-        return say_json("{\"held\":[[\"\",\"b2\",90,\"m\"],[\"\",\"a1\",10,\"m\"]]}");
-    case 'l': /* keeps the shared part only */ return say_json("{\"held\":[[\"\",\"a1\",10,\"m\"]]}");
-    case 'H': return say_json("{\"hold\":\"hold1\"}");
+        return reply_json("{\"held\":[[\"\",\"b2\",90,\"m\"],[\"\",\"a1\",10,\"m\"]]}");
+    case 'l': /* keeps the shared part only */ return reply_json("{\"held\":[[\"\",\"a1\",10,\"m\"]]}");
+    case 'H': return reply_json("{\"hold\":\"hold1\"}");
     case 'X': /* somebody else's answer first, with what looks like our own in it */
-        return say(
+        return reply_bytes(
             "HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: id0\r\nContent-Length: 14\r\n\r\n{\"hold\":\"not\"}"
             "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{\"hold\":\"hold1\"}",
             LAB_KEEP);
     case 'S': /* a whole stream */
-        return say(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
+        return reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
     case 'T': /* breaks in the middle of its second event */
-        return say(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET);
+        return reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET);
     case 't': /* the same, after a while */
-        return say_slowly(say(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET),
-                          strlen(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"), 150);
-    case 'q': return say_part(plan->stream, plan->stream_size, LAB_HANG);
-    case 'R': return say_part(plan->stream, plan->stream_size, LAB_RESET);
-    case 'Q': return say_all(plan->stream);
-    case 'U': /* goes on behind the first */ return say(STREAM_HEAD "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
+        return reply_slowly(reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET),
+                            strlen(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"), 150);
+    case 'q': return reply_stream_part(plan->stream, plan->stream_size, LAB_HANG);
+    case 'R': return reply_stream_part(plan->stream, plan->stream_size, LAB_RESET);
+    case 'Q': return reply_stream(plan->stream);
+    case 'U': /* goes on behind the first */
+        return reply_bytes(STREAM_HEAD "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
     default: g_assert_not_reached();
     }
 }
--- a/tests/platform/test_quarantine.c
+++ b/tests/platform/test_quarantine.c
@@ -25,7 +25,7 @@
         return answer(arg, request);
     g_string_append(plan->seen, request);
     lab_backend_crash(f->backend[plan - f->plan]);
-    return say(NULL, LAB_HANG);
+    return reply_bytes(NULL, LAB_HANG);
 }
 
 /** @param plans at most BACKENDS of them */
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -384,7 +384,7 @@
 {
     const world_t *const w = arg;
     if (strstr(text, "\r\nStage: prefill\r\n") || g_str_has_prefix(text, "DELETE "))
-        return say_json("{\"prefill_handle\":\"handle1\"}");
+        return reply_json("{\"prefill_handle\":\"handle1\"}");
     return serve(find_request(w, text), header_number(text, "\r\nLast-Event-Id: "));
 }
 
--- a/tests/platform/test_stream_silence.c
+++ b/tests/platform/test_stream_silence.c
@@ -18,10 +18,11 @@
     plan_t *const plan = arg;
     g_string_append(plan->seen, request);
     if (strstr(request, "\r\nStage: prefill\r\n"))
-        return say_json("{\"prefill_handle\":\"handle1\"}");
+        return reply_json("{\"prefill_handle\":\"handle1\"}");
     if (strstr(request, "\r\nLast-Event-Id: "))
-        return say(STREAM_HEAD SECOND_CHUNK, LAB_KEEP);
-    return say_slowly(say(STREAM_HEAD FIRST_CHUNK SECOND_CHUNK, LAB_KEEP), strlen(STREAM_HEAD FIRST_CHUNK), STILL_MS);
+        return reply_bytes(STREAM_HEAD SECOND_CHUNK, LAB_KEEP);
+    return reply_slowly(reply_bytes(STREAM_HEAD FIRST_CHUNK SECOND_CHUNK, LAB_KEEP), strlen(STREAM_HEAD FIRST_CHUNK),
+                        STILL_MS);
 }
 
 static bool has_first(void *arg)
