--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -170,17 +170,18 @@
 typedef struct {
     int listener, fd;
     GString *in;
-} outer_t;
+} external_backend_t;
 
-static __attribute__((unused)) outer_t outer_open(const char *addr)
+static __attribute__((unused)) external_backend_t external_backend_open(const char *addr)
 {
     tc_err_t err = {0};
-    const outer_t o = {.listener = peer_open_listener(addr, "listen", &err), .fd = -1, .in = g_string_new(NULL)};
+    const external_backend_t o = {
+        .listener = peer_open_listener(addr, "listen", &err), .fd = -1, .in = g_string_new(NULL)};
     g_assert_cmpint(o.listener, >=, 0);
     return o;
 }
 
-static __attribute__((unused)) void outer_close(outer_t *o)
+static __attribute__((unused)) void external_backend_close(external_backend_t *o)
 {
     close(o->fd);
     close(o->listener);
@@ -188,9 +189,9 @@
 }
 
 /** Whether a whole request has come. */
-static __attribute__((unused)) bool outer_has_read(void *arg)
+static __attribute__((unused)) bool external_backend_has_read(void *arg)
 {
-    outer_t *const o = arg;
+    external_backend_t *const o = arg;
     char data[4096];
     ssize_t n;
     if (o->fd < 0)
@@ -200,7 +201,7 @@
     return g_str_has_suffix(o->in->str, "body");
 }
 
-static __attribute__((unused)) void outer_send(const outer_t *o, const char *bytes)
+static __attribute__((unused)) void external_backend_send(const external_backend_t *o, const char *bytes)
 {
     g_assert_cmpint(send(o->fd, bytes, strlen(bytes), MSG_NOSIGNAL), ==, (ssize_t)strlen(bytes));
 }
--- a/tests/platform/test_forward_leader.c
+++ b/tests/platform/test_forward_leader.c
@@ -11,8 +11,8 @@
     peer_call_t asked[CALLS]; /* for placements, not answered yet */
     unsigned asked_n, awaited;
     unsigned replans;
-    unsigned lent;         /* further arrivals, each of which is granted */
-    const outer_t *engine; /* goes on behind the last of them */
+    unsigned lent;                    /* further arrivals, each of which is granted */
+    const external_backend_t *engine; /* goes on behind the last of them */
 } world_t;
 
 /* ===== The leader ===== */
@@ -37,7 +37,7 @@
     const msg_retry_ack_t ack = {.granted = true};
     peer_reply(w->leader.net, call, MSG_RETRY_ACK, &ack);
     if (++w->lent == 2)
-        outer_send(w->engine, "f\r\n" SECOND "\r\n0\r\n\r\n");
+        external_backend_send(w->engine, "f\r\n" SECOND "\r\n0\r\n\r\n");
 }
 
 static void on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
@@ -170,18 +170,18 @@
                                  {"lm", "decode", "", false, true},
                                  {"lm", "decode", "S", true, false}},
               3);
-    outer_t engine = outer_open(w->f.backend_addr[1]);
+    external_backend_t engine = external_backend_open(w->f.backend_addr[1]);
     w->engine = &engine;
     lab_call_t *const c = begin(&w->f, "/soon/x");
     await_questions(w, 1);
     grant(w, 0, "i-0", "i-1");
-    lab_run_until(w->f.loop, outer_has_read, &engine);
-    outer_send(&engine, STREAM_HEAD "f\r\n" FIRST "\r\n");
+    lab_run_until(w->f.loop, external_backend_has_read, &engine);
+    external_backend_send(&engine, STREAM_HEAD "f\r\n" FIRST "\r\n");
     lab_run_until(w->f.loop, has_first, c);
     expect_whole(&w->f, c, FIRST SECOND);
     g_assert_cmpuint(w->lent, ==, 2);
     g_assert_cmpuint(requests(&w->f, 2), ==, 0);
-    outer_close(&engine);
+    external_backend_close(&engine);
 }
 
 int main(int argc, char **argv)
--- a/tests/platform/test_stream_silence.c
+++ b/tests/platform/test_stream_silence.c
@@ -65,16 +65,16 @@
                                       {"lm", "decode", "", false, true},
                                       {"lm", "decode", "", true, false}},
                    3, answer_with_silence, NULL);
-    outer_t engine = outer_open(f->backend_addr[1]);
+    external_backend_t engine = external_backend_open(f->backend_addr[1]);
     lab_call_t *const c = begin(f, "/soon/x");
-    lab_run_until(f->loop, outer_has_read, &engine);
-    outer_send(&engine, STREAM_HEAD FIRST_CHUNK);
+    lab_run_until(f->loop, external_backend_has_read, &engine);
+    external_backend_send(&engine, STREAM_HEAD FIRST_CHUNK);
     lab_run_until(f->loop, has_first, c);
-    outer_send(&engine, SECOND_CHUNK);
+    external_backend_send(&engine, SECOND_CHUNK);
     g_usleep((gulong)STILL_MS * 1000); /* the loop does not turn */
     expect_whole(f, c, FIRST SECOND);
     g_assert_cmpuint(requests(f, 2), ==, 0);
-    outer_close(&engine);
+    external_backend_close(&engine);
 }
 
 /* ===== Without a budget ===== */
