--- a/lib/cluster/evacuations.c
+++ b/lib/cluster/evacuations.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "spread/list.h"
+#include "lists/list.h"
 
 /** Place of the data centre in the list, or where it would stand. */
 static uint32_t place_of(const evacuations_t *held, const char *dc)
--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -10,7 +10,7 @@
 #include "common/mechanism.h"
 #include "common/retry_budget.h"
 #include "sched/sched.h"
-#include "spread/list.h"
+#include "lists/list.h"
 
 COUNTER_DEFINE(c_granted, "counter", "trackcove_placing_granted_total", "Placements granted by the scheduler")
 COUNTER_DEFINE(c_refused, "counter", "trackcove_placing_refused_total", "Placements refused by the scheduler")
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -16,8 +16,8 @@
 #include "cluster/replica.h"
 #include "cluster/roster.h"
 #include "control/log_writer.h"
-#include "spread/list_budget.h"
-#include "spread/list_mirror.h"
+#include "lists/list_budget.h"
+#include "lists/list_mirror.h"
 
 /* ===== Types ===== */
 
--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -7,7 +7,7 @@
 #include <xxhash.h>
 
 #include "cluster/replica_internal.h"
-#include "spread/list.h"
+#include "lists/list.h"
 
 /* ===== Constants ===== */
 
--- a/lib/cluster/reporter_internal.h
+++ b/lib/cluster/reporter_internal.h
@@ -12,7 +12,7 @@
 #include "cluster/fetch.h"
 #include "cluster/missing.h"
 #include "cluster/reporter.h"
-#include "spread/list_mirror.h"
+#include "lists/list_mirror.h"
 
 /* ===== Types ===== */
 
--- a/lib/cluster/roster.h
+++ b/lib/cluster/roster.h
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 
 #include "common/time.h"
-#include "spread/list_feed.h"
+#include "lists/list_feed.h"
 
 /* ===== Types ===== */
 
--- a/lib/spread/list.c
+++ b/lib/lists/list.c
@@ -1,4 +1,4 @@
-#include "spread/list.h"
+#include "lists/list.h"
 
 #include <assert.h>
 #include <glib.h>
--- a/lib/spread/list.h
+++ b/lib/lists/list.h
@@ -3,8 +3,8 @@
  * order, and what leads from one state to another. The first member of a record is its name, a string of CODEC_STR_SIZE
  * bytes; lists are in the order of names, so that equal lists have equal hashes. Every function is pure.
  */
-#ifndef TRACKCOVE_SPREAD_LIST_H
-#define TRACKCOVE_SPREAD_LIST_H
+#ifndef TRACKCOVE_LISTS_LIST_H
+#define TRACKCOVE_LISTS_LIST_H
 
 /* ===== Dependencies ===== */
 
--- a/lib/spread/list_budget.c
+++ b/lib/lists/list_budget.c
@@ -1,4 +1,4 @@
-#include "spread/list_budget.h"
+#include "lists/list_budget.h"
 
 #include <glib.h>
 
--- a/lib/spread/list_budget.h
+++ b/lib/lists/list_budget.h
@@ -1,8 +1,8 @@
 /** @file list_budget.h
  * How much of its link a box gives to telling lists: whoever is told nothing now asks again soon. Pure.
  */
-#ifndef TRACKCOVE_SPREAD_LIST_BUDGET_H
-#define TRACKCOVE_SPREAD_LIST_BUDGET_H
+#ifndef TRACKCOVE_LISTS_LIST_BUDGET_H
+#define TRACKCOVE_LISTS_LIST_BUDGET_H
 
 /* ===== Dependencies ===== */
 
--- a/lib/spread/list_feed.c
+++ b/lib/lists/list_feed.c
@@ -1,4 +1,4 @@
-#include "spread/list_feed.h"
+#include "lists/list_feed.h"
 
 #include <assert.h>
 #include <glib.h>
--- a/lib/spread/list_feed.h
+++ b/lib/lists/list_feed.h
@@ -3,12 +3,12 @@
  * box whose state is no longer known. What is told is packed once, however many boxes it is told to; a long list
  * travels in pieces, so that nothing else waits long behind it. Pure.
  */
-#ifndef TRACKCOVE_SPREAD_LIST_FEED_H
-#define TRACKCOVE_SPREAD_LIST_FEED_H
+#ifndef TRACKCOVE_LISTS_LIST_FEED_H
+#define TRACKCOVE_LISTS_LIST_FEED_H
 
 /* ===== Dependencies ===== */
 
-#include "spread/list.h"
+#include "lists/list.h"
 
 /* ===== Constants ===== */
 
--- a/lib/spread/list_mirror.c
+++ b/lib/lists/list_mirror.c
@@ -1,4 +1,4 @@
-#include "spread/list_mirror.h"
+#include "lists/list_mirror.h"
 
 #include <assert.h>
 #include <glib.h>
--- a/lib/spread/list_mirror.h
+++ b/lib/lists/list_mirror.h
@@ -8,13 +8,13 @@
  *
  * Pure: messages and the time go in, questions come out.
  */
-#ifndef TRACKCOVE_SPREAD_LIST_MIRROR_H
-#define TRACKCOVE_SPREAD_LIST_MIRROR_H
+#ifndef TRACKCOVE_LISTS_LIST_MIRROR_H
+#define TRACKCOVE_LISTS_LIST_MIRROR_H
 
 /* ===== Dependencies ===== */
 
 #include "common/time.h"
-#include "spread/list_feed.h"
+#include "lists/list_feed.h"
 
 /* ===== Types ===== */
 
--- a/tests/random/test_spread_random.c
+++ b/tests/random/test_lists_random.c
@@ -12,8 +12,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "spread/list_budget.h"
-#include "spread/list_mirror.h"
+#include "lists/list_budget.h"
+#include "lists/list_mirror.h"
 
 /* ===== World ===== */
 
@@ -468,7 +468,7 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/spread-random/growth", test_growth);
-    g_test_add_func("/spread-random/whatever-happens", test_random);
+    g_test_add_func("/lists-random/growth", test_growth);
+    g_test_add_func("/lists-random/whatever-happens", test_random);
     return g_test_run();
 }
--- a/tests/unit/test_list_feed.c
+++ b/tests/unit/test_list_feed.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "spread/list_mirror.h"
+#include "lists/list_mirror.h"
 
 enum { BOXES = 300, ROUNDS = 400 };
 
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "common/memory.h"
-#include "spread/list_mirror.h"
+#include "lists/list_mirror.h"
 
 enum { BACKENDS = 10000, CHANGES = 30, CHANGED = 50 };
 
--- a/tests/unit/test_missing.c
+++ b/tests/unit/test_missing.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "cluster/missing.h"
-#include "spread/list.h"
+#include "lists/list.h"
 
 enum { BOXES = 300 };
 
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -8,7 +8,7 @@
 #include "cluster/known_members.h"
 #include "cluster/reporter.h"
 #include "harness/lab.h"
-#include "spread/list_feed.h"
+#include "lists/list_feed.h"
 
 /* ===== The world ===== */
 
