--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -444,7 +444,7 @@
     r->quarantine = quarantine_create();
     held_load(r);
     CDS_INIT_LIST_HEAD(&r->offers);
-    replica_reseed(r, options->seeds);
+    replica_set_seeds(r, options->seeds);
     fill_self(r, start.id);
     follow_start(r);
     const uint64_t incarnation = (uint64_t)tc_time_wall();
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -56,7 +56,7 @@
 void replica_resign(replica_t *replica);
 
 /** New seeds, copied. */
-void replica_reseed(replica_t *replica, const char *const *seeds);
+void replica_set_seeds(replica_t *replica, const char *const *seeds);
 
 /** Offer a document. @p done runs once, perhaps at once. */
 void replica_offer(replica_t *replica, const document_t *document, replica_done_t done, void *arg);
--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -127,7 +127,7 @@
     return store_found(options->data_dir, founder_id(options->peer_listen), &image, err);
 }
 
-void replica_reseed(replica_t *r, const char *const *seeds)
+void replica_set_seeds(replica_t *r, const char *const *seeds)
 {
     g_strfreev(r->seeds);
     r->seeds = g_strdupv((char **)(uintptr_t)seeds);
--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -370,7 +370,7 @@
 
 /* ===== Life ===== */
 
-void reporter_reseed(reporter_t *r, const char *const *controls, const char *const *neighbours)
+void reporter_set_seeds(reporter_t *r, const char *const *controls, const char *const *neighbours)
 {
     g_strfreev(r->controls);
     g_strfreev(r->neighbours);
@@ -390,7 +390,7 @@
     r->turn = g_random_int();
     r->missing = missing_create();
     r->heard = tc_time_now();
-    reporter_reseed(r, options->controls, options->neighbours);
+    reporter_set_seeds(r, options->controls, options->neighbours);
     const peer_options_t peer_options = {.box = self->box,
                                          .incarnation = self->incarnation,
                                          .listen = options->peer_listen,
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -62,7 +62,7 @@
 void reporter_destroy(reporter_t *reporter);
 
 /** New seeds, copied. */
-void reporter_reseed(reporter_t *reporter, const char *const *controls, const char *const *neighbours);
+void reporter_set_seeds(reporter_t *reporter, const char *const *controls, const char *const *neighbours);
 /** The list of back ends is stale: ask for a newer one now, the leader while it is in touch, else any other box: what a
  *  few boxes read spreads from box to box. Call often; it keeps the pauses itself. */
 void reporter_ask_around(reporter_t *reporter, tc_time_t now);
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -160,7 +160,7 @@
     start_reporter(f, nobody);
     const char *const seeds[] = {f->self.peer_addr, NULL};
     for (int i = 0; i < SEEDS; i++)
-        replica_reseed(f->replica[i], seeds);
+        replica_set_seeds(f->replica[i], seeds);
     f->want = 4;
     lab_run_until(f->loop, heard_wanted, f);
 }
