--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -1,5 +1,5 @@
 /** @file replica_internal.h
- * Shared by replica.c (the log and what it applies), replica_view.c (what is known of it), replica_offers.c (documents
+ * Shared by replica.c (the log and what it applies), replica_view.c (what is known of it), replica_proposals.c (documents
  * on their way into force), replica_members.c (who takes part in it), replica_reports.c (what boxes are told),
  * replica_follow.c (lists as the leader tells them), replica_kept.c (the list that the data folder keeps) and
  * replica_quarantine.c (requests that are sent to no back end); nobody else includes it.
@@ -110,7 +110,7 @@
 /** Whether this box leads, though its lease may have lapsed a moment ago: no other one can lead yet. */
 bool replica_keeps_lead(const replica_t *r);
 
-/* ===== replica_offers.c ===== */
+/* ===== replica_proposals.c ===== */
 
 /** As replica_offer and replica_evacuate, but for doing what the log asks then. */
 void offers_take_document(replica_t *r, const document_t *document, replica_done_t done, void *arg);
