--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -82,7 +82,7 @@
         if (replica_leads(r))
             reports_publish(r);
     }
-    offers_applied(r, entry, r->evacuations.version, true, r->applied_at);
+    proposals_applied(r, entry, r->evacuations.version, true, r->applied_at);
 }
 
 /* ===== What the log applies ===== */
@@ -168,7 +168,7 @@
     const uint64_t version = whole.version;
     const document_relation_t relation = take_document(r, &whole);
     codec_free(&document_desc, &whole);
-    offers_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
+    proposals_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
 }
 
 /* ===== Actions of the log ===== */
@@ -222,7 +222,7 @@
         break;
     case RAFT_ACT_SEND: send_message(r, action); break;
     case RAFT_ACT_APPLY: apply(r, &action->entry); break;
-    case RAFT_ACT_LOST: offers_fail(r, TC_E_BROKEN); break;
+    case RAFT_ACT_LOST: proposals_fail(r, TC_E_BROKEN); break;
     }
 }
 
@@ -267,7 +267,7 @@
     }
     r->pumping = false;
     if (log_writer_is_stalled(r->writer))
-        offers_fail(r, TC_E_BROKEN); /* other boxes may have them and go on without this one */
+        proposals_fail(r, TC_E_BROKEN); /* other boxes may have them and go on without this one */
 }
 
 /* ===== Messages and time ===== */
@@ -338,18 +338,18 @@
     kept_tick(r, now);
     note_lead(r, now);
     follow_tick(r, now);
-    offers_look(r, now);
+    proposals_check(r, now);
 }
 
-void replica_offer(replica_t *r, const document_t *document, replica_done_t done, void *arg)
+void replica_propose(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
-    offers_take_document(r, document, done, arg);
+    proposals_add_document(r, document, done, arg);
     pump(r);
 }
 
 void replica_evacuate(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
 {
-    offers_take_evacuation(r, dc, on, done, arg);
+    proposals_add_evacuation(r, dc, on, done, arg);
     pump(r);
 }
 
@@ -471,7 +471,7 @@
 {
     loop_remove_ticks(r->loop, r);
     follow_stop(r);
-    offers_fail(r, TC_E_BROKEN);
+    proposals_fail(r, TC_E_BROKEN);
     if (r->net)
         peer_destroy(r->net);
     if (r->placing)
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -59,10 +59,10 @@
 void replica_set_seeds(replica_t *replica, const char *const *seeds);
 
 /** Offer a document. @p done runs once, perhaps at once. */
-void replica_offer(replica_t *replica, const document_t *document, replica_done_t done, void *arg);
+void replica_propose(replica_t *replica, const document_t *document, replica_done_t done, void *arg);
 
 /** Have a data centre evacuated, or end that. What stands already is accepted too. @param dc a name that is known to be
- *  one @param done runs once, perhaps at once; as for replica_offer, but never with TC_E_CONFLICT */
+ *  one @param done runs once, perhaps at once; as for replica_propose, but never with TC_E_CONFLICT */
 void replica_evacuate(replica_t *replica, const char *dc, bool on, replica_done_t done, void *arg);
 /** What is evacuated, as certain as replica_read; NULL where that is. */
 const evacuations_t *replica_evacuations(const replica_t *replica);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -30,24 +30,24 @@
 
 /** What an offer waits for. */
 typedef enum {
-    OFFER_LOGGED, /**< that the log has its last entry at a majority */
-    OFFER_SPREAD  /**< accepted: that every box that is there acts on it */
-} offer_state_t;
+    PROPOSAL_LOGGED, /**< that the log has its last entry at a majority */
+    PROPOSAL_COMMITTED  /**< accepted: that every box that is there acts on it */
+} proposal_state_t;
 
 /** What an operator offers. */
-typedef enum { OFFER_DOCUMENT, OFFER_EVACUATION } offer_kind_t;
+typedef enum { PROPOSAL_DOCUMENT, PROPOSAL_EVACUATION } proposal_kind_t;
 
 /** An offer on its way. */
 typedef struct {
     struct cds_list_head node;
-    offer_kind_t kind;
-    offer_state_t state;
+    proposal_kind_t kind;
+    proposal_state_t state;
     uint64_t version;     /**< of the document, or of the evacuations once the order is accepted */
     uint64_t index, term; /**< of its last entry, while it waits for the log */
     tc_time_t begun, deadline;
     replica_done_t done;
     void *arg;
-} offer_t;
+} proposal_t;
 
 /** Lists as the leader tells them, while this box does not lead. */
 typedef struct {
@@ -112,16 +112,16 @@
 
 /* ===== replica_proposals.c ===== */
 
-/** As replica_offer and replica_evacuate, but for doing what the log asks then. */
-void offers_take_document(replica_t *r, const document_t *document, replica_done_t done, void *arg);
-void offers_take_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg);
+/** As replica_propose and replica_evacuate, but for doing what the log asks then. */
+void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg);
+void proposals_add_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg);
 /** An entry that ends an offer was applied. @param version that boxes are to act on before the offer is acknowledged
  *  @param accepted false: other content has that version */
-void offers_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now);
+void proposals_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now);
 /** Boxes may have come to act on a newer version, or be gone. */
-void offers_look(replica_t *r, tc_time_t now);
+void proposals_check(replica_t *r, tc_time_t now);
 /** End all: those that are accepted well, the others with @p rc. */
-void offers_fail(replica_t *r, int rc);
+void proposals_fail(replica_t *r, int rc);
 
 /* ===== replica_members.c ===== */
 
--- a/lib/cluster/replica_proposals.c
+++ b/lib/cluster/replica_proposals.c
@@ -29,25 +29,25 @@
 
 /* ===== Ending ===== */
 
-static void offer_end(offer_t *o, int rc)
+static void offer_end(proposal_t *o, int rc)
 {
     cds_list_del(&o->node);
     o->done(o->arg, rc);
     g_free(o);
 }
 
-void offers_fail(replica_t *r, int rc)
+void proposals_fail(replica_t *r, int rc)
 {
-    offer_t *o, *next;
+    proposal_t *o, *next;
     cds_list_for_each_entry_safe(o, next, &r->offers, node)
-        offer_end(o, o->state == OFFER_SPREAD ? TC_OK : rc);
+        offer_end(o, o->state == PROPOSAL_COMMITTED ? TC_OK : rc);
 }
 
 /* ===== Through the log ===== */
 
-static offer_t *offer_add(replica_t *r, offer_kind_t kind, uint64_t version, replica_done_t done, void *arg)
+static proposal_t *offer_add(replica_t *r, proposal_kind_t kind, uint64_t version, replica_done_t done, void *arg)
 {
-    offer_t *const o = g_new0(offer_t, 1);
+    proposal_t *const o = g_new0(proposal_t, 1);
     o->kind = kind;
     o->version = version;
     o->begun = tc_time_now();
@@ -82,7 +82,7 @@
 
 /** Wait for the entry that is the last of @p entries to be proposed. Call before they are: a cluster of one applies
  * them at once. */
-static void wait_for_log(const replica_t *r, offer_t *o, uint64_t entries, tc_time_t now)
+static void wait_for_log(const replica_t *r, proposal_t *o, uint64_t entries, tc_time_t now)
 {
     o->index = raft_view(r->raft).last_index + entries;
     o->term = raft_view(r->raft).term;
@@ -92,7 +92,7 @@
 static void offer_newer(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
     const tc_time_t now = tc_time_now();
-    offer_t *const o = offer_add(r, OFFER_DOCUMENT, document->version, done, arg);
+    proposal_t *const o = offer_add(r, PROPOSAL_DOCUMENT, document->version, done, arg);
     wait_for_log(r, o, count_pieces(document), now);
     propose(r, document, now);
     if (SABOTAGE_IS(SABOTAGE_EARLY_ANSWER))
@@ -101,29 +101,29 @@
 
 /* ===== Into force ===== */
 
-static void wait_for_spread(const replica_t *r, offer_t *o, uint64_t version, tc_time_t now)
+static void wait_for_spread(const replica_t *r, proposal_t *o, uint64_t version, tc_time_t now)
 {
-    const uint64_t size = o->kind == OFFER_DOCUMENT ? r->document.body_n : 0;
-    o->state = OFFER_SPREAD;
+    const uint64_t size = o->kind == PROPOSAL_DOCUMENT ? r->document.body_n : 0;
+    o->state = PROPOSAL_COMMITTED;
     o->version = version;
     o->deadline = now + SPREAD_LIMIT_MS + SPREAD_MS_PER_KB * (tc_time_t)(size / 1024);
 }
 
 /** Whether a box that is there does not act on what was offered. */
-static bool is_behind(const replica_t *r, const offer_t *o)
+static bool is_behind(const replica_t *r, const proposal_t *o)
 {
     switch (o->kind) {
-    case OFFER_EVACUATION: return roster_is_behind(r->roster, ROSTER_EVACUATIONS, o->version);
-    case OFFER_DOCUMENT:
+    case PROPOSAL_EVACUATION: return roster_is_behind(r->roster, ROSTER_EVACUATIONS, o->version);
+    case PROPOSAL_DOCUMENT:
     default: return roster_is_behind(r->roster, ROSTER_DOCUMENT, o->version);
     }
 }
 
-void offers_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now)
+void proposals_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now)
 {
-    offer_t *o, *next;
+    proposal_t *o, *next;
     cds_list_for_each_entry_safe(o, next, &r->offers, node) {
-        if (o->state != OFFER_LOGGED || o->index != entry->index)
+        if (o->state != PROPOSAL_LOGGED || o->index != entry->index)
             continue;
         /* Promise: the answer comes after the log has it on disk at a majority. */
         if (o->term != entry->term)
@@ -133,33 +133,33 @@
         else
             wait_for_spread(r, o, version, now);
     }
-    offers_look(r, now);
+    proposals_check(r, now);
 }
 
 /** Every box that is there acts on it, or is waited for no more. */
-static void end_spread(offer_t *o, bool everywhere, tc_time_t now)
+static void end_spread(proposal_t *o, bool everywhere, tc_time_t now)
 {
     counter_add(&c_unspread, everywhere ? 0 : 1);
     log_line_t line;
     log_begin(&line, everywhere ? LOG_INFO : LOG_WARN, everywhere ? "in_force" : "not_everywhere");
-    log_str(&line, "what", o->kind == OFFER_DOCUMENT ? "document" : "evacuations");
+    log_str(&line, "what", o->kind == PROPOSAL_DOCUMENT ? "document" : "evacuations");
     log_int(&line, "version", (int64_t)o->version);
     log_int(&line, "took_ms", now - o->begun);
     log_end(&line);
     offer_end(o, TC_OK);
 }
 
-void offers_look(replica_t *r, tc_time_t now)
+void proposals_check(replica_t *r, tc_time_t now)
 {
-    offer_t *o, *next;
+    proposal_t *o, *next;
     cds_list_for_each_entry_safe(o, next, &r->offers, node) {
         const bool late = now >= o->deadline;
         switch (o->state) {
-        case OFFER_LOGGED:
+        case PROPOSAL_LOGGED:
             if (late)
                 offer_end(o, TC_E_TIMEOUT);
             break;
-        case OFFER_SPREAD:
+        case PROPOSAL_COMMITTED:
             if (!is_behind(r, o))
                 end_spread(o, true, now);
             else if (late)
@@ -171,7 +171,7 @@
 
 /* ===== Taking offers ===== */
 
-void offers_take_document(replica_t *r, const document_t *document, replica_done_t done, void *arg)
+void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
     if (!replica_leads(r)) {
         done(arg, TC_E_NOT_LEADER);
@@ -182,8 +182,8 @@
     case DOCUMENT_OLDER: done(arg, TC_OK); return;
     case DOCUMENT_CLASHES: done(arg, TC_E_CONFLICT); return;
     case DOCUMENT_SAME:
-        wait_for_spread(r, offer_add(r, OFFER_DOCUMENT, document->version, done, arg), document->version, now);
-        offers_look(r, now);
+        wait_for_spread(r, offer_add(r, PROPOSAL_DOCUMENT, document->version, done, arg), document->version, now);
+        proposals_check(r, now);
         return;
     case DOCUMENT_NEWER: break;
     }
@@ -194,7 +194,7 @@
     offer_newer(r, document, done, arg);
 }
 
-void offers_take_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
+void proposals_add_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
 {
     if (!replica_leads(r)) {
         done(arg, TC_E_NOT_LEADER);
@@ -207,7 +207,7 @@
     const tc_time_t now = tc_time_now();
     evacuation_t order = {.on = on};
     codec_copy_string(order.dc, sizeof(order.dc), dc);
-    wait_for_log(r, offer_add(r, OFFER_EVACUATION, 0, done, arg), 1, now);
+    wait_for_log(r, offer_add(r, PROPOSAL_EVACUATION, 0, done, arg), 1, now);
     size_t size;
     char *const data = codec_pack_bytes(&evacuation_desc, &order, &size);
     const int64_t index = raft_propose(r->raft, data, size, now);
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -292,7 +292,7 @@
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.loads);
     held_tick(r, now); /* what the box found out outlives it and this leader from now on */
-    offers_look(r, now);
+    proposals_check(r, now);
 }
 
 void reports_answer_piece(replica_t *r, peer_call_t call, const msg_fetch_piece_t *asked)
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -127,7 +127,7 @@
     document_t document = {0};
     document_make(&document, version, text, strlen(text));
     f->offered = false;
-    replica_offer(f->replica[at], &document, on_offered, f);
+    replica_propose(f->replica[at], &document, on_offered, f);
     lab_run_until_true(f->loop, &f->offered);
     codec_free(&document_desc, &document);
 }
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -111,7 +111,7 @@
     document_t document = {0};
     document_make(&document, 5, "content 5", 9);
     f->offered = false;
-    replica_offer(f->replica[leader(f)], &document, on_offered, f);
+    replica_propose(f->replica[leader(f)], &document, on_offered, f);
     codec_free(&document_desc, &document);
     f->want = 5;
     lab_run_until(f->loop, heard_wanted, f);
@@ -119,7 +119,7 @@
     g_assert_true(!f->offered || counter_read("trackcove_cluster_unspread_total") > unspread);
     g_assert_cmpuint(reporter_version(f->reporter), ==, 4);
     document_make(&document, 6, "content 6", 9);
-    replica_offer(f->replica[leader(f)], &document, ignore_offered, f);
+    replica_propose(f->replica[leader(f)], &document, ignore_offered, f);
     codec_free(&document_desc, &document);
     lab_run_for(f->loop, 200);
     g_assert_cmpuint(f->heard, ==, 5);
