--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -79,7 +79,7 @@
     log_end(&line);
     if (changed) {
         note_evacuations(r);
-        if (replica_leads(r))
+        if (replica_is_leader(r))
             reports_publish(r);
     }
     proposals_applied(r, entry, r->evacuations.version, true, r->applied_at);
@@ -122,7 +122,7 @@
     counter_add(&c_accepted, 1);
     log_cluster(r, "document accepted");
     note_version(r);
-    if (replica_leads(r))
+    if (replica_is_leader(r))
         reports_publish(r);
     return relation;
 }
@@ -275,8 +275,8 @@
 /** Begin, suspend or end what a leader does, by its lease. */
 static void note_lead(replica_t *r, tc_time_t now)
 {
-    const bool keeps = replica_keeps_lead(r);
-    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_leads(r)};
+    const bool keeps = replica_retains_leadership(r);
+    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_is_leader(r)};
     if (r->held && !lease.held)
         log_lapse(r, keeps ? "the lease lapsed" : "the lease is over", now);
     if (keeps != r->led)
@@ -290,7 +290,7 @@
 /** A loop that stood still reads messages before it ticks: nothing is granted by a box that may lead no more. */
 static void note_end(replica_t *r, tc_time_t now)
 {
-    if (r->led && !replica_keeps_lead(r))
+    if (r->led && !replica_retains_leadership(r))
         note_lead(r, now);
 }
 
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -72,7 +72,7 @@
 const document_t *replica_read(const replica_t *replica);
 
 /** Whether this box leads, with its lease. */
-bool replica_leads(const replica_t *replica);
+bool replica_is_leader(const replica_t *replica);
 /** Members as this box knows them; borrowed until the loop's next turn. */
 const raft_members_t *replica_members(const replica_t *replica);
 /** Whether some box is known to lead. */
--- a/lib/cluster/replica_follow.c
+++ b/lib/cluster/replica_follow.c
@@ -80,7 +80,7 @@
     g_free(arg);
     (void)err; /* the leader is asked again soon, whoever that is then */
     r->follow.waiting = false;
-    if (!ack || !ack->leads || replica_keeps_lead(r))
+    if (!ack || !ack->leads || replica_retains_leadership(r))
         return;
     take_backends(r, ack, question.asked);
     (void)list_mirror_hear(r->follow.entries_mirror, &ack->entries, ack->peer, question.asked);
@@ -104,7 +104,7 @@
 void follow_tick(replica_t *r, tc_time_t now)
 {
     const raft_member_t *const leader = raft_find_member(r->raft, log_writer_leader(r->writer, r->raft));
-    if (replica_keeps_lead(r) || !leader || leader->id == r->self.id)
+    if (replica_retains_leadership(r) || !leader || leader->id == r->self.id)
         return;
     fetch_lists(r, now);
     if (!r->follow.waiting && now >= r->follow.ask_at)
@@ -115,7 +115,7 @@
 
 void follow_answer_list(replica_t *r, peer_call_t call, const msg_fetch_list_t *asked, tc_time_t now)
 {
-    list_feed_t *const entries = replica_keeps_lead(r) ? roster_list(r->roster, now) : r->follow.entries;
+    list_feed_t *const entries = replica_retains_leadership(r) ? roster_list(r->roster, now) : r->follow.entries;
     list_feed_t *const feed = asked->list == LIST_NAME_ENTRIES ? entries : r->told;
     const msg_list_piece_t piece = list_feed_piece(feed, asked->hash, asked->offset);
     peer_reply(r->net, call, MSG_LIST_PIECE, &piece);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -108,7 +108,7 @@
 /* ===== replica_view.c ===== */
 
 /** Whether this box leads, though its lease may have lapsed a moment ago: no other one can lead yet. */
-bool replica_keeps_lead(const replica_t *r);
+bool replica_retains_leadership(const replica_t *r);
 
 /* ===== replica_proposals.c ===== */
 
--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -87,7 +87,7 @@
                                 .members = members->list,
                                 .members_n = members->list_n};
     peer_reply(r->net, call, MSG_JOIN_ACK, &ack);
-    if (replica_leads(r))
+    if (replica_is_leader(r))
         raft_join(r->raft, &message->member, now);
 }
 
--- a/lib/cluster/replica_proposals.c
+++ b/lib/cluster/replica_proposals.c
@@ -173,7 +173,7 @@
 
 void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
-    if (!replica_leads(r)) {
+    if (!replica_is_leader(r)) {
         done(arg, TC_E_NOT_LEADER);
         return;
     }
@@ -196,7 +196,7 @@
 
 void proposals_add_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
 {
-    if (!replica_leads(r)) {
+    if (!replica_is_leader(r)) {
         done(arg, TC_E_NOT_LEADER);
         return;
     }
--- a/lib/cluster/replica_quarantine.c
+++ b/lib/cluster/replica_quarantine.c
@@ -89,7 +89,7 @@
 static void tell(replica_t *r, tc_time_t now)
 {
     const uint64_t seq = quarantine_seq(r->quarantine);
-    if (seq == 0 || !replica_keeps_lead(r) || (r->news_told == seq && now - r->held_at < TELL_MS))
+    if (seq == 0 || !replica_retains_leadership(r) || (r->news_told == seq && now - r->held_at < TELL_MS))
         return;
     r->held_at = now;
     quarantine_tick(r->quarantine, now);
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -271,7 +271,7 @@
     counter_add(&c_reports, 1);
     const raft_member_t *const leader = raft_find_member(r->raft, log_writer_leader(r->writer, r->raft));
     const raft_members_t *const members = raft_members(r->raft);
-    msg_report_ack_t ack = {.leads = replica_keeps_lead(r),
+    msg_report_ack_t ack = {.leads = replica_retains_leadership(r),
                             .members_hash = known_members_hash(members->list, members->list_n)};
     if (ack.members_hash != report->members_hash) {
         ack.members = members->list; /* borrowed */
--- a/lib/cluster/replica_view.c
+++ b/lib/cluster/replica_view.c
@@ -12,12 +12,12 @@
 
 /* ===== Public functions ===== */
 
-bool replica_leads(const replica_t *r)
+bool replica_is_leader(const replica_t *r)
 {
     return log_writer_leads(r->writer, r->raft, tc_time_now());
 }
 
-bool replica_keeps_lead(const replica_t *r)
+bool replica_retains_leadership(const replica_t *r)
 {
     const bool acts = !log_writer_is_stalled(r->writer);
     /* A leader that has just been elected leads once it holds the lease for the first time. */
@@ -28,7 +28,7 @@
 {
     /* Promise: a read is certain. With the lease no other box can have accepted anything newer, and everything
      * committed before this box led has been applied. */
-    if (!replica_leads(r) || raft_view(r->raft).applied < raft_view(r->raft).commit)
+    if (!replica_is_leader(r) || raft_view(r->raft).applied < raft_view(r->raft).commit)
         return NULL;
     return &r->document;
 }
@@ -56,7 +56,7 @@
 
 uint64_t replica_term(const replica_t *r)
 {
-    return replica_leads(r) ? raft_view(r->raft).term : 0;
+    return replica_is_leader(r) ? raft_view(r->raft).term : 0;
 }
 
 const backend_t *replica_backends(const replica_t *r, uint32_t *n)
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -104,7 +104,7 @@
 static int leader(const fixture_t *f)
 {
     for (int i = 0; i < BOXES; i++)
-        if (f->replica[i] && replica_leads(f->replica[i]))
+        if (f->replica[i] && replica_is_leader(f->replica[i]))
             return i;
     return -1;
 }
@@ -200,7 +200,7 @@
 static __attribute__((unused)) bool who_leads(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->replica[f->who] && replica_leads(f->replica[f->who]);
+    return f->replica[f->who] && replica_is_leader(f->replica[f->who]);
 }
 
 #endif
--- a/tests/unit/test_cluster.c
+++ b/tests/unit/test_cluster.c
@@ -116,7 +116,7 @@
     put(f, 4);
     const int old = leader(f);
     replica_resign(f->replica[old]);
-    g_assert_false(replica_leads(f->replica[old]));
+    g_assert_false(replica_is_leader(f->replica[old]));
     lab_run_until(f->loop, has_leader, f);
     g_assert_cmpint(leader(f), !=, old);
     expect_read(f, 4);
