--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -260,7 +260,7 @@
     return !fetching && (r->document.body_n == 0 || (r->events.on_backends && reporter_backends_time(r) == 0));
 }
 
-void reporter_ask_around(reporter_t *r, tc_time_t now)
+void reporter_poll_neighbours(reporter_t *r, tc_time_t now)
 {
     if (now < r->around_at)
         return;
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -65,7 +65,7 @@
 void reporter_set_seeds(reporter_t *reporter, const char *const *controls, const char *const *neighbours);
 /** The list of back ends is stale: ask for a newer one now, the leader while it is in touch, else any other box: what a
  *  few boxes read spreads from box to box. Call often; it keeps the pauses itself. */
-void reporter_ask_around(reporter_t *reporter, tc_time_t now);
+void reporter_poll_neighbours(reporter_t *reporter, tc_time_t now);
 
 /** Report at once: something changed that others should know. */
 void reporter_hurry(reporter_t *reporter);
