--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -266,7 +266,7 @@
         return;
     r->around_at = now + AROUND_MS;
     if (r->connected) {
-        reporter_hurry(r);
+        reporter_report_now(r);
         return;
     }
     uint32_t n;
@@ -356,7 +356,7 @@
 
 /* ===== Reporting at once ===== */
 
-void reporter_hurry(reporter_t *r)
+void reporter_report_now(reporter_t *r)
 {
     r->hurry = true;
     report_if_hurried(r);
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -68,7 +68,7 @@
 void reporter_poll_neighbours(reporter_t *reporter, tc_time_t now);
 
 /** Report at once: something changed that others should know. */
-void reporter_hurry(reporter_t *reporter);
+void reporter_report_now(reporter_t *reporter);
 
 /** Version of the document that is in force here, 0 before the first. */
 uint64_t reporter_version(const reporter_t *reporter);
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -78,7 +78,7 @@
     const instance_limit_t limit = {.is_set = s->reply.limited, .rate = s->reply.limit, .seen_at = tc_time_now()};
     forwarder_t *const fw = s->request->owner;
     if (take(s->instance, &limit, "its answer") && fw->scheduler && is_urgent(fw, s->instance))
-        reporter_hurry(fw->scheduler); /* the scheduler grants more there until it knows */
+        reporter_report_now(fw->scheduler); /* the scheduler grants more there until it knows */
 }
 
 void limit_learn_told(forwarder_t *fw)
--- a/lib/forward/forward_look.c
+++ b/lib/forward/forward_look.c
@@ -68,7 +68,7 @@
         (void)quarantine_add_end(fw->quarantine, g_array_index(look->lost, uint64_t, i), look->instance->listed.id,
                                  look->lost_at, now);
     if (fw->scheduler)
-        reporter_hurry(fw->scheduler);
+        reporter_report_now(fw->scheduler);
 }
 
 /** Those that waited go on. What they do may end them, and others. */
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -23,7 +23,7 @@
         return;
     counter_add(&c_leaving, 1);
     if (fw->scheduler)
-        reporter_hurry(fw->scheduler);
+        reporter_report_now(fw->scheduler);
 }
 
 /* ===== Reports ===== */
--- a/tests/unit/test_quarantine_spread.c
+++ b/tests/unit/test_quarantine_spread.c
@@ -91,7 +91,7 @@
 {
     const tc_time_t now = tc_time_now();
     g_assert_true(quarantine_add_end(w->entries[i].quarantine, CULPRIT, backend, now, now));
-    reporter_hurry(w->entries[i].reporter);
+    reporter_report_now(w->entries[i].reporter);
 }
 
 static bool all_know(void *arg)
@@ -229,7 +229,7 @@
 static void hear_leaving(world_t *w, int i, tc_time_t since)
 {
     w->entries[i].leaving_since = since;
-    reporter_hurry(w->entries[i].reporter);
+    reporter_report_now(w->entries[i].reporter);
 }
 
 /** One that told one box in an answer that it leaves gets no work from the others; and does again when a list that was
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -86,7 +86,7 @@
     codec_copy_string(ack->leader, sizeof(ack->leader), f->addr);
     codec_copy_string(ack->peer, sizeof(ack->peer), f->addr);
     peer_reply(f->control, f->call, MSG_REPORT_ACK, ack);
-    reporter_hurry(f->reporter);
+    reporter_report_now(f->reporter);
     lab_run_until_true(f->loop, &f->asked);
 }
 
