--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -362,9 +362,9 @@
     report_if_hurried(r);
 }
 
-void reporter_in_force(reporter_t *r)
+void reporter_document_applied(reporter_t *r)
 {
-    lists_in_force(r);
+    lists_document_applied(r);
     report_if_hurried(r);
 }
 
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -27,7 +27,7 @@
 /** What changed; each is called with what the reporter now holds, borrowed for the call. Any may be NULL. */
 typedef struct {
     /** A newer document is here, borrowed until it is in force. @return whether it is in force now; if not,
-     *  reporter_in_force is to be called once it is, and until then no newer one is told */
+     *  reporter_document_applied is to be called once it is, and until then no newer one is told */
     bool (*on_document)(void *arg, const document_t *document);
     void (*on_backends)(void *arg, const backend_t *list, uint32_t n);
     /** Other data centres are evacuated than before; they are in force when this returns. */
@@ -76,7 +76,7 @@
  *  and no box is known to have a newer one. */
 bool reporter_is_current(const reporter_t *reporter, tc_time_t age);
 /** The document that on_document told last is in force from now on. */
-void reporter_in_force(reporter_t *reporter);
+void reporter_document_applied(reporter_t *reporter);
 /** The entry boxes that are held; borrowed until the loop's next turn. */
 const entry_box_t *reporter_entries(const reporter_t *reporter, uint32_t *n);
 /** How many boxes are missing from those: as missing_count. */
--- a/lib/cluster/reporter_internal.h
+++ b/lib/cluster/reporter_internal.h
@@ -74,7 +74,7 @@
 /** Take over all that an answer tells, whoever gave it. @param asked when the question was sent */
 void lists_take_ack(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked);
 /** The program acts on the document that it was told last. */
-void lists_in_force(reporter_t *r);
+void lists_document_applied(reporter_t *r);
 /** Take over evacuations, if they are newer: the leader waits to hear it. */
 void lists_take_evacuations(reporter_t *r, const evacuations_t *told);
 /** Take over who the control boxes are, unless the list is empty. */
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -24,7 +24,7 @@
     if (document_apply(&r->document, offered) != DOCUMENT_NEWER)
         return;
     if (!r->events.on_document || r->events.on_document(r->events.arg, &r->document))
-        reporter_in_force(r);
+        reporter_document_applied(r);
 }
 
 /** A newer document is here whole. */
@@ -43,7 +43,7 @@
         adopt(r, offered);
 }
 
-void lists_in_force(reporter_t *r)
+void lists_document_applied(reporter_t *r)
 {
     assert(r->in_force < r->document.version); /* told and not in force yet */
     r->in_force = r->document.version;
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -124,7 +124,7 @@
     lab_run_for(f->loop, 200);
     g_assert_cmpuint(f->heard, ==, 5);
     f->slow = false;
-    reporter_in_force(f->reporter);
+    reporter_document_applied(f->reporter);
     lab_run_until(f->loop, one_offer_ended, f);
     g_assert_cmpint(f->offer_rc, ==, TC_OK);
     f->want = 6;
