--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -326,7 +326,7 @@
 
 /* ===== To the leader ===== */
 
-tc_time_t reporter_leader_heard(const reporter_t *r)
+tc_time_t reporter_leader_contact_time(const reporter_t *r)
 {
     return r->leader_heard;
 }
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -87,7 +87,7 @@
  *  @param fetched when the reading began */
 void reporter_set_backends(reporter_t *reporter, const backend_t *list, uint32_t n, tc_time_t fetched);
 /** When a leader answered last, 0 for never. */
-tc_time_t reporter_leader_heard(const reporter_t *reporter);
+tc_time_t reporter_leader_contact_time(const reporter_t *reporter);
 /** Call the leader of the control boxes. @param limit for the answer, ms
  *  @return false, with nothing done, when no leader answered the last report; else @p callback runs once, later, as
  *  with peer_call */
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -111,7 +111,7 @@
 /** Whether the scheduler answers others: a question without an answer waits there for room. */
 static bool is_alive(const forwarder_t *fw)
 {
-    return tc_time_now() - reporter_leader_heard(fw->scheduler) < ALIVE_MS;
+    return tc_time_now() - reporter_leader_contact_time(fw->scheduler) < ALIVE_MS;
 }
 
 static bool ask_placement(forward_t *f);
--- a/tests/platform/leader_lab.h
+++ b/tests/platform/leader_lab.h
@@ -19,7 +19,7 @@
 
 static bool leader_is_heard(void *arg)
 {
-    return reporter_leader_heard(((const leader_t *)arg)->reporter) > 0;
+    return reporter_leader_contact_time(((const leader_t *)arg)->reporter) > 0;
 }
 
 /** The entry reports to a leader that answers by @p handler, and asks it from now on. @param events whose argument is
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -225,7 +225,7 @@
 {
     const world_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
-        if (reporter_leader_heard(w->entries[i].reporter) == 0)
+        if (reporter_leader_contact_time(w->entries[i].reporter) == 0)
             return false;
     return true;
 }
--- a/tests/unit/test_cluster_evacuations.c
+++ b/tests/unit/test_cluster_evacuations.c
@@ -107,7 +107,7 @@
 
 static bool reports_to_leader(void *arg)
 {
-    return reporter_leader_heard(((fixture_t *)arg)->reporter) > 0;
+    return reporter_leader_contact_time(((fixture_t *)arg)->reporter) > 0;
 }
 
 static bool is_told(void *arg)
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -56,7 +56,7 @@
 
 static bool reports_to_leader(void *arg)
 {
-    return reporter_leader_heard(((fixture_t *)arg)->reporter) > 0;
+    return reporter_leader_contact_time(((fixture_t *)arg)->reporter) > 0;
 }
 
 /** Whether the reporter names the box that leads. */
