--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -340,7 +340,7 @@
     return true;
 }
 
-void reporter_tell_leader(reporter_t *r, uint32_t type, const void *message)
+void reporter_notify_leader(reporter_t *r, uint32_t type, const void *message)
 {
     if (r->connected)
         peer_send(r->net, r->leader, type, message);
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -94,7 +94,7 @@
 bool reporter_call_leader(reporter_t *reporter, uint32_t type, const void *message, tc_time_t limit,
                           peer_reply_t callback, void *arg);
 /** Tell the leader, without an answer; dropped when no leader answered the last report. */
-void reporter_tell_leader(reporter_t *reporter, uint32_t type, const void *message);
+void reporter_notify_leader(reporter_t *reporter, uint32_t type, const void *message);
 
 /** Where operators reach the leader, "" when unknown. */
 const char *reporter_leader_http(const reporter_t *reporter);
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -291,7 +291,7 @@
         progress.took_ms = (uint32_t)(tc_time_now() - f->placement.prefill_began);
         progress.computed_tokens = f->facts.prompt_tokens;
     }
-    reporter_tell_leader(fw->scheduler, MSG_PROGRESS, &progress);
+    reporter_notify_leader(fw->scheduler, MSG_PROGRESS, &progress);
 }
 
 void place_end(forward_t *f)
