--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -80,7 +80,7 @@
 /** The entry boxes that are held; borrowed until the loop's next turn. */
 const entry_box_t *reporter_entries(const reporter_t *reporter, uint32_t *n);
 /** How many boxes are missing from those: as missing_count. */
-uint32_t reporter_missing(const reporter_t *reporter);
+uint32_t reporter_missing_count(const reporter_t *reporter);
 /** When the list of back ends was read from the platform, 0 for never. */
 tc_time_t reporter_backends_time(const reporter_t *reporter);
 /** Take a list that this box has read by itself, copied, unless the one that is held is as new.
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -333,7 +333,7 @@
     return list_feed_list(r->entries, n);
 }
 
-uint32_t reporter_missing(const reporter_t *r)
+uint32_t reporter_missing_count(const reporter_t *r)
 {
     return missing_count(r->missing, tc_time_now());
 }
