--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -225,20 +225,20 @@
     roster_t *const r = roster_create();
     for (unsigned i = 0; i < boxes; i++) {
         const msg_report_t report = make_report(i, loads, LOADS);
-        roster_hear(r, &report, 0);
+        roster_update(r, &report, 0);
     }
     const double begin = cpu_us();
     for (int round = 1; round <= ROUNDS; round++)
         for (unsigned i = 0; i < boxes; i++) {
             const msg_report_t report = make_report(i, loads, LOADS);
-            roster_hear(r, &report, round);
+            roster_update(r, &report, round);
             (void)list_feed_news(roster_list(r, LATER), 0);
         }
     put("roster_us_a_report", boxes, (cpu_us() - begin) / ROUNDS / boxes);
     const uint64_t known = list_feed_hash(roster_list(r, LATER));
     msg_report_t leaves = make_report(0, loads, LOADS);
     leaves.self.leaving = true;
-    roster_hear(r, &leaves, ROUNDS);
+    roster_update(r, &leaves, ROUNDS);
     put("roster_bytes_quiet_ack", boxes,
         news_bytes(roster_list(r, STILL_LATER), list_feed_hash(roster_list(r, STILL_LATER))));
     put("roster_bytes_one_news", boxes, news_bytes(roster_list(r, STILL_LATER), known));
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -222,7 +222,7 @@
  * with free. */
 static void add_loads(replica_t *r, const char *box, msg_report_ack_t *ack, tc_time_t now)
 {
-    const bool wanted = roster_wants_engines(r->roster, box, ENGINE_LOADS_MS, now);
+    const bool wanted = roster_engine_loads_due(r->roster, box, ENGINE_LOADS_MS, now);
     const roster_loads_t loads = roster_loads(r->roster, box, kind_of, r, wanted);
     const size_t bytes = (size_t)(loads.n - loads.plain_n) * LOAD_BYTES;
     const bool engines = wanted && list_budget_take(&r->budget, bytes, LOADS_KEPT, now);
@@ -230,7 +230,7 @@
     ack->loads = loads.list;
     ack->loads_n = engines ? loads.n : loads.plain_n;
     if (engines)
-        roster_told_engines(r->roster, box, now);
+        roster_engine_loads_sent(r->roster, box, now);
 }
 
 /** Suspects are told anew whenever they differ from those that the box has: one back end that ends makes some ten. */
@@ -249,7 +249,7 @@
 /** What only the leader knows, for boxes that take callers. The list of loads in @p ack is to be freed with free. */
 static void add_uses(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
-    roster_hear(r->roster, report, now);
+    roster_update(r->roster, report, now);
     add_loads(r, report->self.box, ack, now);
     add_suspects(r, report, ack, now);
     placing_take_use(r->placing, report, ack, now);
@@ -314,5 +314,5 @@
 
 void reports_publish(replica_t *r)
 {
-    roster_each(r->roster, publish_to, r);
+    roster_for_each(r->roster, publish_to, r);
 }
--- a/lib/cluster/roster.c
+++ b/lib/cluster/roster.c
@@ -151,13 +151,13 @@
     return loads;
 }
 
-bool roster_wants_engines(const roster_t *r, const char *box, tc_time_t every, tc_time_t now)
+bool roster_engine_loads_due(const roster_t *r, const char *box, tc_time_t every, tc_time_t now)
 {
     const reported_t *const m = g_hash_table_lookup(r->by_name, box);
     return m && (m->engines_told == 0 || now - m->engines_told >= every);
 }
 
-void roster_told_engines(const roster_t *r, const char *box, tc_time_t now)
+void roster_engine_loads_sent(const roster_t *r, const char *box, tc_time_t now)
 {
     reported_t *const m = g_hash_table_lookup(r->by_name, box);
     if (m)
@@ -218,7 +218,7 @@
            strcmp(a->peer_addr, b->peer_addr) == 0;
 }
 
-void roster_hear(roster_t *r, const msg_report_t *report, tc_time_t now)
+void roster_update(roster_t *r, const msg_report_t *report, tc_time_t now)
 {
     reported_t *const m = member_of(r, report->self.box);
     if (m->box.incarnation > report->self.incarnation)
@@ -236,7 +236,7 @@
 {
     reported_t *m, *next;
     cds_list_for_each_entry_safe(m, next, &r->members, node)
-        if (now - m->heard > ROSTER_SILENT_MS)
+        if (now - m->heard > ROSTER_TIMEOUT_MS)
             member_drop(r, m);
 }
 
@@ -276,7 +276,7 @@
     return r->list;
 }
 
-void roster_each(const roster_t *r, void (*fn)(void *arg, const char *peer_addr), void *arg)
+void roster_for_each(const roster_t *r, void (*fn)(void *arg, const char *peer_addr), void *arg)
 {
     const reported_t *m;
     cds_list_for_each_entry(m, &r->members, node)
--- a/lib/cluster/roster.h
+++ b/lib/cluster/roster.h
@@ -31,7 +31,7 @@
 } roster_loads_t;
 
 /** A box that has not reported for so long is left out: five reports in a row. */
-#define ROSTER_SILENT_MS 1500
+#define ROSTER_TIMEOUT_MS 1500
 
 /* ===== Public functions ===== */
 
@@ -39,7 +39,7 @@
 void roster_destroy(roster_t *roster);
 
 /** Take a report: the box is there, and this is all it has in flight. */
-void roster_hear(roster_t *roster, const msg_report_t *report, tc_time_t now);
+void roster_update(roster_t *roster, const msg_report_t *report, tc_time_t now);
 /** Forget boxes that fell silent. */
 void roster_expire(roster_t *roster, tc_time_t now);
 
@@ -55,10 +55,10 @@
  *  @param kind_of asked once for each back end @param engines whether engines are told too */
 roster_loads_t roster_loads(roster_t *roster, const char *except, roster_kind_fn_t kind_of, void *arg, bool engines);
 /** Whether a box is to be told what the others have in flight at engines: once every @p every ms. */
-bool roster_wants_engines(const roster_t *roster, const char *box, tc_time_t every, tc_time_t now);
+bool roster_engine_loads_due(const roster_t *roster, const char *box, tc_time_t every, tc_time_t now);
 /** It has been told. */
-void roster_told_engines(const roster_t *roster, const char *box, tc_time_t now);
+void roster_engine_loads_sent(const roster_t *roster, const char *box, tc_time_t now);
 /** Call @p fn with the peer address of every box. */
-void roster_each(const roster_t *roster, void (*fn)(void *arg, const char *peer_addr), void *arg);
+void roster_for_each(const roster_t *roster, void (*fn)(void *arg, const char *peer_addr), void *arg);
 
 #endif
--- a/tests/unit/test_roster.c
+++ b/tests/unit/test_roster.c
@@ -41,7 +41,7 @@
     msg_report_t message = {.loads = loads, .loads_n = busy + 1};
     g_snprintf(message.self.box, sizeof(message.self.box), "box%u", box);
     message.self.incarnation = 1;
-    roster_hear(l->roster, &message, now);
+    roster_update(l->roster, &message, now);
     const roster_loads_t told = roster_loads(l->roster, message.self.box, kind_of, l, false);
     g_assert_cmpuint(told.n, <=, 1); /* the engines are told now and then, the plain one always */
     free(told.list);
@@ -99,10 +99,10 @@
         g_snprintf(message.loads[i].id, sizeof(message.loads[i].id), "e%u", i);
         message.loads[i].running = 1;
     }
-    roster_hear(l.roster, &message, 1000);
+    roster_update(l.roster, &message, 1000);
     message.loads_n = 20; /* another box has a request at a few of them, too */
     codec_copy_string(message.self.box, sizeof(message.self.box), "b");
-    roster_hear(l.roster, &message, 1000);
+    roster_update(l.roster, &message, 1000);
     g_free(message.loads);
     const roster_loads_t told = roster_loads(l.roster, "c", kind_of, &l, true);
     g_assert_cmpuint(told.n, ==, 20);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -402,8 +402,8 @@
     codec_copy_string(a.self.box, sizeof(a.self.box), "a");
     codec_copy_string(b.self.box, sizeof(b.self.box), "b");
     b.self.incarnation = 7;
-    roster_hear(r, &a, 1000);
-    roster_hear(r, &b, 2000);
+    roster_update(r, &a, 1000);
+    roster_update(r, &b, 2000);
     uint32_t n;
     const uint64_t before = list_feed_hash(list_of(r));
     (void)list_feed_list(list_of(r), &n);
@@ -412,15 +412,15 @@
     g_assert_cmpuint(running_elsewhere(r, "a", "y"), ==, 0);
     b.self.incarnation = 6;
     b.self.leaving = true;
-    roster_hear(r, &b, 2100); /* of an earlier start */
+    roster_update(r, &b, 2100); /* of an earlier start */
     g_assert_cmpuint(before, ==, list_feed_hash(list_of(r)));
     load.running = 5;
     load.tokens = 700;
     b.self.incarnation = 7;
     b.self.leaving = false;
-    roster_hear(r, &b, 2200);
+    roster_update(r, &b, 2200);
     g_assert_cmpuint(running_elsewhere(r, "a", "x"), ==, 5); /* in place of what it told before */
-    roster_expire(r, 1000 + ROSTER_SILENT_MS + 1);
+    roster_expire(r, 1000 + ROSTER_TIMEOUT_MS + 1);
     g_assert_cmpuint(roster_count(r), ==, 1);
     g_assert_cmpuint(before, !=, list_feed_hash(list_of(r)));
     g_assert_cmpuint(running_elsewhere(r, "b", "x"), ==, 0);
