--- a/lib/cluster/fetch.c
+++ b/lib/cluster/fetch.c
@@ -114,7 +114,7 @@
 {
     document_t document = {0};
     document_arrival_take(&f->arrival, &document);
-    f->events.on_whole(f->events.arg, &document, f->source);
+    f->events.on_complete(f->events.arg, &document, f->source);
     codec_free(&document_desc, &document);
     const document_head_t next = f->next;
     f->next = (document_head_t){0};
@@ -152,7 +152,7 @@
 
 /* ===== Public functions ===== */
 
-void fetch_hear(fetch_t *f, const document_head_t *head, const char *from, uint64_t held)
+void fetch_announce(fetch_t *f, const document_head_t *head, const char *from, uint64_t held)
 {
     if (head->version <= held || head->packed == 0)
         return;
--- a/lib/cluster/fetch.h
+++ b/lib/cluster/fetch.h
@@ -24,7 +24,7 @@
 /** Where a fetch gets its sources from and reports to. */
 typedef struct {
     /** A document is here whole. @p document may be moved out by document_apply. */
-    void (*on_whole)(void *arg, document_t *document, const char *from);
+    void (*on_complete)(void *arg, document_t *document, const char *from);
     /** Control boxes that are known. @return their peer addresses' number; borrowed until the loop's next turn */
     uint32_t (*sources)(void *arg, const raft_member_t **list);
     void *arg;
@@ -39,7 +39,7 @@
 void fetch_destroy(fetch_t *fetch);
 
 /** Box @p from has that document. @param held version that is here already */
-void fetch_hear(fetch_t *fetch, const document_head_t *head, const char *from, uint64_t held);
+void fetch_announce(fetch_t *fetch, const document_head_t *head, const char *from, uint64_t held);
 /** Whether a document is on its way. */
 bool fetch_is_busy(const fetch_t *fetch);
 /** Let time pass; call every 50 ms or so. */
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -28,7 +28,7 @@
 }
 
 /** A newer document is here whole. */
-static void on_whole(void *arg, document_t *offered, const char *from)
+static void on_complete(void *arg, document_t *offered, const char *from)
 {
     reporter_t *const r = arg;
     log_line_t line;
@@ -67,7 +67,7 @@
 void lists_hear_head(reporter_t *r, const document_head_t *head, const char *from)
 {
     r->newest = MAX(r->newest, head->version);
-    fetch_hear(r->fetch, head, from, MAX(r->document.version, r->later.version));
+    fetch_announce(r->fetch, head, from, MAX(r->document.version, r->later.version));
 }
 
 /* ===== Lists ===== */
@@ -347,7 +347,7 @@
 
 void lists_start(reporter_t *r)
 {
-    const fetch_events_t events = {.on_whole = on_whole, .sources = sources, .arg = r};
+    const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = r};
     r->fetch = fetch_create(r->net, r->self->peer_addr, &events);
     r->backends = list_feed_create(&list_of_backends);
     r->entries = list_feed_create(&list_of_entries);
--- a/tests/unit/test_fetch.c
+++ b/tests/unit/test_fetch.c
@@ -59,7 +59,7 @@
     return true;
 }
 
-static void on_whole(void *arg, document_t *document, const char *from)
+static void on_complete(void *arg, document_t *document, const char *from)
 {
     fixture_t *const f = arg;
     tc_err_t err = {0};
@@ -111,7 +111,7 @@
     f->members_n = BOXES;
     lab_free_addr(f->own);
     f->net = open_net(f->loop, f->own, nothing, NULL);
-    const fetch_events_t events = {.on_whole = on_whole, .sources = sources, .arg = f};
+    const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = f};
     f->fetch = fetch_create(f->net, f->own, &events);
     loop_add_tick(f->loop, 20, on_tick, f);
 }
@@ -172,7 +172,7 @@
 static void hear(fixture_t *f, const box_t *box)
 {
     const document_head_t head = document_head(&box->document);
-    fetch_hear(f->fetch, &head, box->addr, 0);
+    fetch_announce(f->fetch, &head, box->addr, 0);
 }
 
 static bool has_wanted(void *arg)
@@ -276,7 +276,7 @@
     document_make(&middle, 8, "between", 7);
     hear(f, &f->boxes[0]);
     const document_head_t between = document_head(&middle);
-    fetch_hear(f->fetch, &between, f->boxes[2].addr, 0);
+    fetch_announce(f->fetch, &between, f->boxes[2].addr, 0);
     hear(f, &f->boxes[1]);
     expect(f, 9, second);
     g_assert_cmpuint(f->arrived->len, ==, 2);
@@ -296,9 +296,9 @@
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 8, text);
     const document_head_t head = document_head(&gone);
-    fetch_hear(f->fetch, &head, f->boxes[1].addr, 0);
+    fetch_announce(f->fetch, &head, f->boxes[1].addr, 0);
     expect(f, 8, text);
-    fetch_hear(f->fetch, &head, f->boxes[1].addr, 8);
+    fetch_announce(f->fetch, &head, f->boxes[1].addr, 8);
     g_assert_false(fetch_is_busy(f->fetch)); /* never back */
     codec_free(&document_desc, &gone);
     g_free(text);
@@ -315,8 +315,8 @@
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 9, text);
     const document_head_t first = document_head(&gone), second = document_head(&between);
-    fetch_hear(f->fetch, &first, f->boxes[1].addr, 0);
-    fetch_hear(f->fetch, &second, f->boxes[2].addr, 0);
+    fetch_announce(f->fetch, &first, f->boxes[1].addr, 0);
+    fetch_announce(f->fetch, &second, f->boxes[2].addr, 0);
     expect(f, 9, text);
     g_assert_cmpuint(f->arrived->len, ==, 1);
     codec_free(&document_desc, &gone);
@@ -333,9 +333,9 @@
         give(&f->boxes[i], 7, text);
     const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX + 1};
     hear(f, &f->boxes[0]);
-    fetch_hear(f->fetch, &large, f->boxes[1].addr, 0);
+    fetch_announce(f->fetch, &large, f->boxes[1].addr, 0);
     expect(f, 7, text);
-    fetch_hear(f->fetch, &large, f->boxes[1].addr, 7);
+    fetch_announce(f->fetch, &large, f->boxes[1].addr, 7);
     g_assert_false(fetch_is_busy(f->fetch));
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 9, text);
@@ -363,7 +363,7 @@
 static void hear_if_newer(fixture_t *f, const box_t *box)
 {
     const document_head_t head = document_head(&box->document);
-    fetch_hear(f->fetch, &head, box->addr, last_arrived(f));
+    fetch_announce(f->fetch, &head, box->addr, last_arrived(f));
 }
 
 /** A box takes a version that is newer than its own, and may damage or lose pieces from now on. */
