--- a/lib/cluster/missing.c
+++ b/lib/cluster/missing.c
@@ -42,10 +42,10 @@
 static gboolean is_forgotten(gpointer key, gpointer value, gpointer now)
 {
     (void)key;
-    return *(const tc_time_t *)now - ((const gone_box_t *)value)->since >= MISSING_GONE_MS;
+    return *(const tc_time_t *)now - ((const gone_box_t *)value)->since >= MISSING_TIMEOUT_MS;
 }
 
-void missing_follow(missing_t *m, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
+void missing_update(missing_t *m, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
                     uint32_t after_n, tc_time_t now)
 {
     uint32_t i = 0;
@@ -69,6 +69,6 @@
     gpointer value;
     g_hash_table_iter_init(&iter, m->boxes);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-        n += now - ((const gone_box_t *)value)->since < MISSING_GONE_MS;
+        n += now - ((const gone_box_t *)value)->since < MISSING_TIMEOUT_MS;
     return n;
 }
--- a/lib/cluster/missing.h
+++ b/lib/cluster/missing.h
@@ -17,7 +17,7 @@
 typedef struct missing missing_t;
 
 /** A box that has been missing for so long is taken for gone: nobody is told of it any more. */
-#define MISSING_GONE_MS 30000
+#define MISSING_TIMEOUT_MS 30000
 
 /* ===== Public functions ===== */
 
@@ -25,7 +25,7 @@
 void missing_destroy(missing_t *missing);
 
 /** The list of boxes has changed. Both lists are in order of names. */
-void missing_follow(missing_t *missing, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
+void missing_update(missing_t *missing, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
                     uint32_t after_n, tc_time_t now);
 
 /** How many are missing now. */
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -91,7 +91,7 @@
 {
     uint32_t n;
     const entry_box_t *const list = list_feed_list(r->entries, &n);
-    missing_follow(r->missing, before, before_n, list, n, tc_time_now());
+    missing_update(r->missing, before, before_n, list, n, tc_time_now());
     log_line_t line;
     log_begin(&line, LOG_INFO, "boxes");
     log_int(&line, "count", n);
--- a/tests/unit/test_missing.c
+++ b/tests/unit/test_missing.c
@@ -26,12 +26,12 @@
 {
     missing_t *const m = missing_create();
     const uint32_t n = fill(all, 0, BOXES, false), left = fill(some, 75, BOXES, false);
-    missing_follow(m, NULL, 0, all, n, 0);
+    missing_update(m, NULL, 0, all, n, 0);
     g_assert_cmpuint(missing_count(m, 0), ==, 0);
-    missing_follow(m, all, n, some, left, 2000);
+    missing_update(m, all, n, some, left, 2000);
     g_assert_cmpuint(missing_count(m, 2000), ==, 75);
-    g_assert_cmpuint(missing_count(m, 2000 + MISSING_GONE_MS), ==, 0); /* nobody is told of them any more */
-    missing_follow(m, some, left, all, n, 14000);
+    g_assert_cmpuint(missing_count(m, 2000 + MISSING_TIMEOUT_MS), ==, 0); /* nobody is told of them any more */
+    missing_update(m, some, left, all, n, 14000);
     g_assert_cmpuint(missing_count(m, 14000), ==, 0); /* back */
     missing_destroy(m);
 }
@@ -40,7 +40,7 @@
 {
     missing_t *const m = missing_create();
     const uint32_t n = fill(all, 0, BOXES, true), left = fill(some, 10, BOXES, true);
-    missing_follow(m, all, n, some, left, 1000);
+    missing_update(m, all, n, some, left, 1000);
     g_assert_cmpuint(missing_count(m, 1000), ==, 0);
     missing_destroy(m);
 }
