--- a/lib/cluster/replica_follow.c
+++ b/lib/cluster/replica_follow.c
@@ -32,8 +32,8 @@
     g_free(arg);
     (void)err; /* counted; it is asked for again */
     if (ask.list == LIST_NAME_ENTRIES)
-        (void)list_mirror_take(r->follow.entries_mirror, piece, now);
-    else if (list_mirror_take(r->follow.backends_mirror, piece, now))
+        (void)list_mirror_add_piece(r->follow.entries_mirror, piece, now);
+    else if (list_mirror_add_piece(r->follow.backends_mirror, piece, now))
         reports_take_backends(r);
     fetch_lists(r, now);
 }
@@ -41,8 +41,8 @@
 static void fetch_list(replica_t *r, list_mirror_t *m, tc_time_t now)
 {
     static const list_sources_t nobody = {.but = ""}; /* but the leader, who tells of the list */
-    list_ask_t ask;
-    if (r->follow.is_stopped || !list_mirror_next(m, &nobody, now, &ask))
+    list_request_t ask;
+    if (r->follow.is_stopped || !list_mirror_next_request(m, &nobody, now, &ask))
         return;
     piece_ask_t *const question = g_new(piece_ask_t, 1);
     *question = (piece_ask_t){.replica = r, .list = ask.message.list};
@@ -67,7 +67,7 @@
 {
     list_mirror_t *const m = r->follow.backends_mirror;
     const tc_time_t before = list_mirror_time(m);
-    if (list_mirror_hear(m, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
+    if (list_mirror_receive(m, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
         list_mirror_time(m) != before)
         reports_take_backends(r);
 }
@@ -83,7 +83,7 @@
     if (!ack || !ack->leads || replica_retains_leadership(r))
         return;
     take_backends(r, ack, question.asked);
-    (void)list_mirror_hear(r->follow.entries_mirror, &ack->entries, ack->peer, question.asked);
+    (void)list_mirror_receive(r->follow.entries_mirror, &ack->entries, ack->peer, question.asked);
     fetch_lists(r, tc_time_now());
 }
 
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -108,7 +108,7 @@
  * came, one that was long on its way would replace a list that was read after it */
 static void take_backends(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
-    if (list_mirror_hear(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
+    if (list_mirror_receive(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
         note_backends(r);
 }
 
@@ -132,7 +132,7 @@
 static bool hear_entries(list_mirror_t *m, const void *arg)
 {
     const told_t *const told = arg;
-    return list_mirror_hear(m, &told->ack->entries, told->ack->peer, told->asked);
+    return list_mirror_receive(m, &told->ack->entries, told->ack->peer, told->asked);
 }
 
 static void take_entries(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
@@ -154,7 +154,7 @@
 
 static bool take_piece(list_mirror_t *m, const void *arg)
 {
-    return list_mirror_take(m, arg, tc_time_now());
+    return list_mirror_add_piece(m, arg, tc_time_now());
 }
 
 static void on_piece(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
@@ -178,8 +178,8 @@
 static void fetch_list(reporter_t *r, list_mirror_t *m, tc_time_t now)
 {
     const list_sources_t sources = {.list = r->members, .n = r->members_n, .but = r->leader};
-    list_ask_t ask;
-    if (r->is_stopped || !list_mirror_next(m, &sources, now, &ask))
+    list_request_t ask;
+    if (r->is_stopped || !list_mirror_next_request(m, &sources, now, &ask))
         return;
     piece_ask_t *const question = g_new(piece_ask_t, 1);
     *question = (piece_ask_t){.reporter = r, .list = ask.message.list};
--- a/lib/lists/list_mirror.c
+++ b/lib/lists/list_mirror.c
@@ -156,7 +156,7 @@
     codec_copy_string(f->told_by, sizeof(f->told_by), from);
 }
 
-bool list_mirror_hear(list_mirror_t *m, const list_news_t *news, const char *from, tc_time_t as_of)
+bool list_mirror_receive(list_mirror_t *m, const list_news_t *news, const char *from, tc_time_t as_of)
 {
     const uint64_t held = list_feed_hash(m->feed);
     if (news->hash == 0 || as_of < m->as_of)
@@ -196,12 +196,12 @@
     return f->told_by;
 }
 
-bool list_mirror_next(list_mirror_t *m, const list_sources_t *sources, tc_time_t now, list_ask_t *ask)
+bool list_mirror_next_request(list_mirror_t *m, const list_sources_t *sources, tc_time_t now, list_request_t *ask)
 {
     const fetch_t *const f = &m->fetch;
     if (f->hash == 0 || m->waiting || now < m->again_at)
         return false;
-    *ask = (list_ask_t){.message = {.list = list_feed_kind(m->feed)->name, .hash = f->hash, .offset = f->bytes->len}};
+    *ask = (list_request_t){.message = {.list = list_feed_kind(m->feed)->name, .hash = f->hash, .offset = f->bytes->len}};
     codec_copy_string(ask->addr, sizeof(ask->addr), choose_source(m, sources));
     m->waiting = true;
     m->asked = f->hash;
@@ -228,7 +228,7 @@
     return sound;
 }
 
-bool list_mirror_take(list_mirror_t *m, const msg_list_piece_t *piece, tc_time_t now)
+bool list_mirror_add_piece(list_mirror_t *m, const msg_list_piece_t *piece, tc_time_t now)
 {
     fetch_t *const f = &m->fetch;
     assert(m->waiting); /* it answers a question */
--- a/lib/lists/list_mirror.h
+++ b/lib/lists/list_mirror.h
@@ -31,7 +31,7 @@
 typedef struct {
     char addr[CODEC_STR_SIZE];
     msg_fetch_list_t message;
-} list_ask_t;
+} list_request_t;
 
 /* ===== Public functions ===== */
 
@@ -43,15 +43,15 @@
 bool list_mirror_set(list_mirror_t *mirror, const void *list, uint32_t n, tc_time_t as_of);
 /** Another box has told of it. @param from its peer address @param as_of the list was what it tells then; older news
  *  than what is here changes nothing @return whether the list has changed */
-bool list_mirror_hear(list_mirror_t *mirror, const list_news_t *news, const char *from, tc_time_t as_of);
+bool list_mirror_receive(list_mirror_t *mirror, const list_news_t *news, const char *from, tc_time_t as_of);
 /** As of when the list is what it is; 0 for never. */
 tc_time_t list_mirror_time(const list_mirror_t *mirror);
 
-/** The next question, if one is due: it counts as asked, and is to be answered by list_mirror_take.
+/** The next question, if one is due: it counts as asked, and is to be answered by list_mirror_add_piece.
  *  @param ask filled in @return false when none is due */
-bool list_mirror_next(list_mirror_t *mirror, const list_sources_t *sources, tc_time_t now, list_ask_t *ask);
+bool list_mirror_next_request(list_mirror_t *mirror, const list_sources_t *sources, tc_time_t now, list_request_t *ask);
 /** Its answer. @param piece NULL: there was none @return whether the list has changed */
-bool list_mirror_take(list_mirror_t *mirror, const msg_list_piece_t *piece, tc_time_t now);
+bool list_mirror_add_piece(list_mirror_t *mirror, const msg_list_piece_t *piece, tc_time_t now);
 /** Whether a whole list is on its way. */
 bool list_mirror_is_fetching(const list_mirror_t *mirror);
 
--- a/tests/random/test_lists_random.c
+++ b/tests/random/test_lists_random.c
@@ -193,10 +193,10 @@
 
 static void fetch(world_t *w, node_t *n)
 {
-    list_ask_t ask;
+    list_request_t ask;
     const list_sources_t sources = {
         .list = w->members, .n = is_server(w, n) ? 0 : SERVERS, .but = w->servers[w->leader].self.peer};
-    while (n->mirror && list_mirror_next(n->mirror, &sources, w->now, &ask)) {
+    while (n->mirror && list_mirror_next_request(n->mirror, &sources, w->now, &ask)) {
         node_t *const from = find_node(w, ask.addr);
         const msg_list_piece_t piece = list_feed_piece(from->feed, ask.message.hash, ask.message.offset);
         flight_t *const f = answer(w, from, n, piece.data_n);
@@ -211,9 +211,9 @@
     if (f->life == *life_of(w, n) && n->mirror) {
         const tc_time_t before = list_mirror_time(n->mirror);
         if (f->is_news && !f->lost)
-            (void)list_mirror_hear(n->mirror, &f->news, f->from, f->as_of);
+            (void)list_mirror_receive(n->mirror, &f->news, f->from, f->as_of);
         else if (!f->is_news)
-            (void)list_mirror_take(n->mirror, f->lost ? NULL : &f->piece, w->now);
+            (void)list_mirror_add_piece(n->mirror, f->lost ? NULL : &f->piece, w->now);
         g_assert_cmpint(list_mirror_time(n->mirror), >=, before); /* never back */
         const uint64_t hash = list_feed_hash(n->feed);
         g_assert_true(hash == 0 || g_hash_table_contains(w->made, &hash)); /* no list that nobody made */
--- a/tests/unit/test_list_feed.c
+++ b/tests/unit/test_list_feed.c
@@ -38,7 +38,7 @@
 static void follow(const copy_t *copy, list_feed_t *f, tc_time_t now)
 {
     const list_news_t news = list_feed_news(f, list_feed_hash(copy->feed));
-    (void)list_mirror_hear(copy->mirror, &news, "feed", now);
+    (void)list_mirror_receive(copy->mirror, &news, "feed", now);
     g_assert_cmpuint(list_feed_hash(copy->feed), ==, list_feed_hash(f));
 }
 
@@ -131,7 +131,7 @@
         const bool spoiled = round % 2 == 0;
         body[at] = (char)(body[at] ^ (spoiled ? 1 + (int)(round % 255) : 0));
         news.hash += round % 5 == 0 ? 2 : 0;
-        const bool heard = list_mirror_hear(copy.mirror, &news, "feed", round + 1);
+        const bool heard = list_mirror_receive(copy.mirror, &news, "feed", round + 1);
         g_assert_true(heard ? list_feed_hash(copy.feed) == sound.hash : list_feed_hash(copy.feed) == 0);
         g_assert_false(heard && (cut || round % 5 == 0));
         if (heard) {
@@ -144,7 +144,7 @@
     size_t size;
     char *const packed = list_pack(&list_of_entries, &backwards, &size);
     const list_news_t news = {.hash = sound.hash, .body = packed, .body_n = (uint32_t)size};
-    g_assert_false(list_mirror_hear(copy.mirror, &news, "feed", 1000));
+    g_assert_false(list_mirror_receive(copy.mirror, &news, "feed", 1000));
     free(packed);
     g_rand_free(random);
     copy_free(&copy);
