--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -212,7 +212,7 @@
 
 static double news_bytes(list_feed_t *list, uint64_t known)
 {
-    const msg_report_ack_t ack = {.entries = list_feed_news(list, known)};
+    const msg_report_ack_t ack = {.entries = list_feed_update_since(list, known)};
     return frame_bytes(MSG_REPORT_ACK, &ack);
 }
 
@@ -232,7 +232,7 @@
         for (unsigned i = 0; i < boxes; i++) {
             const msg_report_t report = make_report(i, loads, LOADS);
             roster_update(r, &report, round);
-            (void)list_feed_news(roster_list(r, LATER), 0);
+            (void)list_feed_update_since(roster_list(r, LATER), 0);
         }
     put("roster_us_a_report", boxes, (cpu_us() - begin) / ROUNDS / boxes);
     const uint64_t known = list_feed_hash(roster_list(r, LATER));
--- a/lib/cluster/replica_kept.c
+++ b/lib/cluster/replica_kept.c
@@ -69,7 +69,7 @@
 {
     list_image_t image = {.wall_ms = tc_time_wall() - (now - r->backends_fetched)};
     size_t packed, size;
-    image.body = (char *)(uintptr_t)list_feed_whole(r->told, &packed); /* borrowed */
+    image.body = (char *)(uintptr_t)list_feed_packed(r->told, &packed); /* borrowed */
     image.body_n = (uint32_t)packed;
     char *const data = codec_pack_bytes(&list_image_desc, &image, &size);
     tc_err_t err = {0};
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -198,14 +198,14 @@
 {
     if (r->backends_fetched == 0 || report->without_backends)
         return;
-    ack->backends = within_budget(r, list_feed_news(r->told, report->backends_hash), 0, now);
+    ack->backends = within_budget(r, list_feed_update_since(r->told, report->backends_hash), 0, now);
     ack->backends_age_ms = (uint64_t)(now - r->backends_fetched);
 }
 
 static void add_entries(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     list_feed_t *const list = roster_list(r->roster, now);
-    ack->entries = within_budget(r, list_feed_news(list, report->entries_hash), ENTRIES_KEPT, now);
+    ack->entries = within_budget(r, list_feed_update_since(list, report->entries_hash), ENTRIES_KEPT, now);
 }
 
 /* ===== Answers to reports ===== */
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -293,10 +293,10 @@
     if (report->evacuations_version < r->evacuations.version)
         ack.evacuations = r->evacuations; /* borrowed */
     if (!report->without_backends) {
-        ack.backends = list_feed_news(r->backends, report->backends_hash);
+        ack.backends = list_feed_update_since(r->backends, report->backends_hash);
         ack.backends_age_ms = (uint64_t)(tc_time_now() - list_mirror_time(r->backends_mirror));
     }
-    ack.entries = list_feed_news(r->entries, report->entries_hash);
+    ack.entries = list_feed_update_since(r->entries, report->entries_hash);
     add_held(r, &ack);
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.quarantine.suspects);
--- a/lib/lists/list_feed.c
+++ b/lib/lists/list_feed.c
@@ -235,7 +235,7 @@
     return (list_news_t){.hash = f->hash, .base = base, .body = body, .body_n = (uint32_t)size};
 }
 
-list_news_t list_feed_news(list_feed_t *f, uint64_t known)
+list_news_t list_feed_update_since(list_feed_t *f, uint64_t known)
 {
     if (f->hash == 0)
         return (list_news_t){0};
@@ -255,7 +255,7 @@
     return (list_news_t){.hash = f->hash, .whole = whole->size};
 }
 
-const char *list_feed_whole(list_feed_t *f, size_t *size)
+const char *list_feed_packed(list_feed_t *f, size_t *size)
 {
     const whole_t *const whole = pack_whole(f);
     *size = whole->size;
--- a/lib/lists/list_feed.h
+++ b/lib/lists/list_feed.h
@@ -42,9 +42,9 @@
 
 /** What leads from the state that a box says it has to the present one; the body is owned by the feed until it is set
  *  again. */
-list_news_t list_feed_news(list_feed_t *feed, uint64_t known);
+list_news_t list_feed_update_since(list_feed_t *feed, uint64_t known);
 /** The whole list, packed. @return owned likewise */
-const char *list_feed_whole(list_feed_t *feed, size_t *size);
+const char *list_feed_packed(list_feed_t *feed, size_t *size);
 /** A piece of the whole list of that state, packed; data is owned likewise. Without data, and with whole 0, when that
  *  state is neither the present one nor one of the last that were asked for. */
 msg_list_piece_t list_feed_piece(list_feed_t *feed, uint64_t hash, uint64_t offset);
--- a/tests/random/test_lists_random.c
+++ b/tests/random/test_lists_random.c
@@ -173,7 +173,7 @@
 static void report(world_t *w, node_t *box, node_t *to)
 {
     const tc_time_t as_of = time_of(w, to);
-    list_news_t news = list_feed_news(to->feed, list_feed_hash(box->feed));
+    list_news_t news = list_feed_update_since(to->feed, list_feed_hash(box->feed));
     if (news.body_n > 0 && !list_budget_take(&to->budget, news.body_n, 0, w->now))
         news = (list_news_t){0};
     flight_t *const f = answer(w, to, box, news.body_n);
--- a/tests/unit/test_list_feed.c
+++ b/tests/unit/test_list_feed.c
@@ -37,7 +37,7 @@
 
 static void follow(const copy_t *copy, list_feed_t *f, tc_time_t now)
 {
-    const list_news_t news = list_feed_news(f, list_feed_hash(copy->feed));
+    const list_news_t news = list_feed_update_since(f, list_feed_hash(copy->feed));
     (void)list_mirror_receive(copy->mirror, &news, "feed", now);
     g_assert_cmpuint(list_feed_hash(copy->feed), ==, list_feed_hash(f));
 }
@@ -88,7 +88,7 @@
     const uint64_t known = list_feed_hash(h);
     list[7] = box(7, 2);
     g_assert_true(list_feed_set(h, list, BOXES - 1)); /* and the last one is gone */
-    const list_news_t news = list_feed_news(h, known);
+    const list_news_t news = list_feed_update_since(h, known);
     list_delta_t delta;
     tc_err_t err = {0};
     g_assert_cmpuint(news.base, ==, known);
@@ -98,10 +98,10 @@
     g_assert_cmpuint(delta.gone_n, ==, 1);
     g_assert_cmpstr(delta.gone[0].name, ==, "box-299");
     codec_free(list_of_entries.delta, &delta);
-    const list_news_t none = list_feed_news(h, list_feed_hash(h));
+    const list_news_t none = list_feed_update_since(h, list_feed_hash(h));
     g_assert_cmpuint(none.body_n, ==, 0);
     g_assert_cmpuint(none.whole, ==, 0);
-    const list_news_t whole = list_feed_news(h, 12345);
+    const list_news_t whole = list_feed_update_since(h, 12345);
     g_assert_cmpuint(whole.base, ==, 0);
     g_assert_cmpint(list_unpack(&list_of_entries, whole.body, whole.body_n, &delta, &err), ==, TC_OK);
     g_assert_cmpuint(delta.changed_n, ==, BOXES - 1);
@@ -119,7 +119,7 @@
     list[1] = box(2, 1);
     (void)list_feed_set(h, list, 2);
     copy_t copy = copy_create();
-    const list_news_t sound = list_feed_news(h, 0);
+    const list_news_t sound = list_feed_update_since(h, 0);
     GRand *const random = g_rand_new_with_seed(3);
     for (uint32_t round = 0; round < 500; round++) {
         list_news_t news = sound;
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -47,7 +47,7 @@
         for (int i = 0; i < CHANGED; i++)
             list[(change * CHANGED + i) % BACKENDS].draining = true;
         (void)list_feed_set(source, list, BACKENDS);
-        const list_news_t news = list_feed_news(source, list_feed_hash(copy));
+        const list_news_t news = list_feed_update_since(source, list_feed_hash(copy));
         g_assert_true(list_mirror_receive(mirror, &news, "10.0.0.2:1", 2 + change));
     }
     g_assert_cmpuint(held_bytes(), <, before + BACKENDS * sizeof(backend_t)); /* not one list more */
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -118,7 +118,7 @@
     lab_run_until(f->loop, asked_for_backends, f);
     list_feed_t *const feed = list_feed_create(&list_of_backends);
     (void)list_feed_set(feed, &older, 1);
-    msg_report_ack_t ack = {.backends_age_ms = AGE_MS, .backends = list_feed_news(feed, 0)};
+    msg_report_ack_t ack = {.backends_age_ms = AGE_MS, .backends = list_feed_update_since(feed, 0)};
     lab_run_for(f->loop, APART_MS);
     const tc_time_t read = tc_time_now();
     reporter_set_backends(f->reporter, &newer, 1, read);
@@ -175,8 +175,8 @@
 /** A writer's answer to a box that has those lists. */
 static msg_report_ack_t make_answer(const writers_t *w, int writer, uint64_t entries_known, uint64_t backends_known)
 {
-    return (msg_report_ack_t){.entries = list_feed_news(w->entries[writer], entries_known),
-                              .backends = list_feed_news(w->backends[writer], backends_known)};
+    return (msg_report_ack_t){.entries = list_feed_update_since(w->entries[writer], entries_known),
+                              .backends = list_feed_update_since(w->backends[writer], backends_known)};
 }
 
 static void assert_somebodys(const fixture_t *f, const writers_t *w)
