--- a/lib/lists/list_feed.c
+++ b/lib/lists/list_feed.c
@@ -13,7 +13,7 @@
     TOUCHED_MIN = 64, /* a state that differs by more than this, */
     TOUCHED_PART = 4, /* and by more than one record in so many, is forgotten: the whole is hardly longer */
     WHOLES_KEPT = 3,  /* packed whole lists: a box that fetches one that has changed since goes on with it */
-    WHOLE_TOLD_BYTES = LIST_PIECE / 2 /* a whole list up to this is told at once, a longer one is to be fetched */
+    WHOLE_TOLD_BYTES = LIST_PIECE_BYTES / 2 /* a whole list up to this is told at once, a longer one is to be fetched */
 };
 
 /* ===== Types ===== */
@@ -279,6 +279,6 @@
     if (!whole || offset >= whole->size)
         return piece;
     piece.data = whole->body + offset;
-    piece.data_n = (uint32_t)MIN(whole->size - offset, LIST_PIECE);
+    piece.data_n = (uint32_t)MIN(whole->size - offset, LIST_PIECE_BYTES);
     return piece;
 }
--- a/lib/lists/list_feed.h
+++ b/lib/lists/list_feed.h
@@ -13,7 +13,7 @@
 /* ===== Constants ===== */
 
 /** Bytes of one piece: 26 ms of a link of 10 Mbit/s, so that an event of a stream waits no longer behind it. */
-#define LIST_PIECE (32 * 1024)
+#define LIST_PIECE_BYTES (32 * 1024)
 
 /* ===== Types ===== */
 
