--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -85,7 +85,7 @@
 
 /** Engines that are changing their role, by id: the scheduler gives them nothing new, and boxes are told that they
  * leave. Copied. */
-void replica_set_moving(replica_t *replica, const leaving_cfg_t *list, uint32_t n);
+void replica_set_role_changes(replica_t *replica, const leaving_cfg_t *list, uint32_t n);
 /** Whether a back end takes such calls of a box, by what boxes reported to this leader of its answers. */
 bool replica_takes_calls(const replica_t *replica, const char *box, const char *backend, call_purpose_t purpose);
 
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -112,7 +112,7 @@
     placing_set_backends(r->placing, told, n, r->backends_fetched);
 }
 
-void replica_set_moving(replica_t *r, const leaving_cfg_t *list, uint32_t n)
+void replica_set_role_changes(replica_t *r, const leaving_cfg_t *list, uint32_t n)
 {
     const bool same = r->moving_n == n && (n == 0 || memcmp(r->moving, list, n * sizeof(*list)) == 0);
     if (same)
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -179,10 +179,10 @@
     lab_run_until_true(f->loop, &f->told);
     g_assert_false(f->leaving);
     const leaving_cfg_t moving = {.name = "e1"};
-    replica_set_moving(r, &moving, 1);
+    replica_set_role_changes(r, &moving, 1);
     replica_set_backends(r, &engine, 1, tc_time_now());
     lab_run_until_true(f->loop, &f->leaving);
-    replica_set_moving(r, NULL, 0);
+    replica_set_role_changes(r, NULL, 0);
     replica_set_backends(r, &engine, 1, tc_time_now());
     f->told = false;
     lab_run_until_true(f->loop, &f->told);
--- a/tests/unit/test_withdrawn.c
+++ b/tests/unit/test_withdrawn.c
@@ -15,7 +15,7 @@
     uint64_t lists = 0, hash = list_feed_hash(r->told);
     for (uint32_t i = 1; i <= MOVED; i++) {
         g_snprintf(moving[i - 1].name, sizeof(moving[i - 1].name), "i-%05u", i);
-        replica_set_moving(r, moving, i);
+        replica_set_role_changes(r, moving, i);
         lists += list_feed_hash(r->told) != hash;
         hash = list_feed_hash(r->told);
     }
