--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -427,7 +427,7 @@
 replica_t *replica_create(loop_t *loop, const replica_options_t *options, tc_err_t *err)
 {
     raft_start_t start;
-    if (options->found && members_found(options, err) < 0)
+    if (options->bootstrap && members_found(options, err) < 0)
         return NULL;
     store_t *const store = store_open(options->data_dir, &start, err);
     if (!store)
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -30,7 +30,7 @@
     const char *http_addr;   /**< where operators reach it */
     const char *data_dir;
     uint32_t voters_wanted;   /**< enough to bear the losses that the deployment is to bear */
-    bool found;               /**< first start of the whole system */
+    bool bootstrap;               /**< first start of the whole system */
     const char *const *seeds; /**< peer addresses, NULL at the end */
     retry_rules_t retries;    /**< what settings allow all boxes together */
     cap_rules_t caps;         /**< what they allow beyond usage caps */
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -49,7 +49,7 @@
         .http_addr = f->http[i],
         .data_dir = f->dir[i],
         .voters_wanted = 3,
-        .found = found,
+        .bootstrap = found,
         .seeds = f->seeds,
         .list_bytes_s = 6e6,
         .retries = {.ratio = 1, .allowance = 0, .window = 600000},
