--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -443,7 +443,7 @@
     r->withdrawn = g_array_new(FALSE, TRUE, sizeof(withdrawn_t));
     r->quarantine = quarantine_create();
     held_load(r);
-    CDS_INIT_LIST_HEAD(&r->offers);
+    CDS_INIT_LIST_HEAD(&r->proposals);
     replica_set_seeds(r, options->seeds);
     fill_self(r, start.id);
     follow_start(r);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -34,7 +34,7 @@
     PROPOSAL_COMMITTED  /**< accepted: that every box that is there acts on it */
 } proposal_state_t;
 
-/** What an operator offers. */
+/** What an operator proposals. */
 typedef enum { PROPOSAL_DOCUMENT, PROPOSAL_EVACUATION } proposal_kind_t;
 
 /** An offer on its way. */
@@ -47,7 +47,7 @@
     tc_time_t begun, deadline;
     replica_done_t done;
     void *arg;
-} proposal_t;
+} replica_proposal_t;
 
 /** Lists as the leader tells them, while this box does not lead. */
 typedef struct {
@@ -75,7 +75,7 @@
     size_t since_snapshot;      /* bytes of commands applied since */
     unsigned entries_since;     /* their number */
     tc_time_t applied_at;       /* when the last one was */
-    struct cds_list_head offers;
+    struct cds_list_head proposals;
     tc_time_t join_at, announce_at;
     bool led, held; /* at the last look: this box led, and with its lease */
     bool pumping;
--- a/lib/cluster/replica_proposals.c
+++ b/lib/cluster/replica_proposals.c
@@ -16,20 +16,20 @@
 /* ===== Constants ===== */
 
 enum {
-    LOG_LIMIT_MS = 3000, /* an offer not applied by then has an unknown outcome: below the time in which an operator
+    COMMIT_LIMIT_MS = 3000, /* an offer not applied by then has an unknown outcome: below the time in which an operator
                             wants an answer */
     /* An accepted document is acknowledged once every box that is there acts on it, so that none needs this leader for
      * it any more; for boxes that do not get there no longer than this. Below 1 s, after which operators ask another
      * box, and 2 ms more a KB: twice what it takes over 10 Mbit/s. */
-    SPREAD_LIMIT_MS = 800,
-    SPREAD_MS_PER_KB = 2,
+    ROLLOUT_LIMIT_MS = 800,
+    ROLLOUT_MS_PER_KB = 2,
     PIECE_BYTES =
         64 * 1024 /* of one entry: 5 ms of a link of 100 Mbit/s, so that heartbeats wait no longer behind it */
 };
 
 /* ===== Ending ===== */
 
-static void offer_end(proposal_t *o, int rc)
+static void proposal_end(replica_proposal_t *o, int rc)
 {
     cds_list_del(&o->node);
     o->done(o->arg, rc);
@@ -38,22 +38,22 @@
 
 void proposals_fail(replica_t *r, int rc)
 {
-    proposal_t *o, *next;
-    cds_list_for_each_entry_safe(o, next, &r->offers, node)
-        offer_end(o, o->state == PROPOSAL_COMMITTED ? TC_OK : rc);
+    replica_proposal_t *o, *next;
+    cds_list_for_each_entry_safe(o, next, &r->proposals, node)
+        proposal_end(o, o->state == PROPOSAL_COMMITTED ? TC_OK : rc);
 }
 
 /* ===== Through the log ===== */
 
-static proposal_t *offer_add(replica_t *r, proposal_kind_t kind, uint64_t version, replica_done_t done, void *arg)
+static replica_proposal_t *proposal_add(replica_t *r, proposal_kind_t kind, uint64_t version, replica_done_t done, void *arg)
 {
-    proposal_t *const o = g_new0(proposal_t, 1);
+    replica_proposal_t *const o = g_new0(replica_proposal_t, 1);
     o->kind = kind;
     o->version = version;
     o->begun = tc_time_now();
     o->done = done;
     o->arg = arg;
-    cds_list_add_tail(&o->node, &r->offers);
+    cds_list_add_tail(&o->node, &r->proposals);
     return o;
 }
 
@@ -82,35 +82,35 @@
 
 /** Wait for the entry that is the last of @p entries to be proposed. Call before they are: a cluster of one applies
  * them at once. */
-static void wait_for_log(const replica_t *r, proposal_t *o, uint64_t entries, tc_time_t now)
+static void wait_for_commit(const replica_t *r, replica_proposal_t *o, uint64_t entries, tc_time_t now)
 {
     o->index = raft_view(r->raft).last_index + entries;
     o->term = raft_view(r->raft).term;
-    o->deadline = now + LOG_LIMIT_MS;
+    o->deadline = now + COMMIT_LIMIT_MS;
 }
 
-static void offer_newer(replica_t *r, const document_t *document, replica_done_t done, void *arg)
+static void propose_newer(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
     const tc_time_t now = tc_time_now();
-    proposal_t *const o = offer_add(r, PROPOSAL_DOCUMENT, document->version, done, arg);
-    wait_for_log(r, o, count_pieces(document), now);
+    replica_proposal_t *const o = proposal_add(r, PROPOSAL_DOCUMENT, document->version, done, arg);
+    wait_for_commit(r, o, count_pieces(document), now);
     propose(r, document, now);
     if (SABOTAGE_IS(SABOTAGE_EARLY_ANSWER))
-        offer_end(o, TC_OK);
+        proposal_end(o, TC_OK);
 }
 
 /* ===== Into force ===== */
 
-static void wait_for_spread(const replica_t *r, proposal_t *o, uint64_t version, tc_time_t now)
+static void wait_for_rollout(const replica_t *r, replica_proposal_t *o, uint64_t version, tc_time_t now)
 {
     const uint64_t size = o->kind == PROPOSAL_DOCUMENT ? r->document.body_n : 0;
     o->state = PROPOSAL_COMMITTED;
     o->version = version;
-    o->deadline = now + SPREAD_LIMIT_MS + SPREAD_MS_PER_KB * (tc_time_t)(size / 1024);
+    o->deadline = now + ROLLOUT_LIMIT_MS + ROLLOUT_MS_PER_KB * (tc_time_t)(size / 1024);
 }
 
 /** Whether a box that is there does not act on what was offered. */
-static bool is_behind(const replica_t *r, const proposal_t *o)
+static bool is_behind(const replica_t *r, const replica_proposal_t *o)
 {
     switch (o->kind) {
     case PROPOSAL_EVACUATION: return roster_is_behind(r->roster, ROSTER_EVACUATIONS, o->version);
@@ -121,23 +121,23 @@
 
 void proposals_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now)
 {
-    proposal_t *o, *next;
-    cds_list_for_each_entry_safe(o, next, &r->offers, node) {
+    replica_proposal_t *o, *next;
+    cds_list_for_each_entry_safe(o, next, &r->proposals, node) {
         if (o->state != PROPOSAL_LOGGED || o->index != entry->index)
             continue;
         /* Promise: the answer comes after the log has it on disk at a majority. */
         if (o->term != entry->term)
-            offer_end(o, TC_E_BROKEN);
+            proposal_end(o, TC_E_BROKEN);
         else if (!accepted)
-            offer_end(o, TC_E_CONFLICT);
+            proposal_end(o, TC_E_CONFLICT);
         else
-            wait_for_spread(r, o, version, now);
+            wait_for_rollout(r, o, version, now);
     }
     proposals_check(r, now);
 }
 
 /** Every box that is there acts on it, or is waited for no more. */
-static void end_spread(proposal_t *o, bool everywhere, tc_time_t now)
+static void end_rollout(replica_proposal_t *o, bool everywhere, tc_time_t now)
 {
     counter_add(&c_unspread, everywhere ? 0 : 1);
     log_line_t line;
@@ -146,30 +146,30 @@
     log_int(&line, "version", (int64_t)o->version);
     log_int(&line, "took_ms", now - o->begun);
     log_end(&line);
-    offer_end(o, TC_OK);
+    proposal_end(o, TC_OK);
 }
 
 void proposals_check(replica_t *r, tc_time_t now)
 {
-    proposal_t *o, *next;
-    cds_list_for_each_entry_safe(o, next, &r->offers, node) {
+    replica_proposal_t *o, *next;
+    cds_list_for_each_entry_safe(o, next, &r->proposals, node) {
         const bool late = now >= o->deadline;
         switch (o->state) {
         case PROPOSAL_LOGGED:
             if (late)
-                offer_end(o, TC_E_TIMEOUT);
+                proposal_end(o, TC_E_TIMEOUT);
             break;
         case PROPOSAL_COMMITTED:
             if (!is_behind(r, o))
-                end_spread(o, true, now);
+                end_rollout(o, true, now);
             else if (late)
-                end_spread(o, false, now);
+                end_rollout(o, false, now);
             break;
         }
     }
 }
 
-/* ===== Taking offers ===== */
+/* ===== Taking proposals ===== */
 
 void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
@@ -182,7 +182,7 @@
     case DOCUMENT_OLDER: done(arg, TC_OK); return;
     case DOCUMENT_CLASHES: done(arg, TC_E_CONFLICT); return;
     case DOCUMENT_SAME:
-        wait_for_spread(r, offer_add(r, PROPOSAL_DOCUMENT, document->version, done, arg), document->version, now);
+        wait_for_rollout(r, proposal_add(r, PROPOSAL_DOCUMENT, document->version, done, arg), document->version, now);
         proposals_check(r, now);
         return;
     case DOCUMENT_NEWER: break;
@@ -191,7 +191,7 @@
         done(arg, TC_E_FULL);
         return;
     }
-    offer_newer(r, document, done, arg);
+    propose_newer(r, document, done, arg);
 }
 
 void proposals_add_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
@@ -207,7 +207,7 @@
     const tc_time_t now = tc_time_now();
     evacuation_t order = {.on = on};
     codec_copy_string(order.dc, sizeof(order.dc), dc);
-    wait_for_log(r, offer_add(r, PROPOSAL_EVACUATION, 0, done, arg), 1, now);
+    wait_for_commit(r, proposal_add(r, PROPOSAL_EVACUATION, 0, done, arg), 1, now);
     size_t size;
     char *const data = codec_pack_bytes(&evacuation_desc, &order, &size);
     const int64_t index = raft_propose(r->raft, data, size, now);
