--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -438,7 +438,7 @@
     r->store = store;
     r->writer = log_writer_create(store);
     r->roster = roster_create();
-    r->told = list_feed_create(&list_kind_backends);
+    r->told = list_feed_create(&list_of_backends);
     r->budget = (list_budget_t){.rate = options->list_bytes_s};
     r->withdrawn = g_array_new(FALSE, TRUE, sizeof(withdrawn_t));
     r->quarantine = quarantine_create();
--- a/lib/cluster/replica_follow.c
+++ b/lib/cluster/replica_follow.c
@@ -125,7 +125,7 @@
 
 void follow_start(replica_t *r)
 {
-    r->follow.entries = list_feed_create(&list_kind_entries);
+    r->follow.entries = list_feed_create(&list_of_entries);
     r->follow.backends_mirror = list_mirror_create(r->told, r->self.peer);
     r->follow.entries_mirror = list_mirror_create(r->follow.entries, r->self.peer);
 }
--- a/lib/cluster/replica_kept.c
+++ b/lib/cluster/replica_kept.c
@@ -26,12 +26,12 @@
     const tc_time_t as_of = MAX(tc_time_now() - age, 1); /* 0 stands for never */
     list_delta_t delta;
     tc_err_t err = {0};
-    if (list_unpack(&list_kind_backends, image->body, image->body_n, &delta, &err) < 0) {
+    if (list_unpack(&list_of_backends, image->body, image->body_n, &delta, &err) < 0) {
         log_failure(LOG_WARN, "list_lost", &err);
         return;
     }
     (void)list_mirror_set(r->follow.backends_mirror, delta.changed, delta.changed_n, as_of);
-    codec_free(list_kind_backends.delta, &delta);
+    codec_free(list_of_backends.delta, &delta);
     uint32_t n;
     const backend_t *const list = list_feed_list(r->told, &n);
     r->backends_fetched = as_of;
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -349,8 +349,8 @@
 {
     const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = r};
     r->fetch = fetch_create(r->net, r->self->peer_addr, &events);
-    r->backends = list_feed_create(&list_kind_backends);
-    r->entries = list_feed_create(&list_kind_entries);
+    r->backends = list_feed_create(&list_of_backends);
+    r->entries = list_feed_create(&list_of_entries);
     list_feed_keep_states(r->backends, STATES_TOLD);
     list_feed_keep_states(r->entries, STATES_TOLD);
     r->backends_mirror = list_mirror_create(r->backends, r->self->peer_addr);
--- a/lib/cluster/roster.c
+++ b/lib/cluster/roster.c
@@ -52,7 +52,7 @@
     CDS_INIT_LIST_HEAD(&r->members);
     r->by_name = g_hash_table_new(g_str_hash, g_str_equal);
     r->sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    r->list = list_feed_create(&list_kind_entries);
+    r->list = list_feed_create(&list_of_entries);
     for (int i = 0; i < KINDS; i++)
         CDS_INIT_LIST_HEAD(&r->kinds[i]);
     return r;
--- a/lib/lists/list.c
+++ b/lib/lists/list.c
@@ -19,9 +19,9 @@
 static_assert(IS_DELTA(backend_delta_t) && IS_DELTA(entry_delta_t), "generated deltas are read as list_delta_t");
 static_assert(offsetof(backend_t, id) == 0 && offsetof(entry_box_t, box) == 0, "a record begins with its name");
 
-const list_kind_t list_kind_backends = {
+const list_kind_t list_of_backends = {
     .record = sizeof(backend_t), .delta = &backend_delta_desc, .name = LIST_NAME_BACKENDS};
-const list_kind_t list_kind_entries = {
+const list_kind_t list_of_entries = {
     .record = sizeof(entry_box_t), .delta = &entry_delta_desc, .name = LIST_NAME_ENTRIES};
 
 /* ===== Copies and hashes ===== */
--- a/lib/lists/list.h
+++ b/lib/lists/list.h
@@ -37,7 +37,7 @@
     uint32_t gone_n;
 } list_delta_t;
 
-extern const list_kind_t list_kind_backends, list_kind_entries;
+extern const list_kind_t list_of_backends, list_of_entries;
 
 /* ===== Public functions ===== */
 
--- a/tests/random/test_lists_random.c
+++ b/tests/random/test_lists_random.c
@@ -229,7 +229,7 @@
 {
     *n = (node_t){.bytes_ms = bytes_ms, .budget = {.rate = BUDGET_BYTES_S}};
     codec_copy_string(n->self.peer, sizeof(n->self.peer), addr);
-    n->feed = list_feed_create(&list_kind_backends);
+    n->feed = list_feed_create(&list_of_backends);
     n->mirror = list_mirror_create(n->feed, addr);
     n->report_at = w->now + g_rand_int_range(w->random, 0, is_server(w, n) ? FOLLOW_MS : REPORT_MS);
     ++*life_of(w, n);
--- a/tests/unit/test_list_feed.c
+++ b/tests/unit/test_list_feed.c
@@ -24,7 +24,7 @@
 
 static copy_t copy_create(void)
 {
-    copy_t copy = {.feed = list_feed_create(&list_kind_entries)};
+    copy_t copy = {.feed = list_feed_create(&list_of_entries)};
     copy.mirror = list_mirror_create(copy.feed, "copy");
     return copy;
 }
@@ -46,7 +46,7 @@
 static void test_copies_follow(void)
 {
     GRand *const random = g_rand_new_with_seed(1);
-    list_feed_t *const h = list_feed_create(&list_kind_entries);
+    list_feed_t *const h = list_feed_create(&list_of_entries);
     bool there[BOXES] = {false};
     uint64_t incarnations[BOXES] = {0};
     copy_t copies[8];
@@ -78,7 +78,7 @@
 /** One box of hundreds that restarts costs a record a box, not the list. */
 static void test_one_change(void)
 {
-    list_feed_t *const h = list_feed_create(&list_kind_entries);
+    list_feed_t *const h = list_feed_create(&list_of_entries);
     entry_box_t list[BOXES];
     memset(list, 0, sizeof(list));
     for (unsigned i = 0; i < BOXES; i++)
@@ -93,26 +93,26 @@
     tc_err_t err = {0};
     g_assert_cmpuint(news.base, ==, known);
     g_assert_cmpuint(news.body_n, <, 300);
-    g_assert_cmpint(list_unpack(&list_kind_entries, news.body, news.body_n, &delta, &err), ==, TC_OK);
+    g_assert_cmpint(list_unpack(&list_of_entries, news.body, news.body_n, &delta, &err), ==, TC_OK);
     g_assert_cmpuint(delta.changed_n, ==, 1);
     g_assert_cmpuint(delta.gone_n, ==, 1);
     g_assert_cmpstr(delta.gone[0].name, ==, "box-299");
-    codec_free(list_kind_entries.delta, &delta);
+    codec_free(list_of_entries.delta, &delta);
     const list_news_t none = list_feed_update_since(h, list_feed_hash(h));
     g_assert_cmpuint(none.body_n, ==, 0);
     g_assert_cmpuint(none.whole, ==, 0);
     const list_news_t whole = list_feed_update_since(h, 12345);
     g_assert_cmpuint(whole.base, ==, 0);
-    g_assert_cmpint(list_unpack(&list_kind_entries, whole.body, whole.body_n, &delta, &err), ==, TC_OK);
+    g_assert_cmpint(list_unpack(&list_of_entries, whole.body, whole.body_n, &delta, &err), ==, TC_OK);
     g_assert_cmpuint(delta.changed_n, ==, BOXES - 1);
-    codec_free(list_kind_entries.delta, &delta);
+    codec_free(list_of_entries.delta, &delta);
     list_feed_destroy(h);
 }
 
 /** What is not what it says it is changes nothing: cut off, spoiled, out of order, another list. */
 static void test_damaged(void)
 {
-    list_feed_t *const h = list_feed_create(&list_kind_entries);
+    list_feed_t *const h = list_feed_create(&list_of_entries);
     entry_box_t list[2];
     memset(list, 0, sizeof(list));
     list[0] = box(1, 1);
@@ -142,7 +142,7 @@
     }
     const list_delta_t backwards = {.changed = (entry_box_t[]){list[1], list[0]}, .changed_n = 2};
     size_t size;
-    char *const packed = list_pack(&list_kind_entries, &backwards, &size);
+    char *const packed = list_pack(&list_of_entries, &backwards, &size);
     const list_news_t news = {.hash = sound.hash, .body = packed, .body_n = (uint32_t)size};
     g_assert_false(list_mirror_receive(copy.mirror, &news, "feed", 1000));
     free(packed);
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -35,8 +35,8 @@
 {
     memory_return_large_blocks();
     backend_t *const list = make_list();
-    list_feed_t *const source = list_feed_create(&list_kind_backends);
-    list_feed_t *const copy = list_feed_create(&list_kind_backends);
+    list_feed_t *const source = list_feed_create(&list_of_backends);
+    list_feed_t *const copy = list_feed_create(&list_of_backends);
     list_feed_keep_states(source, 4);
     list_feed_keep_states(copy, 4);
     list_mirror_t *const mirror = list_mirror_create(copy, "10.0.0.1:1");
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -116,7 +116,7 @@
     const backend_t older = make_backend("older"), newer = make_backend("newer");
     const uint64_t newer_hash = list_hash(&newer, sizeof(newer));
     lab_run_until(f->loop, asked_for_backends, f);
-    list_feed_t *const feed = list_feed_create(&list_kind_backends);
+    list_feed_t *const feed = list_feed_create(&list_of_backends);
     (void)list_feed_set(feed, &older, 1);
     msg_report_ack_t ack = {.backends_age_ms = AGE_MS, .backends = list_feed_update_since(feed, 0)};
     lab_run_for(f->loop, APART_MS);
@@ -197,8 +197,8 @@
     (void)data;
     writers_t w = {.random = g_rand_new_with_seed(12)};
     for (int i = 0; i < WRITERS; i++) {
-        w.entries[i] = list_feed_create(&list_kind_entries);
-        w.backends[i] = list_feed_create(&list_kind_backends);
+        w.entries[i] = list_feed_create(&list_of_entries);
+        w.backends[i] = list_feed_create(&list_of_backends);
         change(&w, i);
     }
     uint64_t entries_before = 0, backends_before = 0;
