--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -9,8 +9,8 @@
 #include "common/log.h"
 #include "common/mechanism.h"
 #include "common/retry_budget.h"
+#include "lists/list.h"
 #include "sched/sched.h"
-#include "spread/list.h"
 
 COUNTER_DEFINE(c_granted, "counter", "trackcove_placing_granted_total", "Placements granted by the scheduler")
 COUNTER_DEFINE(c_refused, "counter", "trackcove_placing_refused_total", "Placements refused by the scheduler")
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -79,10 +79,10 @@
     log_end(&line);
     if (changed) {
         note_evacuations(r);
-        if (replica_leads(r))
+        if (replica_is_leader(r))
             reports_publish(r);
     }
-    offers_applied(r, entry, r->evacuations.version, true, r->applied_at);
+    proposals_applied(r, entry, r->evacuations.version, true, r->applied_at);
 }
 
 /* ===== What the log applies ===== */
@@ -122,7 +122,7 @@
     counter_add(&c_accepted, 1);
     log_cluster(r, "document accepted");
     note_version(r);
-    if (replica_leads(r))
+    if (replica_is_leader(r))
         reports_publish(r);
     return relation;
 }
@@ -168,7 +168,7 @@
     const uint64_t version = whole.version;
     const document_relation_t relation = take_document(r, &whole);
     codec_free(&document_desc, &whole);
-    offers_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
+    proposals_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
 }
 
 /* ===== Actions of the log ===== */
@@ -222,7 +222,7 @@
         break;
     case RAFT_ACT_SEND: send_message(r, action); break;
     case RAFT_ACT_APPLY: apply(r, &action->entry); break;
-    case RAFT_ACT_LOST: offers_fail(r, TC_E_BROKEN); break;
+    case RAFT_ACT_LOST: proposals_fail(r, TC_E_BROKEN); break;
     }
 }
 
@@ -267,7 +267,7 @@
     }
     r->pumping = false;
     if (log_writer_is_stalled(r->writer))
-        offers_fail(r, TC_E_BROKEN); /* other boxes may have them and go on without this one */
+        proposals_fail(r, TC_E_BROKEN); /* other boxes may have them and go on without this one */
 }
 
 /* ===== Messages and time ===== */
@@ -275,8 +275,8 @@
 /** Begin, suspend or end what a leader does, by its lease. */
 static void note_lead(replica_t *r, tc_time_t now)
 {
-    const bool keeps = replica_keeps_lead(r);
-    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_leads(r)};
+    const bool keeps = replica_retains_leadership(r);
+    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_is_leader(r)};
     if (r->held && !lease.held)
         log_lapse(r, keeps ? "the lease lapsed" : "the lease is over", now);
     if (keeps != r->led)
@@ -290,7 +290,7 @@
 /** A loop that stood still reads messages before it ticks: nothing is granted by a box that may lead no more. */
 static void note_end(replica_t *r, tc_time_t now)
 {
-    if (r->led && !replica_keeps_lead(r))
+    if (r->led && !replica_retains_leadership(r))
         note_lead(r, now);
 }
 
@@ -338,18 +338,18 @@
     kept_tick(r, now);
     note_lead(r, now);
     follow_tick(r, now);
-    offers_look(r, now);
+    proposals_check(r, now);
 }
 
-void replica_offer(replica_t *r, const document_t *document, replica_done_t done, void *arg)
+void replica_propose(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
-    offers_take_document(r, document, done, arg);
+    proposals_add_document(r, document, done, arg);
     pump(r);
 }
 
 void replica_evacuate(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
 {
-    offers_take_evacuation(r, dc, on, done, arg);
+    proposals_add_evacuation(r, dc, on, done, arg);
     pump(r);
 }
 
@@ -374,7 +374,7 @@
     return placing_is_in_doubt(r->placing, tc_time_now());
 }
 
-void replica_hear_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
+void replica_update_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
 {
     placing_hear_engine(r->placing, engine, held, n, tc_time_now());
 }
@@ -427,7 +427,7 @@
 replica_t *replica_create(loop_t *loop, const replica_options_t *options, tc_err_t *err)
 {
     raft_start_t start;
-    if (options->found && members_found(options, err) < 0)
+    if (options->bootstrap && members_found(options, err) < 0)
         return NULL;
     store_t *const store = store_open(options->data_dir, &start, err);
     if (!store)
@@ -443,8 +443,8 @@
     r->withdrawn = g_array_new(FALSE, TRUE, sizeof(withdrawn_t));
     r->quarantine = quarantine_create();
     held_load(r);
-    CDS_INIT_LIST_HEAD(&r->offers);
-    replica_reseed(r, options->seeds);
+    CDS_INIT_LIST_HEAD(&r->proposals);
+    replica_set_seeds(r, options->seeds);
     fill_self(r, start.id);
     follow_start(r);
     const uint64_t incarnation = (uint64_t)tc_time_wall();
@@ -471,7 +471,7 @@
 {
     loop_remove_ticks(r->loop, r);
     follow_stop(r);
-    offers_fail(r, TC_E_BROKEN);
+    proposals_fail(r, TC_E_BROKEN);
     if (r->net)
         peer_destroy(r->net);
     if (r->placing)
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -30,7 +30,7 @@
     const char *http_addr;   /**< where operators reach it */
     const char *data_dir;
     uint32_t voters_wanted;   /**< enough to bear the losses that the deployment is to bear */
-    bool found;               /**< first start of the whole system */
+    bool bootstrap;           /**< first start of the whole system */
     const char *const *seeds; /**< peer addresses, NULL at the end */
     retry_rules_t retries;    /**< what settings allow all boxes together */
     cap_rules_t caps;         /**< what they allow beyond usage caps */
@@ -56,13 +56,13 @@
 void replica_resign(replica_t *replica);
 
 /** New seeds, copied. */
-void replica_reseed(replica_t *replica, const char *const *seeds);
+void replica_set_seeds(replica_t *replica, const char *const *seeds);
 
 /** Offer a document. @p done runs once, perhaps at once. */
-void replica_offer(replica_t *replica, const document_t *document, replica_done_t done, void *arg);
+void replica_propose(replica_t *replica, const document_t *document, replica_done_t done, void *arg);
 
 /** Have a data centre evacuated, or end that. What stands already is accepted too. @param dc a name that is known to be
- *  one @param done runs once, perhaps at once; as for replica_offer, but never with TC_E_CONFLICT */
+ *  one @param done runs once, perhaps at once; as for replica_propose, but never with TC_E_CONFLICT */
 void replica_evacuate(replica_t *replica, const char *dc, bool on, replica_done_t done, void *arg);
 /** What is evacuated, as certain as replica_read; NULL where that is. */
 const evacuations_t *replica_evacuations(const replica_t *replica);
@@ -72,7 +72,7 @@
 const document_t *replica_read(const replica_t *replica);
 
 /** Whether this box leads, with its lease. */
-bool replica_leads(const replica_t *replica);
+bool replica_is_leader(const replica_t *replica);
 /** Members as this box knows them; borrowed until the loop's next turn. */
 const raft_members_t *replica_members(const replica_t *replica);
 /** Whether some box is known to lead. */
@@ -85,7 +85,7 @@
 
 /** Engines that are changing their role, by id: the scheduler gives them nothing new, and boxes are told that they
  * leave. Copied. */
-void replica_set_moving(replica_t *replica, const leaving_cfg_t *list, uint32_t n);
+void replica_set_role_changes(replica_t *replica, const leaving_cfg_t *list, uint32_t n);
 /** Whether a back end takes such calls of a box, by what boxes reported to this leader of its answers. */
 bool replica_takes_calls(const replica_t *replica, const char *box, const char *backend, call_purpose_t purpose);
 
@@ -97,7 +97,7 @@
 /** Whether engines should be asked often what they run: as sched_is_in_doubt. */
 bool replica_is_in_doubt(const replica_t *replica);
 /** An engine told what it runs: as sched_engine_holds. */
-void replica_hear_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
+void replica_update_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
 /** What the pools of engines have to do: as placing_work. */
 const char *replica_work(const replica_t *replica, pool_work_t *work);
 
--- a/lib/cluster/replica_follow.c
+++ b/lib/cluster/replica_follow.c
@@ -32,8 +32,8 @@
     g_free(arg);
     (void)err; /* counted; it is asked for again */
     if (ask.list == LIST_NAME_ENTRIES)
-        (void)list_mirror_take(r->follow.entries_mirror, piece, now);
-    else if (list_mirror_take(r->follow.backends_mirror, piece, now))
+        (void)list_mirror_add_piece(r->follow.entries_mirror, piece, now);
+    else if (list_mirror_add_piece(r->follow.backends_mirror, piece, now))
         reports_take_backends(r);
     fetch_lists(r, now);
 }
@@ -41,8 +41,8 @@
 static void fetch_list(replica_t *r, list_mirror_t *m, tc_time_t now)
 {
     static const list_sources_t nobody = {.but = ""}; /* but the leader, who tells of the list */
-    list_ask_t ask;
-    if (r->follow.is_stopped || !list_mirror_next(m, &nobody, now, &ask))
+    list_request_t ask;
+    if (r->follow.is_stopped || !list_mirror_next_request(m, &nobody, now, &ask))
         return;
     piece_ask_t *const question = g_new(piece_ask_t, 1);
     *question = (piece_ask_t){.replica = r, .list = ask.message.list};
@@ -67,7 +67,7 @@
 {
     list_mirror_t *const m = r->follow.backends_mirror;
     const tc_time_t before = list_mirror_time(m);
-    if (list_mirror_hear(m, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
+    if (list_mirror_receive(m, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
         list_mirror_time(m) != before)
         reports_take_backends(r);
 }
@@ -80,10 +80,10 @@
     g_free(arg);
     (void)err; /* the leader is asked again soon, whoever that is then */
     r->follow.waiting = false;
-    if (!ack || !ack->leads || replica_keeps_lead(r))
+    if (!ack || !ack->leads || replica_retains_leadership(r))
         return;
     take_backends(r, ack, question.asked);
-    (void)list_mirror_hear(r->follow.entries_mirror, &ack->entries, ack->peer, question.asked);
+    (void)list_mirror_receive(r->follow.entries_mirror, &ack->entries, ack->peer, question.asked);
     fetch_lists(r, tc_time_now());
 }
 
@@ -104,7 +104,7 @@
 void follow_tick(replica_t *r, tc_time_t now)
 {
     const raft_member_t *const leader = raft_find_member(r->raft, log_writer_leader(r->writer, r->raft));
-    if (replica_keeps_lead(r) || !leader || leader->id == r->self.id)
+    if (replica_retains_leadership(r) || !leader || leader->id == r->self.id)
         return;
     fetch_lists(r, now);
     if (!r->follow.waiting && now >= r->follow.ask_at)
@@ -115,7 +115,7 @@
 
 void follow_answer_list(replica_t *r, peer_call_t call, const msg_fetch_list_t *asked, tc_time_t now)
 {
-    list_feed_t *const entries = replica_keeps_lead(r) ? roster_list(r->roster, now) : r->follow.entries;
+    list_feed_t *const entries = replica_retains_leadership(r) ? roster_list(r->roster, now) : r->follow.entries;
     list_feed_t *const feed = asked->list == LIST_NAME_ENTRIES ? entries : r->told;
     const msg_list_piece_t piece = list_feed_piece(feed, asked->hash, asked->offset);
     peer_reply(r->net, call, MSG_LIST_PIECE, &piece);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -1,7 +1,7 @@
 /** @file replica_internal.h
- * Shared by replica.c (the log and what it applies), replica_view.c (what is known of it), replica_offers.c (documents
- * on their way into force), replica_members.c (who takes part in it), replica_reports.c (what boxes are told),
- * replica_follow.c (lists as the leader tells them), replica_kept.c (the list that the data folder keeps) and
+ * Shared by replica.c (the log and what it applies), replica_view.c (what is known of it), replica_proposals.c
+ * (documents on their way into force), replica_members.c (who takes part in it), replica_reports.c (what boxes are
+ * told), replica_follow.c (lists as the leader tells them), replica_kept.c (the list that the data folder keeps) and
  * replica_quarantine.c (requests that are sent to no back end); nobody else includes it.
  */
 #ifndef TRACKCOVE_CLUSTER_REPLICA_INTERNAL_H
@@ -16,8 +16,8 @@
 #include "cluster/replica.h"
 #include "cluster/roster.h"
 #include "control/log_writer.h"
-#include "spread/list_budget.h"
-#include "spread/list_mirror.h"
+#include "lists/list_budget.h"
+#include "lists/list_mirror.h"
 
 /* ===== Types ===== */
 
@@ -30,24 +30,24 @@
 
 /** What an offer waits for. */
 typedef enum {
-    OFFER_LOGGED, /**< that the log has its last entry at a majority */
-    OFFER_SPREAD  /**< accepted: that every box that is there acts on it */
-} offer_state_t;
+    PROPOSAL_LOGGED,   /**< that the log has its last entry at a majority */
+    PROPOSAL_COMMITTED /**< accepted: that every box that is there acts on it */
+} proposal_state_t;
 
-/** What an operator offers. */
-typedef enum { OFFER_DOCUMENT, OFFER_EVACUATION } offer_kind_t;
+/** What an operator proposals. */
+typedef enum { PROPOSAL_DOCUMENT, PROPOSAL_EVACUATION } proposal_kind_t;
 
 /** An offer on its way. */
 typedef struct {
     struct cds_list_head node;
-    offer_kind_t kind;
-    offer_state_t state;
+    proposal_kind_t kind;
+    proposal_state_t state;
     uint64_t version;     /**< of the document, or of the evacuations once the order is accepted */
     uint64_t index, term; /**< of its last entry, while it waits for the log */
     tc_time_t begun, deadline;
     replica_done_t done;
     void *arg;
-} offer_t;
+} replica_proposal_t;
 
 /** Lists as the leader tells them, while this box does not lead. */
 typedef struct {
@@ -75,7 +75,7 @@
     size_t since_snapshot;      /* bytes of commands applied since */
     unsigned entries_since;     /* their number */
     tc_time_t applied_at;       /* when the last one was */
-    struct cds_list_head offers;
+    struct cds_list_head proposals;
     tc_time_t join_at, announce_at;
     bool led, held; /* at the last look: this box led, and with its lease */
     bool pumping;
@@ -108,20 +108,20 @@
 /* ===== replica_view.c ===== */
 
 /** Whether this box leads, though its lease may have lapsed a moment ago: no other one can lead yet. */
-bool replica_keeps_lead(const replica_t *r);
+bool replica_retains_leadership(const replica_t *r);
 
-/* ===== replica_offers.c ===== */
+/* ===== replica_proposals.c ===== */
 
-/** As replica_offer and replica_evacuate, but for doing what the log asks then. */
-void offers_take_document(replica_t *r, const document_t *document, replica_done_t done, void *arg);
-void offers_take_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg);
+/** As replica_propose and replica_evacuate, but for doing what the log asks then. */
+void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg);
+void proposals_add_evacuation(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg);
 /** An entry that ends an offer was applied. @param version that boxes are to act on before the offer is acknowledged
  *  @param accepted false: other content has that version */
-void offers_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now);
+void proposals_applied(replica_t *r, const log_entry_t *entry, uint64_t version, bool accepted, tc_time_t now);
 /** Boxes may have come to act on a newer version, or be gone. */
-void offers_look(replica_t *r, tc_time_t now);
+void proposals_check(replica_t *r, tc_time_t now);
 /** End all: those that are accepted well, the others with @p rc. */
-void offers_fail(replica_t *r, int rc);
+void proposals_fail(replica_t *r, int rc);
 
 /* ===== replica_members.c ===== */
 
--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -7,7 +7,7 @@
 #include <xxhash.h>
 
 #include "cluster/replica_internal.h"
-#include "spread/list.h"
+#include "lists/list.h"
 
 /* ===== Constants ===== */
 
@@ -87,7 +87,7 @@
                                 .members = members->list,
                                 .members_n = members->list_n};
     peer_reply(r->net, call, MSG_JOIN_ACK, &ack);
-    if (replica_leads(r))
+    if (replica_is_leader(r))
         raft_join(r->raft, &message->member, now);
 }
 
@@ -127,7 +127,7 @@
     return store_found(options->data_dir, founder_id(options->peer_listen), &image, err);
 }
 
-void replica_reseed(replica_t *r, const char *const *seeds)
+void replica_set_seeds(replica_t *r, const char *const *seeds)
 {
     g_strfreev(r->seeds);
     r->seeds = g_strdupv((char **)(uintptr_t)seeds);
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -112,7 +112,7 @@
     placing_set_backends(r->placing, told, n, r->backends_fetched);
 }
 
-void replica_set_moving(replica_t *r, const leaving_cfg_t *list, uint32_t n)
+void replica_set_role_changes(replica_t *r, const leaving_cfg_t *list, uint32_t n)
 {
     const bool same = r->moving_n == n && (n == 0 || memcmp(r->moving, list, n * sizeof(*list)) == 0);
     if (same)
@@ -198,14 +198,14 @@
 {
     if (r->backends_fetched == 0 || report->without_backends)
         return;
-    ack->backends = within_budget(r, list_feed_news(r->told, report->backends_hash), 0, now);
+    ack->backends = within_budget(r, list_feed_update_since(r->told, report->backends_hash), 0, now);
     ack->backends_age_ms = (uint64_t)(now - r->backends_fetched);
 }
 
 static void add_entries(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     list_feed_t *const list = roster_list(r->roster, now);
-    ack->entries = within_budget(r, list_feed_news(list, report->entries_hash), ENTRIES_KEPT, now);
+    ack->entries = within_budget(r, list_feed_update_since(list, report->entries_hash), ENTRIES_KEPT, now);
 }
 
 /* ===== Answers to reports ===== */
@@ -222,7 +222,7 @@
  * with free. */
 static void add_loads(replica_t *r, const char *box, msg_report_ack_t *ack, tc_time_t now)
 {
-    const bool wanted = roster_wants_engines(r->roster, box, ENGINE_LOADS_MS, now);
+    const bool wanted = roster_engine_loads_due(r->roster, box, ENGINE_LOADS_MS, now);
     const roster_loads_t loads = roster_loads(r->roster, box, kind_of, r, wanted);
     const size_t bytes = (size_t)(loads.n - loads.plain_n) * LOAD_BYTES;
     const bool engines = wanted && list_budget_take(&r->budget, bytes, LOADS_KEPT, now);
@@ -230,7 +230,7 @@
     ack->loads = loads.list;
     ack->loads_n = engines ? loads.n : loads.plain_n;
     if (engines)
-        roster_told_engines(r->roster, box, now);
+        roster_engine_loads_sent(r->roster, box, now);
 }
 
 /** Suspects are told anew whenever they differ from those that the box has: one back end that ends makes some ten. */
@@ -249,7 +249,7 @@
 /** What only the leader knows, for boxes that take callers. The list of loads in @p ack is to be freed with free. */
 static void add_uses(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
-    roster_hear(r->roster, report, now);
+    roster_update(r->roster, report, now);
     add_loads(r, report->self.box, ack, now);
     add_suspects(r, report, ack, now);
     placing_take_use(r->placing, report, ack, now);
@@ -271,7 +271,7 @@
     counter_add(&c_reports, 1);
     const raft_member_t *const leader = raft_find_member(r->raft, log_writer_leader(r->writer, r->raft));
     const raft_members_t *const members = raft_members(r->raft);
-    msg_report_ack_t ack = {.leads = replica_keeps_lead(r),
+    msg_report_ack_t ack = {.leads = replica_retains_leadership(r),
                             .members_hash = known_members_hash(members->list, members->list_n)};
     if (ack.members_hash != report->members_hash) {
         ack.members = members->list; /* borrowed */
@@ -292,7 +292,7 @@
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.loads);
     held_tick(r, now); /* what the box found out outlives it and this leader from now on */
-    offers_look(r, now);
+    proposals_check(r, now);
 }
 
 void reports_answer_piece(replica_t *r, peer_call_t call, const msg_fetch_piece_t *asked)
@@ -314,5 +314,5 @@
 
 void reports_publish(replica_t *r)
 {
-    roster_each(r->roster, publish_to, r);
+    roster_for_each(r->roster, publish_to, r);
 }
--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -260,13 +260,13 @@
     return !fetching && (r->document.body_n == 0 || (r->events.on_backends && reporter_backends_time(r) == 0));
 }
 
-void reporter_ask_around(reporter_t *r, tc_time_t now)
+void reporter_poll_neighbours(reporter_t *r, tc_time_t now)
 {
     if (now < r->around_at)
         return;
     r->around_at = now + AROUND_MS;
     if (r->connected) {
-        reporter_hurry(r);
+        reporter_report_now(r);
         return;
     }
     uint32_t n;
@@ -326,7 +326,7 @@
 
 /* ===== To the leader ===== */
 
-tc_time_t reporter_leader_heard(const reporter_t *r)
+tc_time_t reporter_leader_contact_time(const reporter_t *r)
 {
     return r->leader_heard;
 }
@@ -340,7 +340,7 @@
     return true;
 }
 
-void reporter_tell_leader(reporter_t *r, uint32_t type, const void *message)
+void reporter_notify_leader(reporter_t *r, uint32_t type, const void *message)
 {
     if (r->connected)
         peer_send(r->net, r->leader, type, message);
@@ -356,21 +356,21 @@
 
 /* ===== Reporting at once ===== */
 
-void reporter_hurry(reporter_t *r)
+void reporter_report_now(reporter_t *r)
 {
     r->hurry = true;
     report_if_hurried(r);
 }
 
-void reporter_in_force(reporter_t *r)
+void reporter_document_applied(reporter_t *r)
 {
-    lists_in_force(r);
+    lists_document_applied(r);
     report_if_hurried(r);
 }
 
 /* ===== Life ===== */
 
-void reporter_reseed(reporter_t *r, const char *const *controls, const char *const *neighbours)
+void reporter_set_seeds(reporter_t *r, const char *const *controls, const char *const *neighbours)
 {
     g_strfreev(r->controls);
     g_strfreev(r->neighbours);
@@ -390,7 +390,7 @@
     r->turn = g_random_int();
     r->missing = missing_create();
     r->heard = tc_time_now();
-    reporter_reseed(r, options->controls, options->neighbours);
+    reporter_set_seeds(r, options->controls, options->neighbours);
     const peer_options_t peer_options = {.box = self->box,
                                          .incarnation = self->incarnation,
                                          .listen = options->peer_listen,
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -27,7 +27,7 @@
 /** What changed; each is called with what the reporter now holds, borrowed for the call. Any may be NULL. */
 typedef struct {
     /** A newer document is here, borrowed until it is in force. @return whether it is in force now; if not,
-     *  reporter_in_force is to be called once it is, and until then no newer one is told */
+     *  reporter_document_applied is to be called once it is, and until then no newer one is told */
     bool (*on_document)(void *arg, const document_t *document);
     void (*on_backends)(void *arg, const backend_t *list, uint32_t n);
     /** Other data centres are evacuated than before; they are in force when this returns. */
@@ -62,13 +62,13 @@
 void reporter_destroy(reporter_t *reporter);
 
 /** New seeds, copied. */
-void reporter_reseed(reporter_t *reporter, const char *const *controls, const char *const *neighbours);
+void reporter_set_seeds(reporter_t *reporter, const char *const *controls, const char *const *neighbours);
 /** The list of back ends is stale: ask for a newer one now, the leader while it is in touch, else any other box: what a
  *  few boxes read spreads from box to box. Call often; it keeps the pauses itself. */
-void reporter_ask_around(reporter_t *reporter, tc_time_t now);
+void reporter_poll_neighbours(reporter_t *reporter, tc_time_t now);
 
 /** Report at once: something changed that others should know. */
-void reporter_hurry(reporter_t *reporter);
+void reporter_report_now(reporter_t *reporter);
 
 /** Version of the document that is in force here, 0 before the first. */
 uint64_t reporter_version(const reporter_t *reporter);
@@ -76,25 +76,25 @@
  *  and no box is known to have a newer one. */
 bool reporter_is_current(const reporter_t *reporter, tc_time_t age);
 /** The document that on_document told last is in force from now on. */
-void reporter_in_force(reporter_t *reporter);
+void reporter_document_applied(reporter_t *reporter);
 /** The entry boxes that are held; borrowed until the loop's next turn. */
 const entry_box_t *reporter_entries(const reporter_t *reporter, uint32_t *n);
 /** How many boxes are missing from those: as missing_count. */
-uint32_t reporter_missing(const reporter_t *reporter);
+uint32_t reporter_missing_count(const reporter_t *reporter);
 /** When the list of back ends was read from the platform, 0 for never. */
 tc_time_t reporter_backends_time(const reporter_t *reporter);
 /** Take a list that this box has read by itself, copied, unless the one that is held is as new.
  *  @param fetched when the reading began */
 void reporter_set_backends(reporter_t *reporter, const backend_t *list, uint32_t n, tc_time_t fetched);
 /** When a leader answered last, 0 for never. */
-tc_time_t reporter_leader_heard(const reporter_t *reporter);
+tc_time_t reporter_leader_contact_time(const reporter_t *reporter);
 /** Call the leader of the control boxes. @param limit for the answer, ms
  *  @return false, with nothing done, when no leader answered the last report; else @p callback runs once, later, as
  *  with peer_call */
 bool reporter_call_leader(reporter_t *reporter, uint32_t type, const void *message, tc_time_t limit,
                           peer_reply_t callback, void *arg);
 /** Tell the leader, without an answer; dropped when no leader answered the last report. */
-void reporter_tell_leader(reporter_t *reporter, uint32_t type, const void *message);
+void reporter_notify_leader(reporter_t *reporter, uint32_t type, const void *message);
 
 /** Where operators reach the leader, "" when unknown. */
 const char *reporter_leader_http(const reporter_t *reporter);
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -24,11 +24,11 @@
     if (document_apply(&r->document, offered) != DOCUMENT_NEWER)
         return;
     if (!r->events.on_document || r->events.on_document(r->events.arg, &r->document))
-        reporter_in_force(r);
+        reporter_document_applied(r);
 }
 
 /** A newer document is here whole. */
-static void on_whole(void *arg, document_t *offered, const char *from)
+static void on_complete(void *arg, document_t *offered, const char *from)
 {
     reporter_t *const r = arg;
     log_line_t line;
@@ -43,7 +43,7 @@
         adopt(r, offered);
 }
 
-void lists_in_force(reporter_t *r)
+void lists_document_applied(reporter_t *r)
 {
     assert(r->in_force < r->document.version); /* told and not in force yet */
     r->in_force = r->document.version;
@@ -67,7 +67,7 @@
 void lists_hear_head(reporter_t *r, const document_head_t *head, const char *from)
 {
     r->newest = MAX(r->newest, head->version);
-    fetch_hear(r->fetch, head, from, MAX(r->document.version, r->later.version));
+    fetch_announce(r->fetch, head, from, MAX(r->document.version, r->later.version));
 }
 
 /* ===== Lists ===== */
@@ -91,7 +91,7 @@
 {
     uint32_t n;
     const entry_box_t *const list = list_feed_list(r->entries, &n);
-    missing_follow(r->missing, before, before_n, list, n, tc_time_now());
+    missing_update(r->missing, before, before_n, list, n, tc_time_now());
     log_line_t line;
     log_begin(&line, LOG_INFO, "boxes");
     log_int(&line, "count", n);
@@ -108,7 +108,7 @@
  * came, one that was long on its way would replace a list that was read after it */
 static void take_backends(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
-    if (list_mirror_hear(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
+    if (list_mirror_receive(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
         note_backends(r);
 }
 
@@ -132,7 +132,7 @@
 static bool hear_entries(list_mirror_t *m, const void *arg)
 {
     const told_t *const told = arg;
-    return list_mirror_hear(m, &told->ack->entries, told->ack->peer, told->asked);
+    return list_mirror_receive(m, &told->ack->entries, told->ack->peer, told->asked);
 }
 
 static void take_entries(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
@@ -154,7 +154,7 @@
 
 static bool take_piece(list_mirror_t *m, const void *arg)
 {
-    return list_mirror_take(m, arg, tc_time_now());
+    return list_mirror_add_piece(m, arg, tc_time_now());
 }
 
 static void on_piece(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
@@ -178,8 +178,8 @@
 static void fetch_list(reporter_t *r, list_mirror_t *m, tc_time_t now)
 {
     const list_sources_t sources = {.list = r->members, .n = r->members_n, .but = r->leader};
-    list_ask_t ask;
-    if (r->is_stopped || !list_mirror_next(m, &sources, now, &ask))
+    list_request_t ask;
+    if (r->is_stopped || !list_mirror_next_request(m, &sources, now, &ask))
         return;
     piece_ask_t *const question = g_new(piece_ask_t, 1);
     *question = (piece_ask_t){.reporter = r, .list = ask.message.list};
@@ -293,10 +293,10 @@
     if (report->evacuations_version < r->evacuations.version)
         ack.evacuations = r->evacuations; /* borrowed */
     if (!report->without_backends) {
-        ack.backends = list_feed_news(r->backends, report->backends_hash);
+        ack.backends = list_feed_update_since(r->backends, report->backends_hash);
         ack.backends_age_ms = (uint64_t)(tc_time_now() - list_mirror_time(r->backends_mirror));
     }
-    ack.entries = list_feed_news(r->entries, report->entries_hash);
+    ack.entries = list_feed_update_since(r->entries, report->entries_hash);
     add_held(r, &ack);
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.quarantine.suspects);
@@ -333,7 +333,7 @@
     return list_feed_list(r->entries, n);
 }
 
-uint32_t reporter_missing(const reporter_t *r)
+uint32_t reporter_missing_count(const reporter_t *r)
 {
     return missing_count(r->missing, tc_time_now());
 }
@@ -347,7 +347,7 @@
 
 void lists_start(reporter_t *r)
 {
-    const fetch_events_t events = {.on_whole = on_whole, .sources = sources, .arg = r};
+    const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = r};
     r->fetch = fetch_create(r->net, r->self->peer_addr, &events);
     r->backends = list_feed_create(&list_of_backends);
     r->entries = list_feed_create(&list_of_entries);
--- a/lib/spread/list_feed.c
+++ b/lib/lists/list_feed.c
@@ -1,4 +1,4 @@
-#include "spread/list_feed.h"
+#include "lists/list_feed.h"
 
 #include <assert.h>
 #include <glib.h>
@@ -13,7 +13,7 @@
     TOUCHED_MIN = 64, /* a state that differs by more than this, */
     TOUCHED_PART = 4, /* and by more than one record in so many, is forgotten: the whole is hardly longer */
     WHOLES_KEPT = 3,  /* packed whole lists: a box that fetches one that has changed since goes on with it */
-    WHOLE_TOLD_BYTES = LIST_PIECE / 2 /* a whole list up to this is told at once, a longer one is to be fetched */
+    WHOLE_TOLD_BYTES = LIST_PIECE_BYTES / 2 /* a whole list up to this is told at once, a longer one is to be fetched */
 };
 
 /* ===== Types ===== */
@@ -235,7 +235,7 @@
     return (list_news_t){.hash = f->hash, .base = base, .body = body, .body_n = (uint32_t)size};
 }
 
-list_news_t list_feed_news(list_feed_t *f, uint64_t known)
+list_news_t list_feed_update_since(list_feed_t *f, uint64_t known)
 {
     if (f->hash == 0)
         return (list_news_t){0};
@@ -255,7 +255,7 @@
     return (list_news_t){.hash = f->hash, .whole = whole->size};
 }
 
-const char *list_feed_whole(list_feed_t *f, size_t *size)
+const char *list_feed_packed(list_feed_t *f, size_t *size)
 {
     const whole_t *const whole = pack_whole(f);
     *size = whole->size;
@@ -279,6 +279,6 @@
     if (!whole || offset >= whole->size)
         return piece;
     piece.data = whole->body + offset;
-    piece.data_n = (uint32_t)MIN(whole->size - offset, LIST_PIECE);
+    piece.data_n = (uint32_t)MIN(whole->size - offset, LIST_PIECE_BYTES);
     return piece;
 }
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -49,7 +49,7 @@
         .http_addr = f->http[i],
         .data_dir = f->dir[i],
         .voters_wanted = 3,
-        .found = found,
+        .bootstrap = found,
         .seeds = f->seeds,
         .list_bytes_s = 6e6,
         .retries = {.ratio = 1, .allowance = 0, .window = 600000},
@@ -104,7 +104,7 @@
 static int leader(const fixture_t *f)
 {
     for (int i = 0; i < BOXES; i++)
-        if (f->replica[i] && replica_leads(f->replica[i]))
+        if (f->replica[i] && replica_is_leader(f->replica[i]))
             return i;
     return -1;
 }
@@ -127,7 +127,7 @@
     document_t document = {0};
     document_make(&document, version, text, strlen(text));
     f->offered = false;
-    replica_offer(f->replica[at], &document, on_offered, f);
+    replica_propose(f->replica[at], &document, on_offered, f);
     lab_run_until_true(f->loop, &f->offered);
     codec_free(&document_desc, &document);
 }
@@ -200,7 +200,7 @@
 static __attribute__((unused)) bool who_leads(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->replica[f->who] && replica_leads(f->replica[f->who]);
+    return f->replica[f->who] && replica_is_leader(f->replica[f->who]);
 }
 
 #endif
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -56,7 +56,7 @@
 
 static bool reports_to_leader(void *arg)
 {
-    return reporter_leader_heard(((fixture_t *)arg)->reporter) > 0;
+    return reporter_leader_contact_time(((fixture_t *)arg)->reporter) > 0;
 }
 
 /** Whether the reporter names the box that leads. */
@@ -111,7 +111,7 @@
     document_t document = {0};
     document_make(&document, 5, "content 5", 9);
     f->offered = false;
-    replica_offer(f->replica[leader(f)], &document, on_offered, f);
+    replica_propose(f->replica[leader(f)], &document, on_offered, f);
     codec_free(&document_desc, &document);
     f->want = 5;
     lab_run_until(f->loop, heard_wanted, f);
@@ -119,12 +119,12 @@
     g_assert_true(!f->offered || counter_read("trackcove_cluster_unspread_total") > unspread);
     g_assert_cmpuint(reporter_version(f->reporter), ==, 4);
     document_make(&document, 6, "content 6", 9);
-    replica_offer(f->replica[leader(f)], &document, ignore_offered, f);
+    replica_propose(f->replica[leader(f)], &document, ignore_offered, f);
     codec_free(&document_desc, &document);
     lab_run_for(f->loop, 200);
     g_assert_cmpuint(f->heard, ==, 5);
     f->slow = false;
-    reporter_in_force(f->reporter);
+    reporter_document_applied(f->reporter);
     lab_run_until(f->loop, one_offer_ended, f);
     g_assert_cmpint(f->offer_rc, ==, TC_OK);
     f->want = 6;
@@ -160,7 +160,7 @@
     start_reporter(f, nobody);
     const char *const seeds[] = {f->self.peer_addr, NULL};
     for (int i = 0; i < SEEDS; i++)
-        replica_reseed(f->replica[i], seeds);
+        replica_set_seeds(f->replica[i], seeds);
     f->want = 4;
     lab_run_until(f->loop, heard_wanted, f);
 }
@@ -179,10 +179,10 @@
     lab_run_until_true(f->loop, &f->told);
     g_assert_false(f->leaving);
     const leaving_cfg_t moving = {.name = "e1"};
-    replica_set_moving(r, &moving, 1);
+    replica_set_role_changes(r, &moving, 1);
     replica_set_backends(r, &engine, 1, tc_time_now());
     lab_run_until_true(f->loop, &f->leaving);
-    replica_set_moving(r, NULL, 0);
+    replica_set_role_changes(r, NULL, 0);
     replica_set_backends(r, &engine, 1, tc_time_now());
     f->told = false;
     lab_run_until_true(f->loop, &f->told);
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "common/memory.h"
-#include "spread/list_mirror.h"
+#include "lists/list_mirror.h"
 
 enum { BACKENDS = 10000, CHANGES = 30, CHANGED = 50 };
 
@@ -47,8 +47,8 @@
         for (int i = 0; i < CHANGED; i++)
             list[(change * CHANGED + i) % BACKENDS].draining = true;
         (void)list_feed_set(source, list, BACKENDS);
-        const list_news_t news = list_feed_news(source, list_feed_hash(copy));
-        g_assert_true(list_mirror_hear(mirror, &news, "10.0.0.2:1", 2 + change));
+        const list_news_t news = list_feed_update_since(source, list_feed_hash(copy));
+        g_assert_true(list_mirror_receive(mirror, &news, "10.0.0.2:1", 2 + change));
     }
     g_assert_cmpuint(held_bytes(), <, before + BACKENDS * sizeof(backend_t)); /* not one list more */
     list_mirror_destroy(mirror);
