--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_poller.c
@@ -1,4 +1,4 @@
-#include "cluster/engine_reader.h"
+#include "cluster/engine_poller.h"
 
 #include <glib.h>
 #include <string.h>
@@ -25,16 +25,16 @@
 /* ===== Types ===== */
 
 typedef struct {
-    engine_reader_t *reader;
+    engine_poller_t *reader;
     web_ask_t ask;
     char engine[CODEC_STR_SIZE];
 } question_t;
 
-struct engine_reader {
+struct engine_poller {
     loop_t *loop;
     web_client_t *client;
     call_gate_t *gate;
-    engine_reader_fn_t fn;
+    engine_poller_fn_t fn;
     void *arg;
     question_t questions[AT_ONCE];
     uint32_t turn; /* through the list of back ends */
@@ -45,7 +45,7 @@
 
 static void take_runs(const question_t *q, const GArray *runs)
 {
-    const engine_reader_t *const r = q->reader;
+    const engine_poller_t *const r = q->reader;
     sched_holding_t *const held = g_new0(sched_holding_t, runs->len + 1);
     for (guint i = 0; i < runs->len; i++) {
         const dialect_run_t *const run = &g_array_index(runs, dialect_run_t, i);
@@ -77,7 +77,7 @@
 
 /* ===== Questions ===== */
 
-static question_t *free_question(engine_reader_t *r)
+static question_t *free_question(engine_poller_t *r)
 {
     for (int i = 0; i < AT_ONCE; i++)
         if (!r->questions[i].ask.call)
@@ -91,7 +91,7 @@
 }
 
 /** The next decode engine in turn that takes the question, or NULL. */
-static const backend_t *next_engine(engine_reader_t *r, const backend_t *backends, uint32_t n, tc_time_t now)
+static const backend_t *next_engine(engine_poller_t *r, const backend_t *backends, uint32_t n, tc_time_t now)
 {
     for (uint32_t tries = 0; tries < n; tries++) {
         const backend_t *const b = &backends[r->turn++ % n];
@@ -112,7 +112,7 @@
     return even > least ? even : least;
 }
 
-void engine_reader_tick(engine_reader_t *r, const backend_t *backends, uint32_t n, bool often, tc_time_t now)
+void engine_poller_tick(engine_poller_t *r, const backend_t *backends, uint32_t n, bool often, tc_time_t now)
 {
     const tc_time_t pause = pause_of(backends, n, often ? OFTEN_MS : SELDOM_MS);
     if (n == 0 || now - r->asked_at < pause)
@@ -135,10 +135,10 @@
 
 /* ===== Life ===== */
 
-engine_reader_t *engine_reader_create(loop_t *loop, web_client_t *client, call_gate_t *gate, engine_reader_fn_t fn,
+engine_poller_t *engine_poller_create(loop_t *loop, web_client_t *client, call_gate_t *gate, engine_poller_fn_t fn,
                                       void *arg)
 {
-    engine_reader_t *const r = g_new0(engine_reader_t, 1);
+    engine_poller_t *const r = g_new0(engine_poller_t, 1);
     r->loop = loop;
     r->client = client;
     r->gate = gate;
@@ -151,7 +151,7 @@
     return r;
 }
 
-void engine_reader_destroy(engine_reader_t *r)
+void engine_poller_destroy(engine_poller_t *r)
 {
     for (int i = 0; i < AT_ONCE; i++) {
         web_ask_cancel(&r->questions[i].ask);
--- a/tests/platform/test_call_gate.c
+++ b/tests/platform/test_call_gate.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "backend/call_gate.h"
-#include "cluster/engine_reader.h"
+#include "cluster/engine_poller.h"
 #include "harness/lab.h"
 
 enum { ENGINES = 2 };
@@ -59,9 +59,9 @@
     ((seen_t *)arg)->answers++;
 }
 
-static void tick(loop_t *loop, engine_reader_t *reader, const backend_t *list)
+static void tick(loop_t *loop, engine_poller_t *reader, const backend_t *list)
 {
-    engine_reader_tick(reader, list, ENGINES, true, tc_time_now());
+    engine_poller_tick(reader, list, ENGINES, true, tc_time_now());
     lab_run_for(loop, 5);
 }
 
@@ -72,7 +72,7 @@
     web_client_t *const client = web_client_create(loop);
     call_gate_t *const gate = call_gate_create(NULL, NULL);
     seen_t seen = {0};
-    engine_reader_t *const reader = engine_reader_create(loop, client, gate, on_read, &seen);
+    engine_poller_t *const reader = engine_poller_create(loop, client, gate, on_read, &seen);
     backend_t list[ENGINES];
     lab_backend_t *engines[ENGINES];
     memset(list, 0, sizeof(list));
@@ -94,7 +94,7 @@
     }
     g_assert_cmpuint(seen.asked[1], >, before);
     g_assert_cmpuint(seen.answers, >, 0);
-    engine_reader_destroy(reader);
+    engine_poller_destroy(reader);
     call_gate_destroy(gate);
     for (int i = 0; i < ENGINES; i++)
         lab_backend_stop(engines[i]);
