--- a/lib/cluster/placing.c
+++ b/lib/cluster/leader_sched.c
@@ -1,4 +1,4 @@
-#include "cluster/placing.h"
+#include "cluster/leader_sched.h"
 
 #include <glib.h>
 #include <stdlib.h>
@@ -47,13 +47,13 @@
 
 /* ===== Types ===== */
 
-struct placing {
+struct leader_sched {
     peer_net_t *net;
     sched_t *sched;           /* NULL while this box does not lead */
     quarantine_t *quarantine; /* or NULL */
     uint64_t term;
     tc_time_t picture_at;
-    placing_service_t *services;
+    leader_sched_service_t *services;
     uint32_t services_n;
     backend_t *backends;
     uint32_t backends_n;
@@ -79,7 +79,7 @@
 
 /* ===== Limits of back ends ===== */
 
-static void on_take_limit(placing_t *p, peer_call_t call, const msg_take_limit_t *take, tc_time_t now)
+static void on_take_limit(leader_sched_t *p, peer_call_t call, const msg_take_limit_t *take, tc_time_t now)
 {
     tc_time_t after;
     const bool granted = limits_take(p->limits, p->sched, take, now, &after);
@@ -99,7 +99,7 @@
 
 /* ===== Configuration ===== */
 
-static const placing_service_t *service_of(const placing_t *p, const char *name)
+static const leader_sched_service_t *service_of(const leader_sched_t *p, const char *name)
 {
     for (uint32_t i = 0; i < p->services_n; i++)
         if (strcmp(p->services[i].service, name) == 0)
@@ -107,14 +107,14 @@
     return NULL;
 }
 
-static bool is_engine(const placing_t *p, const backend_t *b)
+static bool is_engine(const leader_sched_t *p, const backend_t *b)
 {
     return b->stage[0] && service_of(p, b->service);
 }
 
-static void fill_engine(const placing_t *p, const backend_t *b, engine_cfg_t *e)
+static void fill_engine(const leader_sched_t *p, const backend_t *b, engine_cfg_t *e)
 {
-    const placing_service_t *const s = service_of(p, b->service);
+    const leader_sched_service_t *const s = service_of(p, b->service);
     codec_copy_string(e->name, sizeof(e->name), b->id);
     codec_copy_string(e->dc, sizeof(e->dc), b->dc);
     codec_copy_string(e->cell, sizeof(e->cell), CELL);
@@ -126,7 +126,7 @@
 }
 
 /** Links between every two data centres, and inside each. */
-static void fill_links(const placing_t *p, config_t *config)
+static void fill_links(const leader_sched_t *p, config_t *config)
 {
     GHashTable *const dcs = g_hash_table_new(g_str_hash, g_str_equal);
     for (uint32_t i = 0; i < p->backends_n; i++)
@@ -149,7 +149,7 @@
     g_hash_table_destroy(dcs);
 }
 
-static void configure(placing_t *p, tc_time_t now)
+static void configure(leader_sched_t *p, tc_time_t now)
 {
     if (!p->sched)
         return;
@@ -175,12 +175,12 @@
     free(config.links);
 }
 
-void placing_set_quarantine(placing_t *p, quarantine_t *quarantine)
+void leader_sched_set_quarantine(leader_sched_t *p, quarantine_t *quarantine)
 {
     p->quarantine = quarantine;
 }
 
-void placing_set_services(placing_t *p, const placing_service_t *list, uint32_t n)
+void leader_sched_set_services(leader_sched_t *p, const leader_sched_service_t *list, uint32_t n)
 {
     free(p->services);
     p->services = list_copy(list, n * sizeof(*list));
@@ -190,7 +190,7 @@
 
 /* ===== Cold back ends ===== */
 
-static double cold_rate_of(const placing_t *p, const char *service)
+static double cold_rate_of(const leader_sched_t *p, const char *service)
 {
     for (uint32_t i = 0; i < p->cold_rates_n; i++)
         if (strcmp(p->cold_rates[i].service, service) == 0)
@@ -199,7 +199,7 @@
 }
 
 /** Count what cold back ends get. */
-static void configure_cold(placing_t *p)
+static void configure_cold(leader_sched_t *p)
 {
     GArray *const caps = g_array_new(FALSE, TRUE, sizeof(cap_cfg_t));
     for (uint32_t i = 0; i < p->backends_n && p->cold_rates_n > 0; i++) {
@@ -213,7 +213,7 @@
     g_array_free(caps, TRUE);
 }
 
-void placing_set_cold_rates(placing_t *p, const cold_rate_t *list, uint32_t n)
+void leader_sched_set_cold_rates(leader_sched_t *p, const cold_rate_t *list, uint32_t n)
 {
     free(p->cold_rates);
     p->cold_rates = list_copy(list, n * sizeof(*list));
@@ -223,17 +223,17 @@
 
 /* ===== Back ends ===== */
 
-void placing_keep_backends(placing_t *p, tc_time_t fetched)
+void leader_sched_confirm_backends(leader_sched_t *p, tc_time_t fetched)
 {
     if (cold_hear_list(p->cold, fetched))
         configure_cold(p);
 }
 
-void placing_set_backends(placing_t *p, const backend_t *list, uint32_t n, tc_time_t fetched)
+void leader_sched_set_backends(leader_sched_t *p, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
     const bool same = p->backends_n == n && p->backends && memcmp(p->backends, list, n * sizeof(*list)) == 0;
     if (same) {
-        placing_keep_backends(p, fetched);
+        leader_sched_confirm_backends(p, fetched);
         return;
     }
     free(p->backends);
@@ -245,7 +245,7 @@
     configure(p, tc_time_now());
 }
 
-void placing_set_evacuations(placing_t *p, const evacuations_t *evacuations)
+void leader_sched_set_evacuations(leader_sched_t *p, const evacuations_t *evacuations)
 {
     cold_hear_evacuations(p->cold, &p->evacuations, evacuations, tc_time_now());
     evacuations_copy(&p->evacuations, evacuations);
@@ -255,7 +255,7 @@
 
 /* ===== Work ===== */
 
-const char *placing_work(const placing_t *p, pool_work_t *work)
+const char *leader_sched_pool_work(const leader_sched_t *p, pool_work_t *work)
 {
     if (!p->sched || p->services_n != 1)
         return ""; /* the averages are those of all engines together */
@@ -264,19 +264,19 @@
     return p->services[0].service;
 }
 
-bool placing_takes_calls(const placing_t *p, const char *box, const char *engine, tc_time_t now)
+bool leader_sched_accepts_calls(const leader_sched_t *p, const char *box, const char *engine, tc_time_t now)
 {
     return !p->sched || sched_takes_calls(p->sched, box, engine, now);
 }
 
 /* ===== Usage caps ===== */
 
-void placing_set_caps(placing_t *p, const cap_cfg_t *list, uint32_t n)
+void leader_sched_set_caps(leader_sched_t *p, const cap_cfg_t *list, uint32_t n)
 {
     cap_ledger_configure(p->caps, list, n, tc_time_now());
 }
 
-void placing_take_use(placing_t *p, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
+void leader_sched_handle_report(leader_sched_t *p, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     if (!p->sched)
         return; /* what it let in is told again to whoever leads */
@@ -286,7 +286,7 @@
     limits_take_report(p->limits, p->sched, report, ack, now);
 }
 
-static void log_over_cap(const placing_t *p, const msg_place_t *place, tc_time_t after, tc_time_t now)
+static void log_over_cap(const leader_sched_t *p, const msg_place_t *place, tc_time_t after, tc_time_t now)
 {
     const cap_view_t view = cap_ledger_view(p->caps, place->cap, now);
     log_line_t line;
@@ -302,7 +302,7 @@
 }
 
 /** Whether the request's workspace is within its cap; if not, it is answered. */
-static bool let_in(placing_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
+static bool let_in(leader_sched_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (place->cap_units == 0 || place->again)
         return true;
@@ -323,7 +323,7 @@
 }
 
 /** The scheduler has answered: one that it refused has not run, so its workspace has its units back. */
-static void settle(placing_t *p, const sched_answer_t *answer, tc_time_t now)
+static void settle(leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
 {
     const let_in_t *const entry = answer->repeated ? NULL : g_hash_table_lookup(p->let_in, answer->id);
     if (!entry)
@@ -340,7 +340,7 @@
     return *now - ((const let_in_t *)value)->at > LET_IN_MS;
 }
 
-static void tick_caps(placing_t *p, uint32_t boxes, tc_time_t now)
+static void tick_caps(leader_sched_t *p, uint32_t boxes, tc_time_t now)
 {
     cap_ledger_set_boxes(p->caps, boxes, now);
     cap_ledger_tick(p->caps, now);
@@ -366,7 +366,7 @@
 }
 
 /** A line a second: what the scheduler believes, for comparison with what engines and entry boxes say. */
-static void log_engines(placing_t *p, tc_time_t now)
+static void log_engines(leader_sched_t *p, tc_time_t now)
 {
     if (now < p->picture_at)
         return;
@@ -383,7 +383,7 @@
     log_end(&line);
 }
 
-static void log_placed(const placing_t *p, const sched_answer_t *answer, tc_time_t now)
+static void log_placed(const leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
 {
     const msg_placed_t *const placed = &answer->placed;
     log_line_t line;
@@ -404,13 +404,13 @@
     log_end(&line);
 }
 
-static void note_decision(const placing_t *p, const sched_answer_t *answer, tc_time_t now)
+static void note_decision(const leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
 {
     counter_add(answer->placed.granted ? &c_granted : &c_refused, 1);
     log_placed(p, answer, now);
 }
 
-static void pump(placing_t *p, tc_time_t now)
+static void pump(leader_sched_t *p, tc_time_t now)
 {
     sched_action_t action;
     while (p->sched && sched_next_action(p->sched, &action)) {
@@ -432,7 +432,7 @@
 
 /* ===== Renewals ===== */
 
-static void on_renew(placing_t *p, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
+static void on_renew(leader_sched_t *p, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
 {
     held_t lost[LOST_MAX];
     msg_renew_ack_t ack = {.epoch = p->term, .lost = lost};
@@ -442,7 +442,7 @@
 
 /* ===== Retry budget ===== */
 
-static void on_retry(placing_t *p, peer_call_t call, const msg_retry_t *retry, tc_time_t now)
+static void on_retry(leader_sched_t *p, peer_call_t call, const msg_retry_t *retry, tc_time_t now)
 {
     enum { ALONE = 1 }; /* the leader shares its part of the allowance with nobody */
     retry_budget_t *const budget = retry_budgets_get(p->budgets, retry->service, now);
@@ -462,14 +462,14 @@
 /* ===== Messages ===== */
 
 /** How many back ends ended under a request, as this box or the one that asks knows. */
-static unsigned count_ends(placing_t *p, uint64_t fingerprint, unsigned told, tc_time_t now)
+static unsigned count_ends(leader_sched_t *p, uint64_t fingerprint, unsigned told, tc_time_t now)
 {
     const unsigned known = p->quarantine && fingerprint ? quarantine_ends(p->quarantine, fingerprint, now) : 0;
     return MAX(known, told);
 }
 
 /** It is to be sent to no back end: its box refuses it. */
-static void refuse_held(const placing_t *p, peer_call_t call, const char *id)
+static void refuse_held(const leader_sched_t *p, peer_call_t call, const char *id)
 {
     msg_placed_t placed = {.held = true};
     codec_copy_string(placed.reason, sizeof(placed.reason), "back ends ended whenever they ran it");
@@ -482,14 +482,14 @@
     peer_reply(p->net, call, MSG_PLACED, &placed);
 }
 
-static void refuse_call(const placing_t *p, peer_call_t call, const char *why)
+static void refuse_call(const leader_sched_t *p, peer_call_t call, const char *why)
 {
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_NOT_LEADER, "place", "", "%s", why);
     peer_reply_error(p->net, call, &err);
 }
 
-static void on_place(placing_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
+static void on_place(leader_sched_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (!place->again)
         retry_budget_earn(retry_budgets_get(p->budgets, place->model, now), &p->retries, now);
@@ -508,13 +508,13 @@
     sched_place(p->sched, &known, (sched_token_t){.a = call.connection, .b = call.call}, now);
 }
 
-bool placing_takes(uint32_t type)
+bool leader_sched_handles_type(uint32_t type)
 {
     return type == MSG_PLACE || type == MSG_REPLAN || type == MSG_PROGRESS || type == MSG_RENEW || type == MSG_RETRY ||
            type == MSG_TAKE_LIMIT;
 }
 
-void placing_receive(placing_t *p, peer_call_t call, uint32_t type, const void *message, tc_time_t now)
+void leader_sched_handle_message(leader_sched_t *p, peer_call_t call, uint32_t type, const void *message, tc_time_t now)
 {
     const sched_token_t token = {.a = call.connection, .b = call.call};
     if (!p->sched) {
@@ -532,12 +532,13 @@
     pump(p, now);
 }
 
-bool placing_is_in_doubt(const placing_t *p, tc_time_t now)
+bool leader_sched_is_uncertain(const leader_sched_t *p, tc_time_t now)
 {
     return p->sched && sched_is_in_doubt(p->sched, now);
 }
 
-void placing_hear_engine(placing_t *p, const char *engine, const sched_holding_t *held, uint32_t n, tc_time_t now)
+void leader_sched_update_engine(leader_sched_t *p, const char *engine, const sched_holding_t *held, uint32_t n,
+                                tc_time_t now)
 {
     if (!p->sched)
         return;
@@ -547,7 +548,7 @@
 
 /* ===== Life ===== */
 
-void placing_tick(placing_t *p, const placing_lease_t *lease, uint32_t boxes, tc_time_t now)
+void leader_sched_tick(leader_sched_t *p, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now)
 {
     const uint64_t term = lease->term;
     if (p->sched && term != p->term) {
@@ -580,10 +581,10 @@
     log_engines(p, now);
 }
 
-placing_t *placing_create(peer_net_t *net, const retry_rules_t *retries, const cap_rules_t *caps,
-                          const limit_rules_t *limits)
+leader_sched_t *leader_sched_create(peer_net_t *net, const retry_rules_t *retries, const cap_rules_t *caps,
+                                    const limit_rules_t *limits)
 {
-    placing_t *const p = g_new0(placing_t, 1);
+    leader_sched_t *const p = g_new0(leader_sched_t, 1);
     p->net = net;
     p->retries = retry_rules_part(retries, mechanism_is_on(MECHANISM_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
     p->budgets = retry_budgets_create();
@@ -594,7 +595,7 @@
     return p;
 }
 
-void placing_destroy(placing_t *p)
+void leader_sched_destroy(leader_sched_t *p)
 {
     if (p->sched)
         sched_destroy(p->sched);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -64,7 +64,7 @@
 {
     counter_set(&c_evacuated, r->evacuations.list_n);
     if (r->placing) /* not before all of this box stands */
-        placing_set_evacuations(r->placing, &r->evacuations);
+        leader_sched_set_evacuations(r->placing, &r->evacuations);
 }
 
 static void apply_evacuation(replica_t *r, const log_entry_t *entry, const evacuation_t *order)
@@ -276,7 +276,7 @@
 static void note_lead(replica_t *r, tc_time_t now)
 {
     const bool keeps = replica_keeps_lead(r);
-    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_leads(r)};
+    const leader_sched_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_leads(r)};
     if (r->held && !lease.held)
         log_lapse(r, keeps ? "the lease lapsed" : "the lease is over", now);
     if (keeps != r->led)
@@ -284,7 +284,7 @@
     r->held = lease.held;
     r->led = keeps;
     counter_set(&c_leads, lease.held);
-    placing_tick(r->placing, &lease, roster_count(r->roster), now);
+    leader_sched_tick(r->placing, &lease, roster_count(r->roster), now);
 }
 
 /** A loop that stood still reads messages before it ticks: nothing is granted by a box that may lead no more. */
@@ -299,9 +299,9 @@
     replica_t *const r = arg;
     const tc_time_t now = tc_time_now();
     (void)from;
-    if (placing_takes(type)) {
+    if (leader_sched_handles_type(type)) {
         note_end(r, now);
-        placing_receive(r->placing, call, type, message, now);
+        leader_sched_handle_message(r->placing, call, type, message, now);
         return;
     }
     switch (type) {
@@ -366,34 +366,34 @@
 
 const char *replica_work(const replica_t *r, pool_work_t *work)
 {
-    return placing_work(r->placing, work);
+    return leader_sched_pool_work(r->placing, work);
 }
 
 bool replica_is_in_doubt(const replica_t *r)
 {
-    return placing_is_in_doubt(r->placing, tc_time_now());
+    return leader_sched_is_uncertain(r->placing, tc_time_now());
 }
 
 void replica_hear_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
 {
-    placing_hear_engine(r->placing, engine, held, n, tc_time_now());
+    leader_sched_update_engine(r->placing, engine, held, n, tc_time_now());
 }
 
 /* ===== Life ===== */
 
-void replica_set_services(replica_t *r, const placing_service_t *list, uint32_t n)
+void replica_set_services(replica_t *r, const leader_sched_service_t *list, uint32_t n)
 {
-    placing_set_services(r->placing, list, n);
+    leader_sched_set_services(r->placing, list, n);
 }
 
 void replica_set_cold_rates(replica_t *r, const cold_rate_t *list, uint32_t n)
 {
-    placing_set_cold_rates(r->placing, list, n);
+    leader_sched_set_cold_rates(r->placing, list, n);
 }
 
 void replica_set_caps(replica_t *r, const cap_cfg_t *list, uint32_t n)
 {
-    placing_set_caps(r->placing, list, n);
+    leader_sched_set_caps(r->placing, list, n);
 }
 
 static void fill_self(replica_t *r, uint64_t id)
@@ -456,8 +456,8 @@
         replica_destroy(r);
         return NULL;
     }
-    r->placing = placing_create(r->net, &options->retries, &options->caps, &options->limits);
-    placing_set_quarantine(r->placing, r->quarantine);
+    r->placing = leader_sched_create(r->net, &options->retries, &options->caps, &options->limits);
+    leader_sched_set_quarantine(r->placing, r->quarantine);
     kept_load(r);
     log_cluster(r, "started");
     if (r->document.version > 0)
@@ -475,7 +475,7 @@
     if (r->net)
         peer_destroy(r->net);
     if (r->placing)
-        placing_destroy(r->placing);
+        leader_sched_destroy(r->placing);
     log_writer_destroy(r->writer);
     raft_destroy(r->raft);
     roster_destroy(r->roster);
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -15,7 +15,7 @@
 
 #include "backend/availability.h"
 #include "cluster/document.h"
-#include "cluster/placing.h"
+#include "cluster/leader_sched.h"
 #include "control/raft.h"
 #include "peer/peer.h"
 
@@ -98,11 +98,11 @@
 bool replica_is_in_doubt(const replica_t *replica);
 /** An engine told what it runs: as sched_engine_holds. */
 void replica_hear_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
-/** What the pools of engines have to do: as placing_work. */
+/** What the pools of engines have to do: as leader_sched_pool_work. */
 const char *replica_work(const replica_t *replica, pool_work_t *work);
 
 /** The services with engines that the document names: for the scheduler beside the leader. */
-void replica_set_services(replica_t *replica, const placing_service_t *list, uint32_t n);
+void replica_set_services(replica_t *replica, const leader_sched_service_t *list, uint32_t n);
 /** What cold back ends of services bear, as the document says. */
 void replica_set_cold_rates(replica_t *replica, const cold_rate_t *list, uint32_t n);
 /** The workspaces with usage caps that the document names. */
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -80,7 +80,7 @@
     bool led, held; /* at the last look: this box led, and with its lease */
     bool pumping;
     roster_t *roster;
-    placing_t *placing;
+    leader_sched_t *placing;
     backend_t *backends; /* as discovery has them */
     uint32_t backends_n;
     list_feed_t *told;    /* the same, with engines that change their role as leaving */
--- a/lib/cluster/replica_kept.c
+++ b/lib/cluster/replica_kept.c
@@ -35,7 +35,7 @@
     uint32_t n;
     const backend_t *const list = list_feed_list(r->told, &n);
     r->backends_fetched = as_of;
-    placing_set_backends(r->placing, list, n, as_of);
+    leader_sched_set_backends(r->placing, list, n, as_of);
     log_line_t line;
     log_begin(&line, LOG_INFO, "list_kept");
     log_int(&line, "backends", n);
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -57,7 +57,7 @@
     free(list);
     uint32_t n;
     const backend_t *const told = list_feed_list(r->told, &n);
-    placing_set_backends(r->placing, told, n, r->backends_fetched);
+    leader_sched_set_backends(r->placing, told, n, r->backends_fetched);
     r->is_told = true;
     r->told_at = tc_time_now();
 }
@@ -89,7 +89,7 @@
     const bool same = r->backends_n == n && r->backends && memcmp(r->backends, list, n * sizeof(*list)) == 0;
     r->backends_fetched = fetched;
     if (same) {
-        placing_keep_backends(r->placing, fetched);
+        leader_sched_confirm_backends(r->placing, fetched);
         return;
     }
     /* The list as it was read is a state that boxes may have: from another control box, or read by themselves. */
@@ -109,7 +109,7 @@
     free(r->backends);
     r->backends = list_copy(told, n * sizeof(*told));
     r->backends_n = n;
-    placing_set_backends(r->placing, told, n, r->backends_fetched);
+    leader_sched_set_backends(r->placing, told, n, r->backends_fetched);
 }
 
 void replica_set_moving(replica_t *r, const leaving_cfg_t *list, uint32_t n)
@@ -166,7 +166,7 @@
 bool replica_takes_calls(const replica_t *r, const char *box, const char *backend, call_purpose_t purpose)
 {
     const bool leaves = purpose == CALL_NEW_WORK && (find_withdrawn(r, backend) || is_evacuated(r, backend));
-    return !leaves && placing_takes_calls(r->placing, box, backend, tc_time_now());
+    return !leaves && leader_sched_accepts_calls(r->placing, box, backend, tc_time_now());
 }
 
 static bool is_over(const replica_t *r, const withdrawn_t *w, tc_time_t now)
@@ -252,7 +252,7 @@
     roster_hear(r->roster, report, now);
     add_loads(r, report->self.box, ack, now);
     add_suspects(r, report, ack, now);
-    placing_take_use(r->placing, report, ack, now);
+    leader_sched_handle_report(r->placing, report, ack, now);
 }
 
 /** What only the leader knows. The list of loads in @p ack is to be freed with free. */
--- a/scripts/docs.py
+++ b/scripts/docs.py
@@ -22,7 +22,7 @@
         for match in re.finditer(r'COUNTER_DEFINE\(\s*\w+,\s*"(\w+)",\s*"(\w+)",\s*"([^"]+)"\)', text):
             kind, name, meaning = match.groups()
             program = "entry"
-            if path.startswith(("lib/control", "lib/cluster/replica", "lib/cluster/placing", "platform/operators", "platform/registryd")):
+            if path.startswith(("lib/control", "lib/cluster/replica", "lib/cluster/leader_sched", "platform/operators", "platform/registryd")):
                 program = "control"
             elif path.startswith(("lib/peer", "lib/common", "lib/web", "lib/cluster", "lib/forward/discover")):
                 program = "both"
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -338,7 +338,7 @@
     w->path = "/lm/x";
     for (uint32_t i = 0; i < w->backends_n; i++)
         start_backend(w, (int)i, stages[i], limits[i]);
-    const placing_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 9000, .link_tokens_s = 1e6};
+    const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 9000, .link_tokens_s = 1e6};
     for (int i = 0; i < SEEDS; i++) {
         replica_set_services(w->f.replica[i], &service, 1);
         replica_set_backends(w->f.replica[i], w->list, w->backends_n, tc_time_now());
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "cluster/evacuations.h"
-#include "cluster/placing.h"
+#include "cluster/leader_sched.h"
 #include "common/counter.h"
 #include "forward/fleet.h"
 #include "harness/lab.h"
@@ -130,7 +130,7 @@
 typedef struct {
     loop_t *loop;
     peer_net_t *net;
-    placing_t *placing;
+    leader_sched_t *placing;
     tc_time_t now;
 } fixture_t;
 
@@ -145,31 +145,31 @@
     f->net = peer_create(f->loop, &options, &err);
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
-    f->placing = placing_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
-    const placing_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
-    placing_set_services(f->placing, &service, 1);
+    f->placing = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
+                                     &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
+    const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
+    leader_sched_set_services(f->placing, &service, 1);
     const backend_t engines[] = {{.id = "p1", .service = "lm", .addr = "1", .dc = "a", .stage = "prefill", .slots = 8},
                                  {.id = "d1", .service = "lm", .addr = "2", .dc = "a", .stage = "decode", .slots = 8},
                                  {.id = "p2", .service = "lm", .addr = "3", .dc = "b", .stage = "prefill", .slots = 8},
                                  {.id = "d2", .service = "lm", .addr = "4", .dc = "b", .stage = "decode", .slots = 8}};
-    placing_set_backends(f->placing, engines, G_N_ELEMENTS(engines), tc_time_now());
+    leader_sched_set_backends(f->placing, engines, G_N_ELEMENTS(engines), tc_time_now());
     f->now = tc_time_now();
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    placing_destroy(f->placing);
+    leader_sched_destroy(f->placing);
     peer_destroy(f->net);
     loop_destroy(f->loop);
 }
 
 static void pass(fixture_t *f, tc_time_t span)
 {
-    const placing_lease_t lease = {.term = 3, .held = true};
+    const leader_sched_lease_t lease = {.term = 3, .held = true};
     f->now += span;
-    placing_tick(f->placing, &lease, 0, f->now);
+    leader_sched_tick(f->placing, &lease, 0, f->now);
 }
 
 /** Ask for one placement. @return how many more were granted */
@@ -180,7 +180,7 @@
     codec_copy_string(place.id, sizeof(place.id), id);
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "lm");
-    placing_receive(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
+    leader_sched_handle_message(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
     return counter_read("trackcove_placing_granted_total") - before;
 }
 
@@ -192,17 +192,17 @@
     pass(f, 0);
     pass(f, 2 * SCHED_REBUILD_MS);
     order(&held, "a", true, 1);
-    placing_set_evacuations(f->placing, &held);
+    leader_sched_set_evacuations(f->placing, &held);
     g_assert_cmpint(place(f, "first"), ==, 1); /* at b */
     pool_work_t work;
-    g_assert_cmpstr(placing_work(f->placing, &work), ==, "lm");
+    g_assert_cmpstr(leader_sched_pool_work(f->placing, &work), ==, "lm");
     order(&held, "b", true, 2);
-    placing_set_evacuations(f->placing, &held);
+    leader_sched_set_evacuations(f->placing, &held);
     const int64_t refused = counter_read("trackcove_placing_refused_total");
     g_assert_cmpint(place(f, "second"), ==, 0);
     g_assert_cmpint(counter_read("trackcove_placing_refused_total"), ==, refused + 1);
     order(&held, "a", false, 3);
-    placing_set_evacuations(f->placing, &held);
+    leader_sched_set_evacuations(f->placing, &held);
     g_assert_cmpint(place(f, "third"), ==, 1);
     codec_free(&evacuations_desc, &held);
 }
--- a/tests/unit/test_placing.c
+++ b/tests/unit/test_leader_sched.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "cluster/placing.h"
+#include "cluster/leader_sched.h"
 #include "common/counter.h"
 #include "harness/lab.h"
 #include "peer/loop.h"
@@ -13,7 +13,7 @@
 typedef struct {
     loop_t *loop;
     peer_net_t *net;
-    placing_t *placing;
+    leader_sched_t *placing;
     tc_time_t now;
     int64_t granted, refused; /* before the test */
 } fixture_t;
@@ -29,13 +29,13 @@
     f->net = peer_create(f->loop, &options, &err);
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
-    f->placing = placing_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
-    const placing_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
-    placing_set_services(f->placing, &service, 1);
+    f->placing = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
+                                     &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
+    const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
+    leader_sched_set_services(f->placing, &service, 1);
     const backend_t engines[] = {{.id = "p", .service = "lm", .addr = "a", .dc = "dc", .stage = "prefill", .slots = 8},
                                  {.id = "d", .service = "lm", .addr = "b", .dc = "dc", .stage = "decode", .slots = 8}};
-    placing_set_backends(f->placing, engines, 2, tc_time_now());
+    leader_sched_set_backends(f->placing, engines, 2, tc_time_now());
     f->now = tc_time_now();
     f->granted = counter_read("trackcove_placing_granted_total");
     f->refused = counter_read("trackcove_placing_refused_total");
@@ -44,16 +44,16 @@
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    placing_destroy(f->placing);
+    leader_sched_destroy(f->placing);
     peer_destroy(f->net);
     loop_destroy(f->loop);
 }
 
 static void pass(fixture_t *f, tc_time_t span, uint64_t term, bool held)
 {
-    const placing_lease_t lease = {.term = term, .held = held};
+    const leader_sched_lease_t lease = {.term = term, .held = held};
     f->now += span;
-    placing_tick(f->placing, &lease, 0, f->now);
+    leader_sched_tick(f->placing, &lease, 0, f->now);
 }
 
 static bool ask(const fixture_t *f, const char *id)
@@ -62,8 +62,8 @@
     codec_copy_string(place.id, sizeof(place.id), id);
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "lm");
-    placing_receive(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
-    return placing_takes(MSG_PLACE);
+    leader_sched_handle_message(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
+    return leader_sched_handles_type(MSG_PLACE);
 }
 
 static int64_t granted(const fixture_t *f)
@@ -109,7 +109,7 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add("/placing/lapse", fixture_t, NULL, set_up, test_lapse, tear_down);
-    g_test_add("/placing/end", fixture_t, NULL, set_up, test_end, tear_down);
+    g_test_add("/leader_sched/lapse", fixture_t, NULL, set_up, test_lapse, tear_down);
+    g_test_add("/leader_sched/end", fixture_t, NULL, set_up, test_end, tear_down);
     return g_test_run();
 }
