--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -464,7 +464,7 @@
 /** How many back ends ended under a request, as this box or the one that asks knows. */
 static unsigned count_ends(leader_sched_t *p, uint64_t fingerprint, unsigned told, tc_time_t now)
 {
-    const unsigned known = p->quarantine && fingerprint ? quarantine_ends(p->quarantine, fingerprint, now) : 0;
+    const unsigned known = p->quarantine && fingerprint ? quarantine_crash_count(p->quarantine, fingerprint, now) : 0;
     return MAX(known, told);
 }
 
@@ -495,7 +495,7 @@
         retry_budget_earn(retry_budgets_get(p->budgets, place->model, now), &p->retries, now);
     msg_place_t known = *place; /* its lists are borrowed */
     known.ends = count_ends(p, place->fingerprint, place->ends, now);
-    if (known.ends >= QUARANTINE_ENDS) {
+    if (known.ends >= QUARANTINE_CRASH_LIMIT) {
         refuse_held(p, call, place->id);
         return;
     }
--- a/lib/cluster/quarantine.c
+++ b/lib/cluster/quarantine.c
@@ -22,7 +22,7 @@
 
 /* ===== Requests ===== */
 
-charge_t *quarantine_charge(const suspect_t *e, guint i)
+charge_t *quarantine_crash(const suspect_t *e, guint i)
 {
     return &g_array_index(e->charges, charge_t, i);
 }
@@ -92,13 +92,13 @@
 
 static bool is_together(tc_time_t a, tc_time_t b)
 {
-    return ABS(a - b) <= QUARANTINE_MOMENT_MS;
+    return ABS(a - b) <= QUARANTINE_CORRELATION_MS;
 }
 
 static bool ended_under(const suspect_t *e, uint64_t backend)
 {
     for (guint i = 0; i < e->charges->len; i++)
-        if (quarantine_charge(e, i)->end.backend == backend)
+        if (quarantine_crash(e, i)->end.backend == backend)
             return true;
     return false;
 }
@@ -107,9 +107,9 @@
  *  say nothing for it: it may have been sent from one to the next. */
 static bool is_one_of_many(const quarantine_t *q, const suspect_t *e, const end_t *end)
 {
-    uint64_t others[QUARANTINE_MANY];
+    uint64_t others[QUARANTINE_CORRELATED_MIN];
     unsigned n = 0;
-    for (unsigned i = 0; i < QUARANTINE_RECENT_MAX && n + 1 < QUARANTINE_MANY; i++) {
+    for (unsigned i = 0; i < QUARANTINE_RECENT_MAX && n + 1 < QUARANTINE_CORRELATED_MIN; i++) {
         const end_t *const other = &q->recent[i];
         if (other->at == 0 || !is_together(other->at, end->at) || ended_under(e, other->backend))
             continue;
@@ -119,7 +119,7 @@
         if (!known)
             others[n++] = other->backend;
     }
-    return n + 1 >= QUARANTINE_MANY;
+    return n + 1 >= QUARANTINE_CORRELATED_MIN;
 }
 
 static bool charge_counts(const quarantine_t *q, const suspect_t *e, charge_t *c, tc_time_t now)
@@ -131,11 +131,11 @@
     return c->counts;
 }
 
-unsigned quarantine_count(const quarantine_t *q, const suspect_t *e, bool settled, tc_time_t now)
+unsigned quarantine_count_crashes(const quarantine_t *q, const suspect_t *e, bool settled, tc_time_t now)
 {
     unsigned n = 0;
     for (guint i = 0; i < e->charges->len; i++)
-        n += charge_counts(q, e, quarantine_charge(e, i), now) && (!settled || quarantine_charge(e, i)->judged);
+        n += charge_counts(q, e, quarantine_crash(e, i), now) && (!settled || quarantine_crash(e, i)->judged);
     return n;
 }
 
@@ -145,7 +145,7 @@
     log_begin(&line, LOG_WARN, event);
     log_hash(&line, "fingerprint", e->request);
     log_int(&line, "ends", ends);
-    log_str(&line, "backend", e->charges->len > 0 ? quarantine_charge(e, e->charges->len - 1)->name : "");
+    log_str(&line, "backend", e->charges->len > 0 ? quarantine_crash(e, e->charges->len - 1)->name : "");
     log_end(&line);
 }
 
@@ -157,14 +157,14 @@
         return;
     q->version++;
     counter_add(&c_held, 1);
-    log_request("request_held", e, QUARANTINE_ENDS);
+    log_request("request_held", e, QUARANTINE_CRASH_LIMIT);
 }
 
 /** The time of a request that was held is over: one more end would have it held again. */
 static void release(quarantine_t *q, suspect_t *e, tc_time_t now)
 {
     e->held_since = 0;
-    while (quarantine_count(q, e, false, now) >= QUARANTINE_ENDS)
+    while (quarantine_count_crashes(q, e, false, now) >= QUARANTINE_CRASH_LIMIT)
         g_array_remove_index(e->charges, 0);
     note_change(q, e, 0);
 }
@@ -177,9 +177,9 @@
             release(q, e, now);
         return;
     }
-    if (quarantine_count(q, e, true, now) < QUARANTINE_ENDS)
+    if (quarantine_count_crashes(q, e, true, now) < QUARANTINE_CRASH_LIMIT)
         return;
-    hold(q, e, quarantine_charge(e, e->charges->len - 1)->end.at);
+    hold(q, e, quarantine_crash(e, e->charges->len - 1)->end.at);
     note_change(q, e, 0);
 }
 
@@ -193,7 +193,7 @@
     return NULL;
 }
 
-unsigned quarantine_ends(quarantine_t *q, uint64_t request, tc_time_t now)
+unsigned quarantine_crash_count(quarantine_t *q, uint64_t request, tc_time_t now)
 {
     suspect_t *const e = find(q, request);
     if (SABOTAGE_IS(SABOTAGE_FORGET_ENDS))
@@ -201,17 +201,17 @@
     if (e)
         judge(q, e, now);
     if (e && e->held_since > 0)
-        return QUARANTINE_ENDS;
+        return QUARANTINE_CRASH_LIMIT;
     /* What the leader has heard of is in its list, with what others know: a run elsewhere may have cleared it. */
-    const unsigned own = e && e->seq > q->heard_seq ? quarantine_count(q, e, false, now) : 0;
+    const unsigned own = e && e->seq > q->heard_seq ? quarantine_count_crashes(q, e, false, now) : 0;
     const suspect_request_t *const told = find_suspect(q, request);
     const unsigned ends = told && told->ends > own ? told->ends : own;
-    return MIN(ends, QUARANTINE_ENDS);
+    return MIN(ends, QUARANTINE_CRASH_LIMIT);
 }
 
-tc_time_t quarantine_left(quarantine_t *q, uint64_t request, tc_time_t now)
+tc_time_t quarantine_remaining_ms(quarantine_t *q, uint64_t request, tc_time_t now)
 {
-    if (quarantine_ends(q, request, now) < QUARANTINE_ENDS)
+    if (quarantine_crash_count(q, request, now) < QUARANTINE_CRASH_LIMIT)
         return 0;
     const suspect_t *const e = find(q, request);
     if (!e || e->held_since == 0)
@@ -237,7 +237,7 @@
 static bool is_known(const suspect_t *e, const end_t *end)
 {
     for (guint i = 0; i < e->charges->len; i++) {
-        const end_t *const other = &quarantine_charge(e, i)->end;
+        const end_t *const other = &quarantine_crash(e, i)->end;
         if (other->backend == end->backend && ABS(other->at - end->at) < SAME_MS)
             return true;
     }
@@ -248,17 +248,17 @@
 {
     const charge_t charge = {.end = *end, .name = g_strdup(name)};
     guint at = e->charges->len;
-    while (at > 0 && quarantine_charge(e, at - 1)->end.at > end->at)
+    while (at > 0 && quarantine_crash(e, at - 1)->end.at > end->at)
         at--;
     g_array_insert_val(e->charges, at, charge);
-    if (e->charges->len > QUARANTINE_ENDS_KEPT)
+    if (e->charges->len > QUARANTINE_CRASHES_KEPT)
         g_array_remove_index(e->charges, 0);
 }
 
-bool quarantine_add_end(quarantine_t *q, uint64_t request, const char *backend, tc_time_t at, tc_time_t now)
+bool quarantine_add_crash(quarantine_t *q, uint64_t request, const char *backend, tc_time_t at, tc_time_t now)
 {
     const end_t end = {.backend = XXH3_64bits(backend, strlen(backend)), .at = at};
-    if (request == 0 || now - at >= QUARANTINE_KEEP_MS)
+    if (request == 0 || now - at >= QUARANTINE_RETENTION_MS)
         return false;
     remember_recent(q, &end);
     suspect_t *const e = get(q, request);
@@ -267,7 +267,7 @@
     add_charge(e, &end, backend);
     note_change(q, e, at);
     counter_add(&c_ends, 1);
-    log_request("request_suspected", e, quarantine_count(q, e, false, now));
+    log_request("request_suspected", e, quarantine_count_crashes(q, e, false, now));
     judge(q, e, now);
     return true;
 }
@@ -275,7 +275,7 @@
 static void forget_suspect(quarantine_t *q, uint64_t request)
 {
     const suspect_request_t *const told = find_suspect(q, request);
-    if (told && told->ends < QUARANTINE_ENDS)
+    if (told && told->ends < QUARANTINE_CRASH_LIMIT)
         g_array_remove_index(q->suspects, (guint)(told - (const suspect_request_t *)(const void *)q->suspects->data));
 }
 
@@ -284,9 +284,9 @@
     suspect_t *const e = get(q, request);
     if (e->held_since > 0 || at <= e->cleared_at)
         return;
-    if (e->charges->len > 0 && quarantine_charge(e, 0)->end.at <= at)
+    if (e->charges->len > 0 && quarantine_crash(e, 0)->end.at <= at)
         counter_add(&c_cleared, 1);
-    while (e->charges->len > 0 && quarantine_charge(e, 0)->end.at <= at)
+    while (e->charges->len > 0 && quarantine_crash(e, 0)->end.at <= at)
         g_array_remove_index(e->charges, 0);
     e->cleared_at = at;
     forget_suspect(q, request);
@@ -311,12 +311,12 @@
     suspect_t *e, *next;
     cds_list_for_each_entry_safe(e, next, &q->entries, node) {
         judge(q, e, now);
-        if (e->held_since == 0 && now - e->heard_at >= QUARANTINE_KEEP_MS)
+        if (e->held_since == 0 && now - e->heard_at >= QUARANTINE_RETENTION_MS)
             drop(q, e);
     }
 }
 
-request_age_t *quarantine_held(quarantine_t *q, uint32_t *n, tc_time_t now)
+request_age_t *quarantine_list_held(quarantine_t *q, uint32_t *n, tc_time_t now)
 {
     request_age_t *const list = calloc(g_hash_table_size(q->by_request) + 1, sizeof(*list));
     if (!list)
--- a/lib/cluster/quarantine_internal.h
+++ b/lib/cluster/quarantine_internal.h
@@ -1,5 +1,5 @@
 /** @file quarantine_internal.h
- * Shared by quarantine.c (what is known of each request, and what it comes to) and quarantine_news.c (what boxes and
+ * Shared by quarantine.c (what is known of each request, and what it comes to) and quarantine_sync.c (what boxes and
  * their leader tell each other); nobody else includes it.
  */
 #ifndef TRACKCOVE_CLUSTER_QUARANTINE_INTERNAL_H
@@ -15,8 +15,8 @@
 /* ===== Constants ===== */
 
 enum {
-    QUARANTINE_ENDS_KEPT = 6,  /* of one request: as many again as decide */
-    QUARANTINE_RECENT_MAX = 64 /* ends of back ends, to see which came together */
+    QUARANTINE_CRASHES_KEPT = 6, /* of one request: as many again as decide */
+    QUARANTINE_RECENT_MAX = 64   /* ends of back ends, to see which came together */
 };
 
 /* ===== Types ===== */
@@ -65,8 +65,8 @@
 /* ===== quarantine.c ===== */
 
 /** An end that counts, or may count, against the request, oldest first. */
-charge_t *quarantine_charge(const suspect_t *suspect, guint i);
+charge_t *quarantine_crash(const suspect_t *suspect, guint i);
 /** How many ends count against it. @param settled only those that have settled */
-unsigned quarantine_count(const quarantine_t *q, const suspect_t *suspect, bool settled, tc_time_t now);
+unsigned quarantine_count_crashes(const quarantine_t *q, const suspect_t *suspect, bool settled, tc_time_t now);
 
 #endif
--- a/lib/cluster/quarantine_news.c
+++ b/lib/cluster/quarantine_sync.c
@@ -35,7 +35,7 @@
         news->cleared[news->cleared_n++] =
             (request_age_t){.request = e->request, .age_ms = (uint64_t)(now - e->cleared_at)};
     for (guint i = 0; i < e->charges->len; i++) {
-        const charge_t *const charge = quarantine_charge(e, i);
+        const charge_t *const charge = quarantine_crash(e, i);
         backend_end_t *const end = &news->ends[news->ends_n++];
         end->request = e->request;
         end->age_ms = (uint64_t)(now - charge->end.at);
@@ -48,12 +48,12 @@
     return q->seq;
 }
 
-uint64_t quarantine_fill_since(const quarantine_t *q, uint64_t after, quarantine_news_t *news, tc_time_t now)
+uint64_t quarantine_fill_changes(const quarantine_t *q, uint64_t after, quarantine_news_t *news, tc_time_t now)
 {
     *news = (quarantine_news_t){0};
     if (after >= q->seq)
         return q->seq;
-    news->ends = new_list((size_t)NEWS_MAX * QUARANTINE_ENDS_KEPT, sizeof(*news->ends));
+    news->ends = new_list((size_t)NEWS_MAX * QUARANTINE_CRASHES_KEPT, sizeof(*news->ends));
     news->cleared = new_list(NEWS_MAX, sizeof(*news->cleared));
     news->held = new_list(NEWS_MAX, sizeof(*news->held));
     unsigned n = 0;
@@ -69,12 +69,12 @@
     return q->seq;
 }
 
-void quarantine_fill_news(quarantine_t *q, quarantine_news_t *news, tc_time_t now)
+void quarantine_fill_report(quarantine_t *q, quarantine_news_t *news, tc_time_t now)
 {
-    q->sent_seq = quarantine_fill_since(q, q->heard_seq, news, now);
+    q->sent_seq = quarantine_fill_changes(q, q->heard_seq, news, now);
 }
 
-bool quarantine_news_heard(quarantine_t *q, uint64_t term)
+bool quarantine_confirm_report(quarantine_t *q, uint64_t term)
 {
     const bool same = term == q->heard_term;
     q->heard_seq = same ? q->sent_seq : 0;
@@ -82,8 +82,8 @@
     return q->heard_seq < q->seq;
 }
 
-void quarantine_take_news(quarantine_t *q, const quarantine_news_t *news, tc_time_t now,
-                          void (*on_end)(void *arg, const char *backend, tc_time_t at), void *arg)
+void quarantine_apply_changes(quarantine_t *q, const quarantine_news_t *news, tc_time_t now,
+                              void (*on_end)(void *arg, const char *backend, tc_time_t at), void *arg)
 {
     for (uint32_t i = 0; i < news->cleared_n; i++)
         quarantine_clear(q, news->cleared[i].request, now - (tc_time_t)news->cleared[i].age_ms);
@@ -91,7 +91,7 @@
         quarantine_hold(q, news->held[i].request, now - (tc_time_t)news->held[i].age_ms, now);
     for (uint32_t i = 0; i < news->ends_n; i++) {
         const tc_time_t at = now - (tc_time_t)news->ends[i].age_ms;
-        if (quarantine_add_end(q, news->ends[i].request, news->ends[i].backend, at, now) && on_end)
+        if (quarantine_add_crash(q, news->ends[i].request, news->ends[i].backend, at, now) && on_end)
             on_end(arg, news->ends[i].backend, at);
     }
 }
@@ -123,9 +123,9 @@
     g_array_set_size(q->suspects, 0);
     suspect_t *e;
     cds_list_for_each_entry(e, &q->entries, node) {
-        const unsigned ends = e->held_since > 0 ? QUARANTINE_ENDS : quarantine_count(q, e, false, now);
+        const unsigned ends = e->held_since > 0 ? QUARANTINE_CRASH_LIMIT : quarantine_count_crashes(q, e, false, now);
         const suspect_request_t s = {
-            .request = e->request, .ends = MIN(ends, QUARANTINE_ENDS), .age_ms = (uint64_t)(now - e->heard_at)};
+            .request = e->request, .ends = MIN(ends, QUARANTINE_CRASH_LIMIT), .age_ms = (uint64_t)(now - e->heard_at)};
         if (ends > 0)
             g_array_append_val(q->suspects, s);
     }
@@ -148,13 +148,13 @@
     return (const suspect_request_t *)(const void *)q->suspects->data;
 }
 
-void quarantine_take_suspects(quarantine_t *q, const suspect_request_t *list, uint32_t n, uint64_t hash, tc_time_t now)
+void quarantine_apply_suspects(quarantine_t *q, const suspect_request_t *list, uint32_t n, uint64_t hash, tc_time_t now)
 {
     g_array_set_size(q->suspects, 0);
     g_array_append_vals(q->suspects, list, n);
     q->suspects_hash = hash;
     for (uint32_t i = 0; i < n; i++)
-        if (list[i].ends >= QUARANTINE_ENDS)
+        if (list[i].ends >= QUARANTINE_CRASH_LIMIT)
             quarantine_hold(q, list[i].request, now - (tc_time_t)list[i].age_ms, now);
 }
 
--- a/lib/cluster/replica_quarantine.c
+++ b/lib/cluster/replica_quarantine.c
@@ -51,7 +51,7 @@
     if (version == r->held_kept || now < r->keep_at)
         return;
     uint32_t n;
-    request_age_t *const held = quarantine_held(r->quarantine, &n, now);
+    request_age_t *const held = quarantine_list_held(r->quarantine, &n, now);
     quarantine_image_t image = {.list = calloc(n + 1, sizeof(*image.list)), .list_n = n};
     if (!image.list)
         abort();
@@ -79,10 +79,10 @@
 {
     const uint64_t seq = quarantine_seq(r->quarantine);
     if (r->news_told < seq) {
-        r->news_told = quarantine_fill_since(r->quarantine, r->news_told, news, now);
+        r->news_told = quarantine_fill_changes(r->quarantine, r->news_told, news, now);
         return;
     }
-    const uint64_t turn = quarantine_fill_since(r->quarantine, r->news_turn, news, now);
+    const uint64_t turn = quarantine_fill_changes(r->quarantine, r->news_turn, news, now);
     r->news_turn = turn < seq ? turn : 0;
 }
 
@@ -94,7 +94,7 @@
     r->held_at = now;
     quarantine_tick(r->quarantine, now);
     msg_held_requests_t message = {0};
-    message.list = quarantine_held(r->quarantine, &message.list_n, now);
+    message.list = quarantine_list_held(r->quarantine, &message.list_n, now);
     fill_turn(r, &message.news, now);
     const raft_members_t *const members = raft_members(r->raft);
     for (uint32_t i = 0; i < members->list_n; i++)
@@ -113,5 +113,5 @@
 {
     for (uint32_t i = 0; i < message->list_n; i++)
         quarantine_hold(r->quarantine, message->list[i].request, now - (tc_time_t)message->list[i].age_ms, now);
-    quarantine_take_news(r->quarantine, &message->news, now, NULL, NULL);
+    quarantine_apply_changes(r->quarantine, &message->news, now, NULL, NULL);
 }
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -283,7 +283,8 @@
         ack.evacuations = r->evacuations; /* borrowed */
     codec_copy_string(ack.peer, sizeof(ack.peer), r->self.peer);
     if (ack.leads)
-        quarantine_take_news(r->quarantine, &report->quarantine, now, on_end, r); /* may change the list told below, */
+        quarantine_apply_changes(r->quarantine, &report->quarantine, now, on_end,
+                                 r); /* may change the list told below, */
     if (ack.leads)
         take_notices(r, report, now); /* as well */
     add_backends(r, report, &ack, now);
--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -154,7 +154,7 @@
     const msg_report_ack_t *const ack = message;
     r->failed = 0;
     lists_take_ack(r, ack, question.asked);
-    if (ack->leads && r->quarantine && quarantine_news_heard(r->quarantine, ack->quarantine.term))
+    if (ack->leads && r->quarantine && quarantine_confirm_report(r->quarantine, ack->quarantine.term))
         r->hurry = true;
     if (ack->leads && r->caps && cap_parts_hear(r->caps, ack->quarantine.term, ack->caps, ack->caps_n, now))
         r->hurry = true;
@@ -180,7 +180,7 @@
     if (r->events.loads)
         report.loads = r->events.loads(r->events.arg, &report.loads_n);
     if (r->quarantine)
-        quarantine_fill_news(r->quarantine, &report.quarantine, tc_time_now());
+        quarantine_fill_report(r->quarantine, &report.quarantine, tc_time_now());
     if (r->caps)
         report.used = cap_parts_report(r->caps, &report.used_n, tc_time_now());
     if (r->events.fill_report)
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -226,12 +226,12 @@
     if (!r->quarantine || ack->quarantine.hash == 0)
         return;
     if (ack->leads) {
-        quarantine_take_suspects(r->quarantine, ack->quarantine.suspects, ack->quarantine.suspects_n,
-                                 ack->quarantine.hash, now);
+        quarantine_apply_suspects(r->quarantine, ack->quarantine.suspects, ack->quarantine.suspects_n,
+                                  ack->quarantine.hash, now);
         return;
     }
     for (uint32_t i = 0; i < ack->quarantine.suspects_n; i++)
-        if (ack->quarantine.suspects[i].ends >= QUARANTINE_ENDS)
+        if (ack->quarantine.suspects[i].ends >= QUARANTINE_CRASH_LIMIT)
             quarantine_hold(r->quarantine, ack->quarantine.suspects[i].request,
                             now - (tc_time_t)ack->quarantine.suspects[i].age_ms, now);
 }
@@ -269,14 +269,14 @@
     if (!r->quarantine)
         return;
     uint32_t n;
-    request_age_t *const held = quarantine_held(r->quarantine, &n, tc_time_now());
+    request_age_t *const held = quarantine_list_held(r->quarantine, &n, tc_time_now());
     ack->quarantine.hash = ALL_HELD;
     ack->quarantine.suspects = calloc(n + 1, sizeof(*ack->quarantine.suspects));
     if (!ack->quarantine.suspects)
         abort();
     for (uint32_t i = 0; i < n; i++)
         ack->quarantine.suspects[ack->quarantine.suspects_n++] =
-            (suspect_request_t){.request = held[i].request, .ends = QUARANTINE_ENDS, .age_ms = held[i].age_ms};
+            (suspect_request_t){.request = held[i].request, .ends = QUARANTINE_CRASH_LIMIT, .age_ms = held[i].age_ms};
     free(held);
 }
 
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -141,17 +141,17 @@
 void forward_fail_held(forward_t *f)
 {
     counter_add(&c_held, 1);
-    fail(f, REASON_HELD, quarantine_left(f->owner->quarantine, f->fingerprint, tc_time_now()));
+    fail(f, REASON_HELD, quarantine_remaining_ms(f->owner->quarantine, f->fingerprint, tc_time_now()));
 }
 
 unsigned forward_ends(const forward_t *f)
 {
-    return quarantine_ends(f->owner->quarantine, f->fingerprint, tc_time_now());
+    return quarantine_crash_count(f->owner->quarantine, f->fingerprint, tc_time_now());
 }
 
 static bool is_held(const forward_t *f)
 {
-    return forward_ends(f) >= QUARANTINE_ENDS;
+    return forward_ends(f) >= QUARANTINE_CRASH_LIMIT;
 }
 
 static void on_limit(void *arg)
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -304,7 +304,7 @@
 void forward_fail_full(forward_t *f, const char *why);
 /** The same since back ends ended under the request: its caller is told until when it is sent to none. */
 void forward_fail_held(forward_t *f);
-/** How many back ends have ended under the request: as quarantine_ends. */
+/** How many back ends have ended under the request: as quarantine_crash_count. */
 unsigned forward_ends(const forward_t *f);
 /** The answer is complete: ends the request, which is freed. */
 void forward_done(forward_t *f, int status, const char *why);
--- a/lib/forward/forward_look.c
+++ b/lib/forward/forward_look.c
@@ -65,8 +65,8 @@
     const tc_time_t now = tc_time_now();
     counter_add(&c_ended, 1);
     for (guint i = 0; i < look->lost->len; i++)
-        (void)quarantine_add_end(fw->quarantine, g_array_index(look->lost, uint64_t, i), look->instance->listed.id,
-                                 look->lost_at, now);
+        (void)quarantine_add_crash(fw->quarantine, g_array_index(look->lost, uint64_t, i), look->instance->listed.id,
+                                   look->lost_at, now);
     if (fw->scheduler)
         reporter_hurry(fw->scheduler);
 }
--- a/tests/random/test_quarantine_random.c
+++ b/tests/random/test_quarantine_random.c
@@ -127,8 +127,8 @@
 
 static void ask(world_t *w, caller_t *c)
 {
-    const unsigned ends = quarantine_ends(w->q, c->fingerprint, w->now);
-    if (ends >= QUARANTINE_ENDS) {
+    const unsigned ends = quarantine_crash_count(w->q, c->fingerprint, w->now);
+    if (ends >= QUARANTINE_CRASH_LIMIT) {
         c->refused = true;
         end_try(w, c);
         return;
@@ -161,7 +161,7 @@
 
 static void read_prompt(world_t *w, caller_t *c)
 {
-    if (quarantine_ends(w->q, c->fingerprint, w->now) >= QUARANTINE_ENDS) {
+    if (quarantine_crash_count(w->q, c->fingerprint, w->now) >= QUARANTINE_CRASH_LIMIT) {
         tell(w, c, PHASE_FAILED);
         end_try(w, c);
         return;
@@ -195,7 +195,7 @@
 /** It begins to run at its engine. */
 static void run(world_t *w, caller_t *c)
 {
-    if (quarantine_ends(w->q, c->fingerprint, w->now) >= QUARANTINE_ENDS) {
+    if (quarantine_crash_count(w->q, c->fingerprint, w->now) >= QUARANTINE_CRASH_LIMIT) {
         tell(w, c, PHASE_FAILED);
         end_try(w, c);
         return;
@@ -213,7 +213,7 @@
 {
     engine_t *const e = &w->engines[engine];
     w->ends++;
-    if (culprit && ++culprit->ended == QUARANTINE_ENDS)
+    if (culprit && ++culprit->ended == QUARANTINE_CRASH_LIMIT)
         culprit->third_at = w->now;
     for (unsigned i = 0; i < w->callers_n; i++) {
         caller_t *const c = &w->callers[i];
@@ -221,10 +221,10 @@
         const bool reads = c->state == READING && c->prefill == engine;
         if (!runs && !reads)
             continue;
-        (void)quarantine_add_end(w->q, c->fingerprint, e->name, w->now, w->now);
+        (void)quarantine_add_crash(w->q, c->fingerprint, e->name, w->now, w->now);
         tell(w, c, PHASE_FAILED);
         /* Its box repeats it once; behind a second end its caller has to come back. */
-        if (quarantine_ends(w->q, c->fingerprint, w->now) < 2)
+        if (quarantine_crash_count(w->q, c->fingerprint, w->now) < 2)
             go(c, AWAY, w->now + STEP_MS);
         else
             end_try(w, c);
@@ -361,7 +361,7 @@
         /* An end in the middle of a wave of six is not held against the culprit, so that it may end one more. */
         const unsigned spared = plan->crash_every ? plan->culprits : 0;
         if (r.late > spared || (plan->crash_every == 0 && r.refused > 0) ||
-            (plan->crash_every == 0 && r.ends > QUARANTINE_ENDS * plan->culprits))
+            (plan->crash_every == 0 && r.ends > QUARANTINE_CRASH_LIMIT * plan->culprits))
             g_error("seed %u: %u ends, %u culprits sent late, %u innocents refused", seed, r.ends, r.late, r.refused);
         sum.ends += r.ends;
         sum.by_culprits += r.by_culprits;
--- a/tests/unit/test_quarantine_spread.c
+++ b/tests/unit/test_quarantine_spread.c
@@ -90,7 +90,7 @@
 static void find_end(world_t *w, int i, const char *backend)
 {
     const tc_time_t now = tc_time_now();
-    g_assert_true(quarantine_add_end(w->entries[i].quarantine, CULPRIT, backend, now, now));
+    g_assert_true(quarantine_add_crash(w->entries[i].quarantine, CULPRIT, backend, now, now));
     reporter_hurry(w->entries[i].reporter);
 }
 
@@ -98,7 +98,7 @@
 {
     const world_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
-        if (quarantine_ends(w->entries[i].quarantine, CULPRIT, tc_time_now()) != w->wanted)
+        if (quarantine_crash_count(w->entries[i].quarantine, CULPRIT, tc_time_now()) != w->wanted)
             return false;
     return true;
 }
@@ -119,7 +119,7 @@
     find_end(w, 1, "b");
     await_ends(w, 2);
     find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_ENDS);
+    await_ends(w, QUARANTINE_CRASH_LIMIT);
 }
 
 /** Two ends are known when the leader goes, the third is found under the next one; then that goes as well, and a box
@@ -133,13 +133,13 @@
     const int first = leader(&w->f);
     stop_box(&w->f, first);
     find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_ENDS);
+    await_ends(w, QUARANTINE_CRASH_LIMIT);
     start_box(&w->f, first, false);
     lab_run_until(w->f.loop, has_leader, &w->f);
     stop_box(&w->f, leader(&w->f));
     stop_entry(&w->entries[0]);
     start_entry(w, 0);
-    await_ends(w, QUARANTINE_ENDS);
+    await_ends(w, QUARANTINE_CRASH_LIMIT);
 }
 
 /** The box that found the first end is gone, and so is the leader that it told: the next one counts on from it. */
@@ -163,7 +163,7 @@
     find_end(w, 0, "a");
     find_end(w, 1, "b");
     find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_ENDS);
+    await_ends(w, QUARANTINE_CRASH_LIMIT);
     lab_run_for(w->f.loop, 200); /* it is written at the next tick */
     for (int i = 0; i < ENTRIES; i++)
         stop_entry(&w->entries[i]);
@@ -173,7 +173,7 @@
         start_box(&w->f, i, false);
     for (int i = 0; i < ENTRIES; i++)
         start_entry(w, i);
-    await_ends(w, QUARANTINE_ENDS);
+    await_ends(w, QUARANTINE_CRASH_LIMIT);
 }
 
 /** The leader reads the platform's list, as it does once a second. */
