--- a/lib/cluster/document.c
+++ b/lib/cluster/document.c
@@ -54,7 +54,7 @@
     if (offered->version < held->version)
         return DOCUMENT_OLDER;
     const bool same = held->size == offered->size && strcmp(held->digest, offered->digest) == 0;
-    return same ? DOCUMENT_SAME : DOCUMENT_CLASHES;
+    return same ? DOCUMENT_SAME : DOCUMENT_CONFLICTS;
 }
 
 document_relation_t document_apply(document_t *held, document_t *offered)
@@ -78,14 +78,14 @@
         return piece;
     const uint64_t left = held->body_n - asked->offset;
     piece.data = held->body + asked->offset;
-    piece.data_n = (uint32_t)(left < DOCUMENT_PIECE ? left : DOCUMENT_PIECE);
+    piece.data_n = (uint32_t)(left < DOCUMENT_PIECE_BYTES ? left : DOCUMENT_PIECE_BYTES);
     return piece;
 }
 
-bool document_arrival_begin(document_arrival_t *a, const document_head_t *head)
+bool document_download_begin(document_download_t *a, const document_head_t *head)
 {
-    document_arrival_clear(a);
-    if (head->packed > DOCUMENT_BODY_MAX)
+    document_download_clear(a);
+    if (head->packed > DOCUMENT_BODY_MAX_BYTES)
         return false;
     a->head = *head;
     a->body = malloc(head->packed + 1);
@@ -94,7 +94,7 @@
     return true;
 }
 
-bool document_arrival_add(document_arrival_t *a, const document_piece_t *piece)
+bool document_download_add(document_download_t *a, const document_piece_t *piece)
 {
     const bool of_this = piece->head.version == a->head.version && piece->head.body_hash == a->head.body_hash;
     if (!a->body || !of_this || piece->offset != a->have || piece->data_n > a->head.packed - a->have)
@@ -105,19 +105,19 @@
     return piece->data_n > 0;
 }
 
-bool document_arrival_is_whole(const document_arrival_t *a)
+bool document_download_is_complete(const document_download_t *a)
 {
     return a->body && a->have == a->head.packed;
 }
 
-bool document_arrival_is_sound(const document_arrival_t *a)
+bool document_download_is_valid(const document_download_t *a)
 {
-    return document_arrival_is_whole(a) && XXH64(a->body, a->have, 0) == a->head.body_hash;
+    return document_download_is_complete(a) && XXH64(a->body, a->have, 0) == a->head.body_hash;
 }
 
-void document_arrival_take(document_arrival_t *a, document_t *to)
+void document_download_take(document_download_t *a, document_t *to)
 {
-    assert(document_arrival_is_whole(a)); /* a part is nobody's document */
+    assert(document_download_is_complete(a)); /* a part is nobody's document */
     codec_free(&document_desc, to);
     *to = (document_t){.version = a->head.version,
                        .body = a->body,
@@ -126,11 +126,11 @@
                        .body_hash = a->head.body_hash};
     to->body[to->body_n] = '\0'; /* as every text field ends */
     codec_copy_string(to->digest, sizeof(to->digest), a->head.digest);
-    *a = (document_arrival_t){0};
+    *a = (document_download_t){0};
 }
 
-void document_arrival_clear(document_arrival_t *a)
+void document_download_clear(document_download_t *a)
 {
     free(a->body);
-    *a = (document_arrival_t){0};
+    *a = (document_download_t){0};
 }
--- a/lib/cluster/document.h
+++ b/lib/cluster/document.h
@@ -20,26 +20,26 @@
 
 /** Largest body that is accepted, bytes: every box holds the newest one and takes the next beside it, and a box behind
  *  10 Mbit/s has it within a second. Some 60,000 routes with names by lot. */
-#define DOCUMENT_BODY_MAX (1024 * 1024)
+#define DOCUMENT_BODY_MAX_BYTES (1024 * 1024)
 /** Bytes of one piece: 26 ms of a link of 10 Mbit/s, so that an event of a stream waits no longer behind it. */
-#define DOCUMENT_PIECE (32 * 1024)
+#define DOCUMENT_PIECE_BYTES (32 * 1024)
 
 /* ===== Types ===== */
 
 /** How an offered document relates to the one held. */
 typedef enum {
-    DOCUMENT_NEWER,  /**< replaces it */
-    DOCUMENT_SAME,   /**< is it */
-    DOCUMENT_OLDER,  /**< was overtaken: changes nothing */
-    DOCUMENT_CLASHES /**< the same version with other content */
+    DOCUMENT_NEWER,    /**< replaces it */
+    DOCUMENT_SAME,     /**< is it */
+    DOCUMENT_OLDER,    /**< was overtaken: changes nothing */
+    DOCUMENT_CONFLICTS /**< the same version with other content */
 } document_relation_t;
 
-/** A document on its way here, in pieces. Zeroed for none; document_arrival_clear ends it. */
+/** A document on its way here, in pieces. Zeroed for none; document_download_clear ends it. */
 typedef struct {
     document_head_t head;
     char *body;
     uint64_t have; /**< bytes, from the first on */
-} document_arrival_t;
+} document_download_t;
 
 /* ===== Making and reading ===== */
 
@@ -63,14 +63,14 @@
 document_piece_t document_piece(const document_t *held, const msg_fetch_piece_t *asked);
 /** A document begins to arrive; what arrived of another one is dropped. @return false when it is larger than any that
  *  is accepted */
-bool document_arrival_begin(document_arrival_t *arrival, const document_head_t *head);
+bool document_download_begin(document_download_t *arrival, const document_head_t *head);
 /** Add a piece. @return false when it is not the next one of this document */
-bool document_arrival_add(document_arrival_t *arrival, const document_piece_t *piece);
-bool document_arrival_is_whole(const document_arrival_t *arrival);
+bool document_download_add(document_download_t *arrival, const document_piece_t *piece);
+bool document_download_is_complete(const document_download_t *arrival);
 /** Whether it is whole, and by its hash what its head names: pieces come from several boxes. */
-bool document_arrival_is_sound(const document_arrival_t *arrival);
+bool document_download_is_valid(const document_download_t *arrival);
 /** Move a whole document out to @p to, which is replaced, and end the arrival. */
-void document_arrival_take(document_arrival_t *arrival, document_t *to);
-void document_arrival_clear(document_arrival_t *arrival);
+void document_download_take(document_download_t *arrival, document_t *to);
+void document_download_clear(document_download_t *arrival);
 
 #endif
--- a/lib/cluster/fetch.c
+++ b/lib/cluster/fetch.c
@@ -17,7 +17,7 @@
 enum {
     PIECE_LIMIT_MS = 1000, /* for one piece: forty times what it takes on the narrowest link, which may be busy */
     AGAIN_MS = 50,         /* after a piece that did not come: the next box is asked */
-    UNSPREAD_BYTES = 2 * DOCUMENT_PIECE
+    UNSPREAD_BYTES = 2 * DOCUMENT_PIECE_BYTES
 };
 
 /* ===== Types ===== */
@@ -26,7 +26,7 @@
     peer_net_t *net;
     const char *self;
     fetch_events_t events;
-    document_arrival_t arrival;
+    document_download_t arrival;
     document_head_t next;           /* newer than what arrives; version 0 for none */
     char told_by[CODEC_STR_SIZE];   /* who has what arrives */
     char next_told[CODEC_STR_SIZE]; /* who has the next */
@@ -85,7 +85,7 @@
 /** @param spread whether any control box may be asked first */
 static void begin(fetch_t *f, const document_head_t *head, const char *from, bool spread)
 {
-    if (!document_arrival_begin(&f->arrival, head))
+    if (!document_download_begin(&f->arrival, head))
         return;
     if (f->next.version <= head->version)
         f->next = (document_head_t){0}; /* overtaken on the way: it would be fetched behind this one, and be older */
@@ -105,7 +105,7 @@
     log_int(&line, "version", (int64_t)head.version);
     log_str(&line, "from", f->source);
     log_end(&line);
-    (void)document_arrival_begin(&f->arrival, &head);
+    (void)document_download_begin(&f->arrival, &head);
     try_elsewhere(f, false);
 }
 
@@ -113,7 +113,7 @@
 static void end(fetch_t *f)
 {
     document_t document = {0};
-    document_arrival_take(&f->arrival, &document);
+    document_download_take(&f->arrival, &document);
     f->events.on_whole(f->events.arg, &document, f->source);
     codec_free(&document_desc, &document);
     const document_head_t next = f->next;
@@ -131,11 +131,11 @@
         return;
     const document_piece_t *const piece =
         rc == TC_OK && type == MSG_PIECE ? &((const msg_piece_t *)message)->piece : NULL;
-    if (piece && document_arrival_add(&f->arrival, piece)) {
+    if (piece && document_download_add(&f->arrival, piece)) {
         counter_add(&c_pieces, 1);
-        if (!document_arrival_is_whole(&f->arrival))
+        if (!document_download_is_complete(&f->arrival))
             ask(f);
-        else if (document_arrival_is_sound(&f->arrival))
+        else if (document_download_is_valid(&f->arrival))
             end(f);
         else
             begin_again(f);
@@ -195,6 +195,6 @@
 
 void fetch_destroy(fetch_t *f)
 {
-    document_arrival_clear(&f->arrival);
+    document_download_clear(&f->arrival);
     free(f);
 }
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -137,16 +137,16 @@
         return true;
     }
     if (piece.offset == 0) {
-        const bool fits = document_arrival_begin(&r->arrival, &piece.head);
+        const bool fits = document_download_begin(&r->arrival, &piece.head);
         assert(fits); /* checked when it was offered */
         (void)fits;
         r->arrival_first = entry->index;
     }
-    (void)document_arrival_add(&r->arrival, &piece); /* false: behind a beginning that another leader cut off */
+    (void)document_download_add(&r->arrival, &piece); /* false: behind a beginning that another leader cut off */
     codec_free(&document_piece_desc, &piece);
-    if (!document_arrival_is_whole(&r->arrival))
+    if (!document_download_is_complete(&r->arrival))
         return false;
-    document_arrival_take(&r->arrival, whole);
+    document_download_take(&r->arrival, whole);
     return true;
 }
 
@@ -168,7 +168,7 @@
     const uint64_t version = whole.version;
     const document_relation_t relation = take_document(r, &whole);
     codec_free(&document_desc, &whole);
-    offers_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
+    offers_applied(r, entry, version, relation != DOCUMENT_CONFLICTS, r->applied_at);
 }
 
 /* ===== Actions of the log ===== */
@@ -191,7 +191,7 @@
     (void)document_apply(&r->document, &read.document);
     const bool evacuations = evacuations_take(&r->evacuations, &read.evacuations);
     codec_free(&replica_image_desc, &read);
-    document_arrival_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
+    document_download_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
     note_version(r);
     if (evacuations)
         note_evacuations(r);
@@ -481,7 +481,7 @@
     roster_destroy(r->roster);
     codec_free(&document_desc, &r->document);
     codec_free(&document_desc, &r->previous);
-    document_arrival_clear(&r->arrival);
+    document_download_clear(&r->arrival);
     codec_free(&evacuations_desc, &r->evacuations);
     codec_free(&raft_members_desc, &r->known);
     g_strfreev(r->seeds);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -69,12 +69,12 @@
     document_t document;
     document_t previous; /* the one before, for boxes that are fetching it */
     evacuations_t evacuations;
-    document_arrival_t arrival; /* the document whose pieces the log is applying */
-    uint64_t arrival_first;     /* index of its first entry */
-    uint64_t applied;           /* index that all this stands at */
-    size_t since_snapshot;      /* bytes of commands applied since */
-    unsigned entries_since;     /* their number */
-    tc_time_t applied_at;       /* when the last one was */
+    document_download_t arrival; /* the document whose pieces the log is applying */
+    uint64_t arrival_first;      /* index of its first entry */
+    uint64_t applied;            /* index that all this stands at */
+    size_t since_snapshot;       /* bytes of commands applied since */
+    unsigned entries_since;      /* their number */
+    tc_time_t applied_at;        /* when the last one was */
     struct cds_list_head offers;
     tc_time_t join_at, announce_at;
     bool led, held; /* at the last look: this box led, and with its lease */
--- a/lib/cluster/replica_offers.c
+++ b/lib/cluster/replica_offers.c
@@ -180,14 +180,14 @@
     const tc_time_t now = tc_time_now();
     switch (document_compare(&r->document, document)) {
     case DOCUMENT_OLDER: done(arg, TC_OK); return;
-    case DOCUMENT_CLASHES: done(arg, TC_E_CONFLICT); return;
+    case DOCUMENT_CONFLICTS: done(arg, TC_E_CONFLICT); return;
     case DOCUMENT_SAME:
         wait_for_spread(r, offer_add(r, OFFER_DOCUMENT, document->version, done, arg), document->version, now);
         offers_look(r, now);
         return;
     case DOCUMENT_NEWER: break;
     }
-    if (document->body_n > DOCUMENT_BODY_MAX || !log_writer_has_room(r->writer)) {
+    if (document->body_n > DOCUMENT_BODY_MAX_BYTES || !log_writer_has_room(r->writer)) {
         done(arg, TC_E_FULL);
         return;
     }
--- a/tests/unit/test_cluster.c
+++ b/tests/unit/test_cluster.c
@@ -161,7 +161,7 @@
 {
     GRand *const random = g_rand_new_with_seed(seed);
     GString *const text = g_string_new(NULL);
-    while (text->len < 15 * DOCUMENT_BODY_MAX / 8)
+    while (text->len < 15 * DOCUMENT_BODY_MAX_BYTES / 8)
         g_string_append_printf(text, "%08x", g_rand_int(random));
     g_rand_free(random);
     return g_string_free(text, FALSE);
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -39,7 +39,7 @@
     g_assert_cmpint(apply(&held, 5, "first"), ==, DOCUMENT_NEWER);
     g_assert_cmpint(apply(&held, 5, "first"), ==, DOCUMENT_SAME);
     g_assert_cmpint(apply(&held, 4, "second"), ==, DOCUMENT_OLDER);
-    g_assert_cmpint(apply(&held, 5, "other"), ==, DOCUMENT_CLASHES);
+    g_assert_cmpint(apply(&held, 5, "other"), ==, DOCUMENT_CONFLICTS);
     expect_text(&held, "first");
     g_assert_cmpint(apply(&held, 9, "second"), ==, DOCUMENT_NEWER);
     g_assert_cmpuint(held.version, ==, 9);
@@ -54,14 +54,14 @@
 {
     GRand *const random = g_rand_new_with_seed(seed);
     GString *const text = g_string_new(NULL);
-    while (text->len < 8 * DOCUMENT_PIECE)
+    while (text->len < 8 * DOCUMENT_PIECE_BYTES)
         g_string_append_printf(text, "%08x", g_rand_int(random));
     g_rand_free(random);
     return g_string_free(text, FALSE);
 }
 
 /** The next piece that @p arrival lacks, as @p held gives it. */
-static document_piece_t next_piece(const document_t *held, const document_arrival_t *arrival)
+static document_piece_t next_piece(const document_t *held, const document_download_t *arrival)
 {
     const msg_fetch_piece_t ask = {
         .version = arrival->head.version, .body_hash = arrival->head.body_hash, .offset = arrival->have};
@@ -72,24 +72,24 @@
 {
     char *const text = long_text(1);
     document_t held = {0}, copy = {0};
-    document_arrival_t arrival = {0};
+    document_download_t arrival = {0};
     document_make(&held, 7, text, strlen(text));
     const document_head_t head = document_head(&held);
-    g_assert_true(document_arrival_begin(&arrival, &head));
+    g_assert_true(document_download_begin(&arrival, &head));
     unsigned pieces = 0;
-    while (!document_arrival_is_whole(&arrival)) {
+    while (!document_download_is_complete(&arrival)) {
         const document_piece_t piece = next_piece(&held, &arrival);
-        g_assert_cmpuint(piece.data_n, <=, DOCUMENT_PIECE);
-        g_assert_true(document_arrival_add(&arrival, &piece));
-        g_assert_false(document_arrival_add(&arrival, &piece)); /* once is enough */
+        g_assert_cmpuint(piece.data_n, <=, DOCUMENT_PIECE_BYTES);
+        g_assert_true(document_download_add(&arrival, &piece));
+        g_assert_false(document_download_add(&arrival, &piece)); /* once is enough */
         pieces++;
     }
     g_assert_cmpuint(pieces, >, 3);
-    g_assert_true(document_arrival_is_sound(&arrival));
+    g_assert_true(document_download_is_valid(&arrival));
     arrival.body[7] ^= 1; /* damaged on its way */
-    g_assert_false(document_arrival_is_sound(&arrival));
+    g_assert_false(document_download_is_valid(&arrival));
     arrival.body[7] ^= 1;
-    document_arrival_take(&arrival, &copy);
+    document_download_take(&arrival, &copy);
     g_assert_cmpint(document_compare(&held, &copy), ==, DOCUMENT_SAME);
     expect_text(&copy, text);
     codec_free(&document_desc, &held);
@@ -102,20 +102,20 @@
 {
     char *const text = long_text(1), *const other = long_text(2);
     document_t asked = {0}, held = {0};
-    document_arrival_t arrival = {0};
+    document_download_t arrival = {0};
     document_make(&asked, 7, text, strlen(text));
     document_make(&held, 7, other, strlen(other)); /* the same version, other content */
     const document_head_t head = document_head(&asked);
-    g_assert_true(document_arrival_begin(&arrival, &head));
+    g_assert_true(document_download_begin(&arrival, &head));
     document_piece_t piece = next_piece(&held, &arrival);
     g_assert_cmpuint(piece.data_n, ==, 0);
-    g_assert_false(document_arrival_add(&arrival, &piece));
+    g_assert_false(document_download_add(&arrival, &piece));
     piece = next_piece(&asked, &arrival);
     piece.offset += 1;
-    g_assert_false(document_arrival_add(&arrival, &piece));
-    const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX + 1};
-    g_assert_false(document_arrival_begin(&arrival, &large));
-    document_arrival_clear(&arrival);
+    g_assert_false(document_download_add(&arrival, &piece));
+    const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX_BYTES + 1};
+    g_assert_false(document_download_begin(&arrival, &large));
+    document_download_clear(&arrival);
     codec_free(&document_desc, &asked);
     codec_free(&document_desc, &held);
     g_free(text);
--- a/tests/unit/test_fetch.c
+++ b/tests/unit/test_fetch.c
@@ -139,7 +139,7 @@
 {
     GRand *const random = g_rand_new_with_seed(seed);
     GString *const text = g_string_new(NULL);
-    while (text->len < 20 * DOCUMENT_PIECE)
+    while (text->len < 20 * DOCUMENT_PIECE_BYTES)
         g_string_append_printf(text, "%08x", g_rand_int(random));
     g_rand_free(random);
     return g_string_free(text, FALSE);
@@ -331,7 +331,7 @@
     char *const text = make_text(10);
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 7, text);
-    const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX + 1};
+    const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX_BYTES + 1};
     hear(f, &f->boxes[0]);
     fetch_hear(f->fetch, &large, f->boxes[1].addr, 0);
     expect(f, 7, text);
