--- a/lib/cluster/cold.c
+++ b/lib/cluster/cold.c
@@ -35,7 +35,7 @@
     g_free(c);
 }
 
-void cold_hear_evacuations(cold_t *c, const evacuations_t *before, const evacuations_t *after, tc_time_t now)
+void cold_update_evacuations(cold_t *c, const evacuations_t *before, const evacuations_t *after, tc_time_t now)
 {
     for (uint32_t i = 0; i < before->list_n; i++) {
         if (evacuations_has(after, before->list[i].dc))
@@ -46,7 +46,7 @@
     }
 }
 
-bool cold_hear_list(cold_t *c, tc_time_t fetched)
+bool cold_update_list(cold_t *c, tc_time_t fetched)
 {
     const guint n = c->reopened->len;
     for (guint i = n; i-- > 0;)
--- a/lib/cluster/cold.h
+++ b/lib/cluster/cold.h
@@ -21,9 +21,9 @@
 void cold_destroy(cold_t *cold);
 
 /** Other data centres are evacuated than before. */
-void cold_hear_evacuations(cold_t *cold, const evacuations_t *before, const evacuations_t *after, tc_time_t now);
+void cold_update_evacuations(cold_t *cold, const evacuations_t *before, const evacuations_t *after, tc_time_t now);
 /** The list of back ends, as it is now, was read at @p fetched. @return whether another one may be cold than before */
-bool cold_hear_list(cold_t *cold, tc_time_t fetched);
+bool cold_update_list(cold_t *cold, tc_time_t fetched);
 /** Whether the back end, as listed, is cold. */
 bool cold_is(const cold_t *cold, const backend_t *backend);
 
--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -225,7 +225,7 @@
 
 void leader_sched_confirm_backends(leader_sched_t *p, tc_time_t fetched)
 {
-    if (cold_hear_list(p->cold, fetched))
+    if (cold_update_list(p->cold, fetched))
         configure_cold(p);
 }
 
@@ -240,14 +240,14 @@
     p->backends = list_copy(list, n * sizeof(*list));
     p->backends_n = n;
     limits_list(p->limits, list, n, tc_time_now());
-    (void)cold_hear_list(p->cold, fetched);
+    (void)cold_update_list(p->cold, fetched);
     configure_cold(p);
     configure(p, tc_time_now());
 }
 
 void leader_sched_set_evacuations(leader_sched_t *p, const evacuations_t *evacuations)
 {
-    cold_hear_evacuations(p->cold, &p->evacuations, evacuations, tc_time_now());
+    cold_update_evacuations(p->cold, &p->evacuations, evacuations, tc_time_now());
     evacuations_copy(&p->evacuations, evacuations);
     configure_cold(p);
     configure(p, tc_time_now());
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -228,7 +228,7 @@
 void fleet_list(fleet_t *f, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
     f->listed_at = fetched;
-    (void)cold_hear_list(f->cold, fetched);
+    (void)cold_update_list(f->cold, fetched);
     GPtrArray *const fresh = g_ptr_array_new_with_free_func(drop);
     for (uint32_t i = 0; i < n; i++) {
         instance_t *const known = fleet_find(f, list[i].id);
@@ -272,7 +272,7 @@
 void fleet_list_same(fleet_t *f, tc_time_t fetched)
 {
     f->listed_at = fetched;
-    if (cold_hear_list(f->cold, fetched))
+    if (cold_update_list(f->cold, fetched))
         look_for_cold(f);
     for (guint i = 0; i < f->instances->len; i++) {
         instance_t *const instance = g_ptr_array_index(f->instances, i);
@@ -298,7 +298,7 @@
 
 void fleet_set_evacuations(fleet_t *f, const evacuations_t *evacuations, tc_time_t now)
 {
-    cold_hear_evacuations(f->cold, &f->evacuations, evacuations, now);
+    cold_update_evacuations(f->cold, &f->evacuations, evacuations, now);
     evacuations_copy(&f->evacuations, evacuations);
     for (guint i = 0; i < f->instances->len; i++) {
         instance_t *const instance = g_ptr_array_index(f->instances, i);
--- a/tests/unit/test_cold.c
+++ b/tests/unit/test_cold.c
@@ -22,14 +22,14 @@
     const evacuations_t none = {.version = 5}, one = {.version = 4, .list = &dc, .list_n = 1};
     g_assert_true(cold_is(cold, &told));
     g_assert_false(cold_is(cold, &in));
-    cold_hear_evacuations(cold, &none, &one, 1000);
+    cold_update_evacuations(cold, &none, &one, 1000);
     g_assert_false(cold_is(cold, &in)); /* it gets nothing */
-    cold_hear_evacuations(cold, &one, &none, 9000);
+    cold_update_evacuations(cold, &one, &none, 9000);
     g_assert_true(cold_is(cold, &in));
     g_assert_false(cold_is(cold, &other));
-    g_assert_false(cold_hear_list(cold, 9900)); /* read too early to tell */
+    g_assert_false(cold_update_list(cold, 9900)); /* read too early to tell */
     g_assert_true(cold_is(cold, &in));
-    g_assert_true(cold_hear_list(cold, 11000));
+    g_assert_true(cold_update_list(cold, 11000));
     g_assert_false(cold_is(cold, &in));
     cold_destroy(cold);
 }
