--- a/lib/cluster/evacuations.c
+++ b/lib/cluster/evacuations.c
@@ -65,7 +65,7 @@
     *to = (evacuations_t){.version = from->version, .list = list, .list_n = from->list_n};
 }
 
-bool evacuations_take(evacuations_t *held, const evacuations_t *told)
+bool evacuations_update(evacuations_t *held, const evacuations_t *told)
 {
     if (told->version <= held->version)
         return false;
--- a/lib/cluster/evacuations.h
+++ b/lib/cluster/evacuations.h
@@ -18,7 +18,7 @@
  *  not begun again, and one that does not stand is not ended */
 bool evacuations_apply(evacuations_t *held, const evacuation_t *order, uint64_t index);
 /** Take over what another box holds, if that is newer. @return whether it was */
-bool evacuations_take(evacuations_t *held, const evacuations_t *told);
+bool evacuations_update(evacuations_t *held, const evacuations_t *told);
 /** Replace what @p to holds by a copy. */
 void evacuations_copy(evacuations_t *to, const evacuations_t *from);
 /** Whether the back ends of that data centre get nothing new. */
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -189,7 +189,7 @@
         return;
     replica_image_t read = read_image(image);
     (void)document_apply(&r->document, &read.document);
-    const bool evacuations = evacuations_take(&r->evacuations, &read.evacuations);
+    const bool evacuations = evacuations_update(&r->evacuations, &read.evacuations);
     codec_free(&replica_image_desc, &read);
     document_download_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
     note_version(r);
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -196,7 +196,7 @@
 
 void lists_take_evacuations(reporter_t *r, const evacuations_t *told)
 {
-    if (!evacuations_take(&r->evacuations, told))
+    if (!evacuations_update(&r->evacuations, told))
         return;
     log_line_t line;
     log_begin(&line, LOG_INFO, "evacuations");
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -33,13 +33,13 @@
     g_assert_true(order(&held, "a", true, 7));
     g_assert_true(order(&held, "c", true, 8));
     g_assert_true(evacuations_has(&held, "a") && evacuations_has(&held, "b") && evacuations_has(&held, "c"));
-    g_assert_true(evacuations_take(&other, &held));
-    g_assert_false(evacuations_take(&other, &held));
+    g_assert_true(evacuations_update(&other, &held));
+    g_assert_false(evacuations_update(&other, &held));
     g_assert_true(order(&held, "b", false, 9));
     g_assert_false(evacuations_has(&held, "b"));
     g_assert_true(evacuations_has(&other, "b"));
-    g_assert_false(evacuations_take(&held, &other)); /* older */
-    g_assert_true(evacuations_take(&other, &held));
+    g_assert_false(evacuations_update(&held, &other)); /* older */
+    g_assert_true(evacuations_update(&other, &held));
     g_assert_false(evacuations_has(&other, "b"));
     g_assert_cmpuint(other.list_n, ==, 2);
     codec_free(&evacuations_desc, &held);
@@ -63,10 +63,10 @@
             evacuations_copy(&states[i], &states[i - 1]);
             (void)order(&states[i], name, stands[dc], i);
             for (int k = 0; k < BOXES; k++)
-                (void)evacuations_take(&box[k], &states[g_rand_int_range(random, 0, (gint)i + 1)]);
+                (void)evacuations_update(&box[k], &states[g_rand_int_range(random, 0, (gint)i + 1)]);
         }
         for (int k = 0; k < BOXES; k++) {
-            (void)evacuations_take(&box[k], &states[ENTRIES]);
+            (void)evacuations_update(&box[k], &states[ENTRIES]);
             for (int dc = 0; dc < DCS; dc++) {
                 const char name[] = {(char)('a' + dc), '\0'};
                 g_assert_true(evacuations_has(&box[k], name) == stands[dc]);
