--- a/lib/cluster/limit_table.c
+++ b/lib/cluster/limit_table.c
@@ -24,7 +24,7 @@
     return e;
 }
 
-bool limit_table_hear(limit_table_t *t, const limit_news_t *news, tc_time_t now)
+bool limit_table_update(limit_table_t *t, const limit_news_t *news, tc_time_t now)
 {
     const tc_time_t seen_at = now - (tc_time_t)news->age_ms;
     limit_entry_t *const known = find(t, news->backend);
@@ -38,7 +38,7 @@
     return !same;
 }
 
-unsigned limit_table_drop(limit_table_t *t, limit_entry_fn_t fn, void *arg)
+unsigned limit_table_remove_if(limit_table_t *t, limit_entry_fn_t fn, void *arg)
 {
     GHashTableIter iter;
     gpointer value;
@@ -65,7 +65,7 @@
     return g_hash_table_get_values(t->by_backend);
 }
 
-GArray *limit_table_news(const limit_table_t *t, tc_time_t now)
+GArray *limit_table_export(const limit_table_t *t, tc_time_t now)
 {
     GArray *const list = g_array_new(FALSE, TRUE, sizeof(limit_news_t));
     GHashTableIter iter;
--- a/lib/cluster/limit_table.h
+++ b/lib/cluster/limit_table.h
@@ -42,16 +42,16 @@
 void limit_table_clear(limit_table_t *table);
 
 /** Take news. @return whether what is known has changed */
-bool limit_table_hear(limit_table_t *table, const limit_news_t *news, tc_time_t now);
+bool limit_table_update(limit_table_t *table, const limit_news_t *news, tc_time_t now);
 /** Drop the entries for which @p fn says so. @return how many */
-unsigned limit_table_drop(limit_table_t *table, limit_entry_fn_t fn, void *arg);
+unsigned limit_table_remove_if(limit_table_t *table, limit_entry_fn_t fn, void *arg);
 
 /** Borrowed until the table changes; NULL when nothing is known. */
 const limit_entry_t *limit_table_find(const limit_table_t *table, const char *backend);
 /** All entries, borrowed until the table changes. @return limit_entry_t pointers, for g_list_free */
 GList *limit_table_entries(const limit_table_t *table);
 /** All as news. @return limit_news_t, for g_array_free */
-GArray *limit_table_news(const limit_table_t *table, tc_time_t now);
+GArray *limit_table_export(const limit_table_t *table, tc_time_t now);
 /** Of all entries, whenever they were heard; 0: there are none. */
 uint64_t limit_table_hash(const limit_table_t *table);
 
--- a/lib/cluster/limits.c
+++ b/lib/cluster/limits.c
@@ -80,7 +80,7 @@
     for (uint32_t i = 0; i < n; i++) {
         if (!list[i].is_set && !limit_table_find(l->known, list[i].backend))
             continue; /* as of all that are not known */
-        changed = limit_table_hear(l->known, &list[i], now) || changed;
+        changed = limit_table_update(l->known, &list[i], now) || changed;
     }
     if (changed)
         apply(l, now);
@@ -112,7 +112,7 @@
 void limits_list(limits_t *l, const backend_t *list, uint32_t n, tc_time_t now)
 {
     listed_t listed = {.list = list, .n = n};
-    if (limit_table_drop(l->known, is_unlisted, &listed) > 0)
+    if (limit_table_remove_if(l->known, is_unlisted, &listed) > 0)
         apply(l, now);
 }
 
@@ -133,7 +133,7 @@
     if (hash == ack->limits.hash)
         return;
     g_array_free(l->told, TRUE);
-    l->told = limit_table_news(l->known, now);
+    l->told = limit_table_export(l->known, now);
     ack->limits.list = (limit_news_t *)(void *)l->told->data;
     ack->limits.list_n = l->told->len;
 }
@@ -195,7 +195,7 @@
     cap_ledger_tick(l->ledger, now);
     cap_ledger_tick(l->cold, now);
     bind_engines(l, sched, now);
-    (void)limit_table_drop(l->known, is_long_lifted, &now); /* which count for nothing */
+    (void)limit_table_remove_if(l->known, is_long_lifted, &now); /* which count for nothing */
 }
 
 limits_t *limits_create(const limit_rules_t *rules)
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -142,7 +142,7 @@
     if (ack->limits.hash != fw->limits_hash) {
         limit_table_clear(fw->limits_told);
         for (uint32_t i = 0; i < ack->limits.list_n; i++)
-            (void)limit_table_hear(fw->limits_told, &ack->limits.list[i], now);
+            (void)limit_table_update(fw->limits_told, &ack->limits.list[i], now);
         limit_learn_told(fw);
     }
     fw->limits_hash = ack->limits.hash;
