--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -82,7 +82,7 @@
 static void on_take_limit(leader_sched_t *p, peer_call_t call, const msg_take_limit_t *take, tc_time_t now)
 {
     tc_time_t after;
-    const bool granted = limits_take(p->limits, p->sched, take, now, &after);
+    const bool granted = limits_acquire(p->limits, p->sched, take, now, &after);
     const msg_take_limit_ack_t ack = {.granted = granted, .after_ms = granted ? 0 : (uint32_t)after};
     counter_add(granted ? &c_limit_granted : &c_limit_refused, 1);
     log_line_t line;
@@ -239,7 +239,7 @@
     free(p->backends);
     p->backends = list_copy(list, n * sizeof(*list));
     p->backends_n = n;
-    limits_list(p->limits, list, n, tc_time_now());
+    limits_set_backends(p->limits, list, n, tc_time_now());
     (void)cold_update_list(p->cold, fetched);
     configure_cold(p);
     configure(p, tc_time_now());
@@ -283,7 +283,7 @@
     cap_ledger_hear(p->caps, report->self.box, report->self.incarnation, report->used, report->used_n, now);
     ack->caps = (cap_state_t *)(uintptr_t)cap_ledger_tell(p->caps, &ack->caps_n, now);
     sched_set_notices(p->sched, report->self.box, report->notices, report->notices_n, now);
-    limits_take_report(p->limits, p->sched, report, ack, now);
+    limits_handle_report(p->limits, p->sched, report, ack, now);
 }
 
 static void log_over_cap(const leader_sched_t *p, const msg_place_t *place, tc_time_t after, tc_time_t now)
@@ -558,7 +558,7 @@
     }
     if (!p->sched && term != 0) {
         cap_ledger_begin(p->caps, now);
-        limits_begin(p->limits, now);
+        limits_reset(p->limits, now);
         g_hash_table_remove_all(p->let_in);
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
--- a/lib/cluster/limits.c
+++ b/lib/cluster/limits.c
@@ -109,7 +109,7 @@
     return true;
 }
 
-void limits_list(limits_t *l, const backend_t *list, uint32_t n, tc_time_t now)
+void limits_set_backends(limits_t *l, const backend_t *list, uint32_t n, tc_time_t now)
 {
     listed_t listed = {.list = list, .n = n};
     if (limit_table_remove_if(l->known, is_unlisted, &listed) > 0)
@@ -145,7 +145,7 @@
         bind_engine(l, sched, used[i].name, now);
 }
 
-void limits_take_report(limits_t *l, sched_t *sched, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
+void limits_handle_report(limits_t *l, sched_t *sched, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     const bool changed = hear(l, report->limits, report->limits_n, now);
     cap_ledger_hear(l->cold, report->self.box, report->self.incarnation, report->cold_used, report->cold_used_n, now);
@@ -169,7 +169,7 @@
     return false;
 }
 
-bool limits_take(limits_t *l, sched_t *sched, const msg_take_limit_t *take, tc_time_t now, tc_time_t *after)
+bool limits_acquire(limits_t *l, sched_t *sched, const msg_take_limit_t *take, tc_time_t now, tc_time_t *after)
 {
     (void)hear(l, &take->limit, 1, now);             /* before a report tells of it */
     bind_engine(l, sched, take->limit.backend, now); /* what was granted there counts first */
@@ -180,7 +180,7 @@
 
 /* ===== Life ===== */
 
-void limits_begin(limits_t *l, tc_time_t now)
+void limits_reset(limits_t *l, tc_time_t now)
 {
     limit_table_clear(l->known);
     apply(l, now);
--- a/tests/unit/test_cold.c
+++ b/tests/unit/test_cold.c
@@ -78,7 +78,7 @@
     tc_time_t after;
     msg_take_limit_t message = {.cold = true};
     codec_copy_string(message.limit.backend, sizeof(message.limit.backend), "d");
-    if (limits_take(w->limits, w->sched, &message, now, &after))
+    if (limits_acquire(w->limits, w->sched, &message, now, &after))
         add_sent(w, now);
 }
 
@@ -110,7 +110,7 @@
     sched_configure(w->sched, &config, now);
     for (int i = 0; i < 2; i++)
         sched_engine_seen(w->sched, engines[i].name, 1, false, NULL, 0, now, now);
-    limits_begin(w->limits, now);
+    limits_reset(w->limits, now);
 }
 
 static void test_engine(void)
--- a/tests/unit/test_limits_leader.c
+++ b/tests/unit/test_limits_leader.c
@@ -19,7 +19,7 @@
     f->limits = limits_create(&rules);
     f->now = 1000000;
     f->sched = sched_create(&(sched_options_t){.cell = "main"}, f->now);
-    limits_begin(f->limits, f->now);
+    limits_reset(f->limits, f->now);
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
@@ -41,7 +41,7 @@
 {
     msg_report_t message = {.limits = news, .limits_n = news ? 1 : 0, .limits_hash = *hash};
     msg_report_ack_t ack = {0};
-    limits_take_report(f->limits, f->sched, &message, &ack, f->now);
+    limits_handle_report(f->limits, f->sched, &message, &ack, f->now);
     *hash = ack.limits.hash;
     return ack;
 }
@@ -50,7 +50,7 @@
 {
     tc_time_t after;
     const msg_take_limit_t take = {.limit = news_of(backend, false, 0, 1000000)}; /* nothing that would count */
-    return limits_take(f->limits, f->sched, &take, f->now, &after);
+    return limits_acquire(f->limits, f->sched, &take, f->now, &after);
 }
 
 /** How many requests are allowed at once. */
@@ -109,7 +109,7 @@
     uint64_t hash = 0;
     limit_news_t set = news_of("a", true, 4, 0);
     (void)report(f, &set, &hash);
-    limits_begin(f->limits, f->now);
+    limits_reset(f->limits, f->now);
     const msg_report_ack_t ack = report(f, NULL, &hash);
     g_assert_cmpuint(hash, ==, 0); /* there are none: the box tells what it knows */
     g_assert_cmpuint(ack.limits.list_n, ==, 0);
@@ -125,7 +125,7 @@
     (void)report(f, &a, &hash);
     (void)report(f, &b, &hash);
     const backend_t listed[] = {{.id = "b"}};
-    limits_list(f->limits, listed, 1, f->now);
+    limits_set_backends(f->limits, listed, 1, f->now);
     const msg_report_ack_t ack = report(f, NULL, &hash);
     g_assert_cmpuint(ack.limits.list_n, ==, 1);
     g_assert_cmpstr(ack.limits.list[0].backend, ==, "b");
@@ -159,7 +159,7 @@
     codec_copy_string(used.name, sizeof(used.name), "a");
     msg_report_t message = {.limits_used = &used, .limits_used_n = 1, .limits_hash = hash};
     msg_report_ack_t ack = {0};
-    limits_take_report(f->limits, f->sched, &message, &ack, f->now);
+    limits_handle_report(f->limits, f->sched, &message, &ack, f->now);
     g_assert_cmpuint(count_allowed(f, "a"), ==, 0);
 }
 
