--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -64,7 +64,7 @@
 {
     counter_set(&c_evacuated, r->evacuations.list_n);
     if (r->placing) /* not before all of this box stands */
-        placing_set_evacuations(r->placing, &r->evacuations);
+        leader_sched_set_evacuations(r->placing, &r->evacuations);
 }
 
 static void apply_evacuation(replica_t *r, const log_entry_t *entry, const evacuation_t *order)
@@ -137,16 +137,16 @@
         return true;
     }
     if (piece.offset == 0) {
-        const bool fits = document_arrival_begin(&r->arrival, &piece.head);
+        const bool fits = document_download_begin(&r->arrival, &piece.head);
         assert(fits); /* checked when it was offered */
         (void)fits;
         r->arrival_first = entry->index;
     }
-    (void)document_arrival_add(&r->arrival, &piece); /* false: behind a beginning that another leader cut off */
+    (void)document_download_add(&r->arrival, &piece); /* false: behind a beginning that another leader cut off */
     codec_free(&document_piece_desc, &piece);
-    if (!document_arrival_is_whole(&r->arrival))
+    if (!document_download_is_complete(&r->arrival))
         return false;
-    document_arrival_take(&r->arrival, whole);
+    document_download_take(&r->arrival, whole);
     return true;
 }
 
@@ -168,7 +168,7 @@
     const uint64_t version = whole.version;
     const document_relation_t relation = take_document(r, &whole);
     codec_free(&document_desc, &whole);
-    proposals_applied(r, entry, version, relation != DOCUMENT_CLASHES, r->applied_at);
+    proposals_applied(r, entry, version, relation != DOCUMENT_CONFLICTS, r->applied_at);
 }
 
 /* ===== Actions of the log ===== */
@@ -189,9 +189,9 @@
         return;
     replica_image_t read = read_image(image);
     (void)document_apply(&r->document, &read.document);
-    const bool evacuations = evacuations_take(&r->evacuations, &read.evacuations);
+    const bool evacuations = evacuations_update(&r->evacuations, &read.evacuations);
     codec_free(&replica_image_desc, &read);
-    document_arrival_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
+    document_download_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
     note_version(r);
     if (evacuations)
         note_evacuations(r);
@@ -276,7 +276,7 @@
 static void note_lead(replica_t *r, tc_time_t now)
 {
     const bool keeps = replica_retains_leadership(r);
-    const placing_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_is_leader(r)};
+    const leader_sched_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_is_leader(r)};
     if (r->held && !lease.held)
         log_lapse(r, keeps ? "the lease lapsed" : "the lease is over", now);
     if (keeps != r->led)
@@ -284,7 +284,7 @@
     r->held = lease.held;
     r->led = keeps;
     counter_set(&c_leads, lease.held);
-    placing_tick(r->placing, &lease, roster_count(r->roster), now);
+    leader_sched_tick(r->placing, &lease, roster_count(r->roster), now);
 }
 
 /** A loop that stood still reads messages before it ticks: nothing is granted by a box that may lead no more. */
@@ -299,9 +299,9 @@
     replica_t *const r = arg;
     const tc_time_t now = tc_time_now();
     (void)from;
-    if (placing_takes(type)) {
+    if (leader_sched_handles_type(type)) {
         note_end(r, now);
-        placing_receive(r->placing, call, type, message, now);
+        leader_sched_handle_message(r->placing, call, type, message, now);
         return;
     }
     switch (type) {
@@ -366,34 +366,34 @@
 
 const char *replica_work(const replica_t *r, pool_work_t *work)
 {
-    return placing_work(r->placing, work);
+    return leader_sched_pool_work(r->placing, work);
 }
 
 bool replica_is_in_doubt(const replica_t *r)
 {
-    return placing_is_in_doubt(r->placing, tc_time_now());
+    return leader_sched_is_uncertain(r->placing, tc_time_now());
 }
 
 void replica_update_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
 {
-    placing_hear_engine(r->placing, engine, held, n, tc_time_now());
+    leader_sched_update_engine(r->placing, engine, held, n, tc_time_now());
 }
 
 /* ===== Life ===== */
 
-void replica_set_services(replica_t *r, const placing_service_t *list, uint32_t n)
+void replica_set_services(replica_t *r, const leader_sched_service_t *list, uint32_t n)
 {
-    placing_set_services(r->placing, list, n);
+    leader_sched_set_services(r->placing, list, n);
 }
 
 void replica_set_cold_rates(replica_t *r, const cold_rate_t *list, uint32_t n)
 {
-    placing_set_cold_rates(r->placing, list, n);
+    leader_sched_set_cold_rates(r->placing, list, n);
 }
 
 void replica_set_caps(replica_t *r, const cap_cfg_t *list, uint32_t n)
 {
-    placing_set_caps(r->placing, list, n);
+    leader_sched_set_caps(r->placing, list, n);
 }
 
 static void fill_self(replica_t *r, uint64_t id)
@@ -456,8 +456,8 @@
         replica_destroy(r);
         return NULL;
     }
-    r->placing = placing_create(r->net, &options->retries, &options->caps, &options->limits);
-    placing_set_quarantine(r->placing, r->quarantine);
+    r->placing = leader_sched_create(r->net, &options->retries, &options->caps, &options->limits);
+    leader_sched_set_quarantine(r->placing, r->quarantine);
     kept_load(r);
     log_cluster(r, "started");
     if (r->document.version > 0)
@@ -475,13 +475,13 @@
     if (r->net)
         peer_destroy(r->net);
     if (r->placing)
-        placing_destroy(r->placing);
+        leader_sched_destroy(r->placing);
     log_writer_destroy(r->writer);
     raft_destroy(r->raft);
     roster_destroy(r->roster);
     codec_free(&document_desc, &r->document);
     codec_free(&document_desc, &r->previous);
-    document_arrival_clear(&r->arrival);
+    document_download_clear(&r->arrival);
     codec_free(&evacuations_desc, &r->evacuations);
     codec_free(&raft_members_desc, &r->known);
     g_strfreev(r->seeds);
