--- a/lib/roles/mover.c
+++ b/lib/roles/rebalancer.c
@@ -1,4 +1,4 @@
-#include "roles/mover.h"
+#include "roles/rebalancer.h"
 
 #include <string.h>
 #include <urcu/list.h>
@@ -51,12 +51,12 @@
     tc_time_t until; /* the move is forgotten then, whatever came of it */
 } move_t;
 
-struct mover {
+struct rebalancer {
     loop_t *loop;
     web_client_t *client;
     call_gate_t *gate;
     char box[CODEC_STR_SIZE];
-    tc_time_t turn; /* as mover_create says */
+    tc_time_t turn; /* as rebalancer_create says */
     uint64_t term;  /* of the leadership, 0 for none */
     tc_time_t term_since;
     tc_time_t ticked_at;        /* time of the last look */
@@ -70,7 +70,7 @@
 
 /* ===== Log ===== */
 
-static void log_move(const mover_t *m, const move_t *move, const char *what, int status)
+static void log_move(const rebalancer_t *m, const move_t *move, const char *what, int status)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "role_move");
@@ -99,7 +99,7 @@
 
 /* ===== Moves ===== */
 
-static move_t *find_move(const mover_t *m, const char *id)
+static move_t *find_move(const rebalancer_t *m, const char *id)
 {
     move_t *move;
     cds_list_for_each_entry(move, &m->moves, node)
@@ -108,7 +108,7 @@
     return NULL;
 }
 
-static void end_move(mover_t *m, move_t *move)
+static void end_move(rebalancer_t *m, move_t *move)
 {
     if (m->asked == move) {
         web_ask_cancel(&m->ask);
@@ -118,7 +118,7 @@
     g_free(move);
 }
 
-static void end_moves(mover_t *m)
+static void end_moves(rebalancer_t *m)
 {
     move_t *move, *next;
     cds_list_for_each_entry_safe(move, next, &m->moves, node)
@@ -126,7 +126,7 @@
 }
 
 /** Leave the engine alone for a while. */
-static void pause_move(const mover_t *m, move_t *move)
+static void pause_move(const rebalancer_t *m, move_t *move)
 {
     move->state = MOVE_PAUSED;
     move->until = m->ticked_at + PAUSE_MS;
@@ -137,7 +137,7 @@
     return move->state != MOVE_PAUSED;
 }
 
-uint32_t mover_moving(const mover_t *m, leaving_cfg_t *list, uint32_t room)
+uint32_t rebalancer_list_moving(const rebalancer_t *m, leaving_cfg_t *list, uint32_t room)
 {
     uint32_t n = 0;
     const move_t *move;
@@ -150,7 +150,7 @@
     return n;
 }
 
-static uint32_t count_moving(const mover_t *m)
+static uint32_t count_moving(const rebalancer_t *m)
 {
     uint32_t n = 0;
     const move_t *move;
@@ -161,7 +161,7 @@
 
 /* ===== Moves and the list ===== */
 
-static const backend_t *find_listed(const mover_view_t *view, const char *id)
+static const backend_t *find_listed(const rebalancer_input_t *view, const char *id)
 {
     for (uint32_t i = 0; i < view->backends_n; i++)
         if (strcmp(view->backends[i].id, id) == 0)
@@ -170,7 +170,7 @@
 }
 
 /** End the moves that are over: the engine is what it was to become, is gone, or was ordered long ago. */
-static void sweep_moves(mover_t *m, const mover_view_t *view, tc_time_t now)
+static void sweep_moves(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
 {
     move_t *move, *next;
     cds_list_for_each_entry_safe(move, next, &m->moves, node) {
@@ -192,12 +192,12 @@
 
 static void on_head(void *arg, const web_head_t *head)
 {
-    const mover_t *const m = arg;
+    const rebalancer_t *const m = arg;
     const availability_notice_t notice = dialect_read_notice(head);
     call_gate_hear(m->gate, m->asked->engine.id, &notice, tc_time_now());
 }
 
-static void call_engine(mover_t *m, move_t *move, GByteArray *request, web_ask_fn_t fn)
+static void call_engine(rebalancer_t *m, move_t *move, GByteArray *request, web_ask_fn_t fn)
 {
     const web_ask_where_t where = {.loop = m->loop,
                                    .client = m->client,
@@ -213,7 +213,7 @@
 /** The engine's answer to the order. */
 static void on_ordered(void *arg, web_ask_end_t how)
 {
-    mover_t *const m = arg;
+    rebalancer_t *const m = arg;
     move_t *const move = m->asked;
     m->asked = NULL;
     if (how != WEB_ASK_WHOLE) {
@@ -233,7 +233,7 @@
     pause_move(m, move);
 }
 
-static void send_order(mover_t *m, move_t *move, uint64_t taken)
+static void send_order(rebalancer_t *m, move_t *move, uint64_t taken)
 {
     const dialect_order_t order = {
         .instance = move->engine.id, .stage = move->to, .holder = m->box, .fence = m->term, .taken = taken};
@@ -244,7 +244,7 @@
 }
 
 /** Whether the engine takes new work of this box: an order is some. */
-static bool takes_orders(const mover_t *m, const char *engine)
+static bool takes_orders(const rebalancer_t *m, const char *engine)
 {
     return call_gate_takes(m->gate, engine, CALL_NEW_WORK, tc_time_now());
 }
@@ -252,7 +252,7 @@
 /** What the engine says it is: the order rests on it. */
 static void on_looked(void *arg, web_ask_end_t how)
 {
-    mover_t *const m = arg;
+    rebalancer_t *const m = arg;
     move_t *const move = m->asked;
     dialect_engine_t engine;
     m->asked = NULL;
@@ -278,20 +278,20 @@
 
 /* ===== Deciding ===== */
 
-static bool takes_part(const backend_t *b, const mover_view_t *view)
+static bool takes_part(const backend_t *b, const rebalancer_input_t *view)
 {
     const bool evacuated = view->evacuations && evacuations_has(view->evacuations, b->dc);
     return strcmp(b->service, view->service) == 0 && !b->draining && !evacuated && b->stage[0];
 }
 
 /** The stage that an engine has, or goes to. */
-static const char *stage_of(const mover_t *m, const backend_t *b)
+static const char *stage_of(const rebalancer_t *m, const backend_t *b)
 {
     const move_t *const move = find_move(m, b->id);
     return move && is_moving(move) ? move->to : b->stage;
 }
 
-static void count_pools(const mover_t *m, const mover_view_t *view, balance_t *b)
+static void count_pools(const rebalancer_t *m, const rebalancer_input_t *view, balance_t *b)
 {
     *b = (balance_t){.work = view->work};
     for (uint32_t i = 0; i < view->backends_n; i++) {
@@ -306,7 +306,7 @@
 }
 
 /** How many engines of a role a data centre has. */
-static uint32_t count_in_dc(const mover_t *m, const mover_view_t *view, const char *dc, const char *stage)
+static uint32_t count_in_dc(const rebalancer_t *m, const rebalancer_input_t *view, const char *dc, const char *stage)
 {
     uint32_t n = 0;
     for (uint32_t i = 0; i < view->backends_n; i++) {
@@ -317,7 +317,7 @@
 }
 
 /** An engine of the role, from the data centre that has most of them. */
-static const backend_t *choose_engine(const mover_t *m, const mover_view_t *view, const char *from)
+static const backend_t *choose_engine(const rebalancer_t *m, const rebalancer_input_t *view, const char *from)
 {
     const backend_t *best = NULL;
     uint32_t most = 0;
@@ -335,7 +335,7 @@
 }
 
 /** Begin a move: look at the engine first. */
-static void begin_move(mover_t *m, const backend_t *engine, const char *to, tc_time_t now)
+static void begin_move(rebalancer_t *m, const backend_t *engine, const char *to, tc_time_t now)
 {
     move_t *const move = g_new0(move_t, 1);
     move->engine = *engine;
@@ -347,7 +347,7 @@
 }
 
 /** Whether the same has been wanted for long enough. @param other it is not what there is: a wish at all */
-static bool is_sustained(mover_t *m, uint32_t wanted, bool other, tc_time_t now)
+static bool is_sustained(rebalancer_t *m, uint32_t wanted, bool other, tc_time_t now)
 {
     if (wanted != m->wanted || !other) {
         m->wanted = wanted;
@@ -356,7 +356,7 @@
     return other && now - m->wanted_since >= SUSTAIN_MS;
 }
 
-static void decide(mover_t *m, const mover_view_t *view, tc_time_t now)
+static void decide(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
 {
     balance_t pools;
     count_pools(m, view, &pools);
@@ -377,7 +377,7 @@
 
 /* ===== Life ===== */
 
-static void take_term(mover_t *m, uint64_t term, tc_time_t now)
+static void take_term(rebalancer_t *m, uint64_t term, tc_time_t now)
 {
     if (term == m->term)
         return;
@@ -388,7 +388,7 @@
     m->fenced = false;
 }
 
-void mover_tick(mover_t *m, const mover_view_t *view, tc_time_t now)
+void rebalancer_tick(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
 {
     m->ticked_at = now;
     take_term(m, view->term, now);
@@ -402,9 +402,9 @@
         decide(m, view, now);
 }
 
-mover_t *mover_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn)
+rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn)
 {
-    mover_t *const m = g_new0(mover_t, 1);
+    rebalancer_t *const m = g_new0(rebalancer_t, 1);
     m->loop = loop;
     m->client = client;
     m->gate = gate;
@@ -415,7 +415,7 @@
     return m;
 }
 
-void mover_destroy(mover_t *m)
+void rebalancer_destroy(rebalancer_t *m)
 {
     end_moves(m);
     g_byte_array_free(m->ask.body, TRUE);
--- a/lib/roles/mover.h
+++ b/lib/roles/rebalancer.h
@@ -1,4 +1,4 @@
-/** @file mover.h
+/** @file rebalancer.h
  * Moves engines between the prefill and the decode pool as load shifts: decides on balance.h, looks at the engine, and
  * orders it by the adapter's dialect.
  *
@@ -10,8 +10,8 @@
  *
  * Everything runs in the loop's thread.
  */
-#ifndef TRACKCOVE_ROLES_MOVER_H
-#define TRACKCOVE_ROLES_MOVER_H
+#ifndef TRACKCOVE_ROLES_REBALANCER_H
+#define TRACKCOVE_ROLES_REBALANCER_H
 
 /* ===== Dependencies ===== */
 
@@ -26,7 +26,7 @@
 
 /* ===== Types ===== */
 
-typedef struct mover mover_t;
+typedef struct rebalancer rebalancer_t;
 
 /** What a look rests on. Borrowed for the call. */
 typedef struct {
@@ -36,7 +36,7 @@
     const evacuations_t *evacuations; /**< engines there count for no pool; NULL for none */
     const char *service;              /**< whose engines may change, "" for none */
     pool_work_t work;
-} mover_view_t;
+} rebalancer_input_t;
 
 /* ===== Public functions ===== */
 
@@ -45,16 +45,16 @@
  *  @param box names this box as the one that orders; copied
  *  @param turn ms after which orders of another leader can't arrive any more, beside the time of an order itself
  *  @return never NULL */
-mover_t *mover_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn);
+rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn);
 /** After loop_run returned; orders under way are dropped. */
-void mover_destroy(mover_t *mover);
+void rebalancer_destroy(rebalancer_t *rebalancer);
 
 /** Look, and begin the next step if there is one. Call every 50 to 250 ms, with tc_time_now: a box that finds on an
  *  engine's answer that it has not looked for longer does not order. */
-void mover_tick(mover_t *mover, const mover_view_t *view, tc_time_t now);
+void rebalancer_tick(rebalancer_t *rebalancer, const rebalancer_input_t *view, tc_time_t now);
 
 /** Engines that are changing their role, or are about to be asked to: they should get nothing new.
  *  @param list filled in with their ids, zeroed behind them @return how many, @p room at most */
-uint32_t mover_moving(const mover_t *mover, leaving_cfg_t *list, uint32_t room);
+uint32_t rebalancer_list_moving(const rebalancer_t *rebalancer, leaving_cfg_t *list, uint32_t room);
 
 #endif
--- a/tests/platform/test_mover.c
+++ b/tests/platform/test_rebalancer.c
@@ -1,12 +1,12 @@
 /* Orders to engines: who may give them and when, what they rest on, and what their answers mean. Engines are fakes on
- * 127.0.0.1; the mover's time is the test's. */
+ * 127.0.0.1; the rebalancer's time is the test's. */
 
 #include <glib.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "harness/lab.h"
-#include "roles/mover.h"
+#include "roles/rebalancer.h"
 
 enum { ENGINES = 8, PREFILLS = 4, TURN_MS = 3000 };
 
@@ -14,11 +14,11 @@
     loop_t *loop;
     web_client_t *client;
     call_gate_t *gate;
-    mover_t *mover;
+    rebalancer_t *rebalancer;
     char addr[ENGINES][32];
     lab_backend_t *engine[ENGINES];
     backend_t list[ENGINES];
-    mover_view_t view;
+    rebalancer_input_t view;
     tc_time_t now;
     GString *orders; /* all that came, one after the other */
     unsigned looks, ordered;
@@ -52,7 +52,7 @@
     f->loop = loop_create();
     f->client = web_client_create(f->loop);
     f->gate = call_gate_create(NULL, NULL);
-    f->mover = mover_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
+    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
     f->orders = g_string_new(NULL);
     f->status = 202;
     f->notice = "";
@@ -68,18 +68,18 @@
         codec_copy_string(b->dc, sizeof(b->dc), i == 1 ? "b" : "a");
         codec_copy_string(b->stage, sizeof(b->stage), i < PREFILLS ? "prefill" : "decode");
     }
-    f->view = (mover_view_t){.term = 7,
-                             .backends = f->list,
-                             .backends_n = ENGINES,
-                             .service = "lm",
-                             /* three prefill engines would be half busy, two are too few */
-                             .work = {.prefill = 1.5, .settled = 1.5, .decode = 3.0}};
+    f->view = (rebalancer_input_t){.term = 7,
+                                   .backends = f->list,
+                                   .backends_n = ENGINES,
+                                   .service = "lm",
+                                   /* three prefill engines would be half busy, two are too few */
+                                   .work = {.prefill = 1.5, .settled = 1.5, .decode = 3.0}};
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    mover_destroy(f->mover);
+    rebalancer_destroy(f->rebalancer);
     call_gate_destroy(f->gate);
     for (int i = 0; i < ENGINES; i++)
         lab_backend_stop(f->engine[i]);
@@ -88,11 +88,11 @@
     g_string_free(f->orders, TRUE);
 }
 
-/** Let the mover's time pass, with a look every 50 ms of it. The loop turns beside, so that calls are answered. */
+/** Let the rebalancer's time pass, with a look every 50 ms of it. The loop turns beside, so that calls are answered. */
 static void pass(fixture_t *f, tc_time_t span)
 {
     for (const tc_time_t until = f->now + span; f->now < until; f->now += 50) {
-        mover_tick(f->mover, &f->view, f->now);
+        rebalancer_tick(f->rebalancer, &f->view, f->now);
         lab_run_for(f->loop, 5);
     }
 }
@@ -100,7 +100,7 @@
 static uint32_t moving(const fixture_t *f)
 {
     leaving_cfg_t list[ENGINES];
-    return mover_moving(f->mover, list, ENGINES);
+    return rebalancer_list_moving(f->rebalancer, list, ENGINES);
 }
 
 static void test_order(fixture_t *f, gconstpointer data)
@@ -222,10 +222,10 @@
 static void test_engine_that_is_closed_by_others(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    mover_destroy(f->mover);
+    rebalancer_destroy(f->rebalancer);
     call_gate_destroy(f->gate);
     f->gate = call_gate_create(takes_calls, NULL);
-    f->mover = mover_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
+    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
     pass(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
     g_assert_null(strstr(f->orders->str, "Expect-Instance: e0\r\n"));
