--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -255,12 +255,13 @@
 
 /* ===== Work ===== */
 
-const char *placing_work(const placing_t *p, pool_work_t *work)
+const char *placing_work(const placing_t *p, pool_load_t *work)
 {
     if (!p->sched || p->services_n != 1)
         return ""; /* the averages are those of all engines together */
     const sched_stats_t stats = sched_stats(p->sched);
-    *work = (pool_work_t){.prefill = stats.prefill_work, .settled = stats.prefill_settled, .decode = stats.decode_work};
+    *work = (pool_load_t){
+        .prefill = stats.prefill_load, .prefill_slow = stats.prefill_load_slow, .decode = stats.decode_load};
     return p->services[0].service;
 }
 
--- a/lib/cluster/placing.h
+++ b/lib/cluster/placing.h
@@ -95,7 +95,7 @@
 
 /** What the two pools have to do, while this box leads and one service alone has engines.
  *  @return that service's name, borrowed until services are set again; or "", with nothing filled in */
-const char *placing_work(const placing_t *placing, pool_work_t *work);
+const char *placing_work(const placing_t *placing, pool_load_t *work);
 
 /** Call every tick, and when the lease changes. @param boxes entry boxes that are there */
 void placing_tick(placing_t *placing, const placing_lease_t *lease, uint32_t boxes, tc_time_t now);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -364,7 +364,7 @@
 
 /* ===== The scheduler beside it ===== */
 
-const char *replica_work(const replica_t *r, pool_work_t *work)
+const char *replica_work(const replica_t *r, pool_load_t *work)
 {
     return placing_work(r->placing, work);
 }
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -99,7 +99,7 @@
 /** An engine told what it runs: as sched_engine_holds. */
 void replica_hear_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
 /** What the pools of engines have to do: as placing_work. */
-const char *replica_work(const replica_t *replica, pool_work_t *work);
+const char *replica_work(const replica_t *replica, pool_load_t *work);
 
 /** The services with engines that the document names: for the scheduler beside the leader. */
 void replica_set_services(replica_t *replica, const placing_service_t *list, uint32_t n);
--- a/lib/roles/balance.c
+++ b/lib/roles/balance.c
@@ -25,18 +25,18 @@
 /* ===== Rules ===== */
 
 /** Whether the prefill pool would do with one engine less. */
-static bool can_give(const balance_t *b)
+static bool can_give(const role_pools_t *b)
 {
     if (b->prefills <= PREFILLS_MIN)
         return false;
     const double left = b->work.prefill / (b->prefills - 1);
-    const double settled = b->work.settled / (b->prefills - 1);
+    const double settled = b->work.prefill_slow / (b->prefills - 1);
     const double memory = b->decodes > 0 ? b->work.decode / b->decodes : 1;
     return settled <= memory && (left <= PREFILL_BUSY_MAX || left <= DECODE_LEADS * memory);
 }
 
 /** Whether the prefill pool is short of an engine that the decode pool can spare. */
-static bool must_take(const balance_t *b)
+static bool must_take(const role_pools_t *b)
 {
     return b->decodes > DECODES_MIN && b->work.prefill > PREFILL_SHORT * b->prefills &&
            b->work.decode < DECODE_SPARE * (b->decodes - 1);
@@ -44,7 +44,7 @@
 
 /* ===== Public functions ===== */
 
-uint32_t balance_prefills(const balance_t *b)
+uint32_t balance_target_prefills(const role_pools_t *b)
 {
     if (b->work.prefill + b->work.decode < WORK_MIN * (b->prefills + b->decodes))
         return b->prefills;
--- a/lib/roles/balance.h
+++ b/lib/roles/balance.h
@@ -19,21 +19,21 @@
 
 /** What the two pools of a service have to do, in engines that would be busy all the time: moving averages. */
 typedef struct {
-    double prefill; /**< prompts that are read, as of the last seconds */
-    double settled; /**< the same over as long as memory takes to follow: for comparison with it */
-    double decode;  /**< memory or places taken, whichever is more */
-} pool_work_t;
+    double prefill;      /**< prompts that are read, as of the last seconds */
+    double prefill_slow; /**< the same over as long as memory takes to follow: for comparison with it */
+    double decode;       /**< memory or places taken, whichever is more */
+} pool_load_t;
 
 /** The two pools of one service, engines that are about to change counted where they go. */
 typedef struct {
     uint32_t prefills, decodes; /**< engines of each role */
-    pool_work_t work;
-} balance_t;
+    pool_load_t work;
+} role_pools_t;
 
 /* ===== Public functions ===== */
 
 /** Engines that should compute prompts: the present number, one more or one fewer. Never takes an engine from a pool
  *  that would then not bear a loss. */
-uint32_t balance_prefills(const balance_t *balance);
+uint32_t balance_target_prefills(const role_pools_t *balance);
 
 #endif
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -84,14 +84,14 @@
     log_end(&line);
 }
 
-static void log_wish(const balance_t *b, uint32_t wanted)
+static void log_wish(const role_pools_t *b, uint32_t wanted)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "role_wish");
     log_int(&line, "prefills", b->prefills);
     log_int(&line, "decodes", b->decodes);
     log_int(&line, "prefill_work_pct", (int64_t)(100 * b->work.prefill));
-    log_int(&line, "settled_work_pct", (int64_t)(100 * b->work.settled));
+    log_int(&line, "settled_work_pct", (int64_t)(100 * b->work.prefill_slow));
     log_int(&line, "decode_work_pct", (int64_t)(100 * b->work.decode));
     log_int(&line, "wanted", wanted);
     log_end(&line);
@@ -291,9 +291,9 @@
     return move && is_moving(move) ? move->to : b->stage;
 }
 
-static void count_pools(const rebalancer_t *m, const rebalancer_input_t *view, balance_t *b)
+static void count_pools(const rebalancer_t *m, const rebalancer_input_t *view, role_pools_t *b)
 {
-    *b = (balance_t){.work = view->work};
+    *b = (role_pools_t){.work = view->work};
     for (uint32_t i = 0; i < view->backends_n; i++) {
         const backend_t *const engine = &view->backends[i];
         if (!takes_part(engine, view))
@@ -358,9 +358,9 @@
 
 static void decide(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
 {
-    balance_t pools;
+    role_pools_t pools;
     count_pools(m, view, &pools);
-    const uint32_t wanted = balance_prefills(&pools);
+    const uint32_t wanted = balance_target_prefills(&pools);
     const bool fewer = wanted < pools.prefills;
     /* A wish for fewer is one wish, whatever the number: it lasts while one engine after the other goes. */
     if (!is_sustained(m, fewer ? 0 : wanted, wanted != pools.prefills, now))
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -112,10 +112,10 @@
     const use_t use = count_use(s, now);
     const double weight = span < BUSY_MS ? span / BUSY_MS : 1;
     s->busy_at = now;
-    s->stats.decode_work += weight * (use.taken - s->stats.decode_work);
+    s->stats.decode_load += weight * (use.taken - s->stats.decode_load);
     const double prompts = s->granted_ms / span;
-    s->stats.prefill_work += weight * (prompts - s->stats.prefill_work);
-    s->stats.prefill_settled += (span < SETTLE_MS ? span / SETTLE_MS : 1) * (prompts - s->stats.prefill_settled);
+    s->stats.prefill_load += weight * (prompts - s->stats.prefill_load);
+    s->stats.prefill_load_slow += (span < SETTLE_MS ? span / SETTLE_MS : 1) * (prompts - s->stats.prefill_load_slow);
     s->granted_ms = 0;
     if (use.prefills > 0)
         s->stats.prefill_busy += weight * (use.working / use.prefills - s->stats.prefill_busy);
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -99,9 +99,9 @@
 
 typedef struct {
     uint32_t queued, placed, cancelling, engines;
-    double prefill_busy, decode_busy;                  /**< moving averages, 0 to 1, for the planner */
-    double prefill_work, prefill_settled, decode_work; /**< for the rebalancer: as prefill, settled and decode in
-                                                            pool_work_t (roles/balance.h) */
+    double prefill_busy, decode_busy;                    /**< moving averages, 0 to 1, for the planner */
+    double prefill_load, prefill_load_slow, decode_load; /**< for the rebalancer: as prefill, settled and decode in
+                                                            pool_load_t (roles/balance.h) */
     uint64_t cache_predicted,
         cache_actual; /**< prompt tokens taken for cached at the grant, and cached as engines said */
     uint64_t granted, refused, resumed, replanned, lapsed, orphans, adopted;
--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -4,24 +4,25 @@
 
 #include "roles/balance.h"
 
-static uint32_t wanted(uint32_t prefills, uint32_t decodes, double prefill_work, double decode_work)
+static uint32_t wanted(uint32_t prefills, uint32_t decodes, double prefill_load, double decode_work)
 {
-    const balance_t b = {.prefills = prefills,
-                         .decodes = decodes,
-                         .work = {.prefill = prefill_work, .settled = prefill_work, .decode = decode_work}};
-    return balance_prefills(&b);
+    const role_pools_t b = {.prefills = prefills,
+                            .decodes = decodes,
+                            .work = {.prefill = prefill_work, .prefill_slow = prefill_work, .decode = decode_work}};
+    return balance_target_prefills(&b);
 }
 
 /** A burst: prompts come at once, the memory they take follows seconds later. What is compared with memory has settled;
  *  what the prefill pool must be able to read has not. */
 static void test_burst(void)
 {
-    balance_t b = {.prefills = 76, .decodes = 180, .work = {.prefill = 40, .settled = 28, .decode = 80}};
-    g_assert_cmpuint(balance_prefills(&b), ==, 75); /* 0.53 at work now, but 0.37 of each pool before the burst */
-    b.work.settled = 40;
-    g_assert_cmpuint(balance_prefills(&b), ==, 76);
-    b.work = (pool_work_t){.prefill = 50, .settled = 28, .decode = 80};
-    g_assert_cmpuint(balance_prefills(&b), ==, 76); /* the burst needs them */
+    role_pools_t b = {.prefills = 76, .decodes = 180, .work = {.prefill = 40, .prefill_slow = 28, .decode = 80}};
+    g_assert_cmpuint(balance_target_prefills(&b), ==,
+                     75); /* 0.53 at work now, but 0.37 of each pool before the burst */
+    b.work.prefill_slow = 40;
+    g_assert_cmpuint(balance_target_prefills(&b), ==, 76);
+    b.work = (pool_load_t){.prefill = 50, .prefill_slow = 28, .decode = 80};
+    g_assert_cmpuint(balance_target_prefills(&b), ==, 76); /* the burst needs them */
 }
 
 static void test_idle_engines_become_memory(void)
