--- a/lib/roles/balance.c
+++ b/lib/roles/balance.c
@@ -29,24 +29,24 @@
 {
     if (b->prefills <= PREFILLS_MIN)
         return false;
-    const double left = b->work.prefill / (b->prefills - 1);
-    const double settled = b->work.prefill_slow / (b->prefills - 1);
-    const double memory = b->decodes > 0 ? b->work.decode / b->decodes : 1;
+    const double left = b->load.prefill / (b->prefills - 1);
+    const double settled = b->load.prefill_slow / (b->prefills - 1);
+    const double memory = b->decodes > 0 ? b->load.decode / b->decodes : 1;
     return settled <= memory && (left <= PREFILL_BUSY_MAX || left <= DECODE_LEADS * memory);
 }
 
 /** Whether the prefill pool is short of an engine that the decode pool can spare. */
 static bool must_take(const role_pools_t *b)
 {
-    return b->decodes > DECODES_MIN && b->work.prefill > PREFILL_SHORT * b->prefills &&
-           b->work.decode < DECODE_SPARE * (b->decodes - 1);
+    return b->decodes > DECODES_MIN && b->load.prefill > PREFILL_SHORT * b->prefills &&
+           b->load.decode < DECODE_SPARE * (b->decodes - 1);
 }
 
 /* ===== Public functions ===== */
 
 uint32_t balance_target_prefills(const role_pools_t *b)
 {
-    if (b->work.prefill + b->work.decode < WORK_MIN * (b->prefills + b->decodes))
+    if (b->load.prefill + b->load.decode < WORK_MIN * (b->prefills + b->decodes))
         return b->prefills;
     if (can_give(b))
         return b->prefills - 1;
--- a/lib/roles/balance.h
+++ b/lib/roles/balance.h
@@ -27,7 +27,7 @@
 /** The two pools of one service, engines that are about to change counted where they go. */
 typedef struct {
     uint32_t prefills, decodes; /**< engines of each role */
-    pool_load_t work;
+    pool_load_t load;
 } role_pools_t;
 
 /* ===== Public functions ===== */
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -90,9 +90,9 @@
     log_begin(&line, LOG_INFO, "role_wish");
     log_int(&line, "prefills", b->prefills);
     log_int(&line, "decodes", b->decodes);
-    log_int(&line, "prefill_work_pct", (int64_t)(100 * b->work.prefill));
-    log_int(&line, "settled_work_pct", (int64_t)(100 * b->work.prefill_slow));
-    log_int(&line, "decode_work_pct", (int64_t)(100 * b->work.decode));
+    log_int(&line, "prefill_work_pct", (int64_t)(100 * b->load.prefill));
+    log_int(&line, "settled_work_pct", (int64_t)(100 * b->load.prefill_slow));
+    log_int(&line, "decode_work_pct", (int64_t)(100 * b->load.decode));
     log_int(&line, "wanted", wanted);
     log_end(&line);
 }
@@ -293,7 +293,7 @@
 
 static void count_pools(const rebalancer_t *m, const rebalancer_input_t *view, role_pools_t *b)
 {
-    *b = (role_pools_t){.work = view->work};
+    *b = (role_pools_t){.load = view->load};
     for (uint32_t i = 0; i < view->backends_n; i++) {
         const backend_t *const engine = &view->backends[i];
         if (!takes_part(engine, view))
--- a/lib/roles/rebalancer.h
+++ b/lib/roles/rebalancer.h
@@ -35,7 +35,7 @@
     uint32_t backends_n;
     const evacuations_t *evacuations; /**< engines there count for no pool; NULL for none */
     const char *service;              /**< whose engines may change, "" for none */
-    pool_load_t work;
+    pool_load_t load;
 } rebalancer_input_t;
 
 /* ===== Public functions ===== */
--- a/tests/platform/test_rebalancer.c
+++ b/tests/platform/test_rebalancer.c
@@ -73,7 +73,7 @@
                                    .backends_n = ENGINES,
                                    .service = "lm",
                                    /* three prefill engines would be half busy, two are too few */
-                                   .work = {.prefill = 1.5, .prefill_slow = 1.5, .decode = 3.0}};
+                                   .load = {.prefill = 1.5, .prefill_slow = 1.5, .decode = 3.0}};
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
@@ -202,7 +202,7 @@
     evacuated_dc_t dc = {.dc = "a"};
     const evacuations_t held = {.version = 3, .list = &dc, .list_n = 1};
     f->view.evacuations = &held;
-    f->view.work = (pool_load_t){.prefill = 1.5, .prefill_slow = 1.5, .decode = 1.0};
+    f->view.load = (pool_load_t){.prefill = 1.5, .prefill_slow = 1.5, .decode = 1.0};
     pass(f, 6000);
     unsigned asked = 0;
     for (int i = 0; i < ENGINES; i++) {
--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -8,7 +8,7 @@
 {
     const role_pools_t b = {.prefills = prefills,
                             .decodes = decodes,
-                            .work = {.prefill = prefill_work, .prefill_slow = prefill_work, .decode = decode_work}};
+                            .load = {.prefill = prefill_work, .prefill_slow = prefill_work, .decode = decode_work}};
     return balance_target_prefills(&b);
 }
 
@@ -16,12 +16,12 @@
  *  what the prefill pool must be able to read has not. */
 static void test_burst(void)
 {
-    role_pools_t b = {.prefills = 76, .decodes = 180, .work = {.prefill = 40, .prefill_slow = 28, .decode = 80}};
+    role_pools_t b = {.prefills = 76, .decodes = 180, .load = {.prefill = 40, .prefill_slow = 28, .decode = 80}};
     g_assert_cmpuint(balance_target_prefills(&b), ==,
                      75); /* 0.53 at work now, but 0.37 of each pool before the burst */
-    b.work.prefill_slow = 40;
+    b.load.prefill_slow = 40;
     g_assert_cmpuint(balance_target_prefills(&b), ==, 76);
-    b.work = (pool_load_t){.prefill = 50, .prefill_slow = 28, .decode = 80};
+    b.load = (pool_load_t){.prefill = 50, .prefill_slow = 28, .decode = 80};
     g_assert_cmpuint(balance_target_prefills(&b), ==, 76); /* the burst needs them */
 }
 
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -194,7 +194,7 @@
     order(&held, "a", true, 1);
     placing_set_evacuations(f->placing, &held);
     g_assert_cmpint(place(f, "first"), ==, 1); /* at b */
-    pool_load_t work;
+    pool_load_t load;
     g_assert_cmpstr(placing_work(f->placing, &work), ==, "lm");
     order(&held, "b", true, 2);
     placing_set_evacuations(f->placing, &held);
