--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -354,16 +354,16 @@
 /* ===== Actions ===== */
 
 /** What the scheduler takes engines for: the inputs of its refusals. */
-static void log_picture(log_line_t *line, const sched_picture_t *picture)
+static void log_picture(log_line_t *line, const sched_load_t *load)
 {
-    log_int(line, "prefills", picture->prefills);
-    log_int(line, "decodes", picture->decodes);
-    log_int(line, "queued", picture->queued);
-    log_int(line, "placed", picture->placed);
-    log_int(line, "decode_pieces", picture->decode_pieces);
-    log_int(line, "decode_taken", picture->decode_taken);
-    log_int(line, "prefill_backlog_ms", (int64_t)picture->backlog_ms);
-    log_int(line, "freed_pieces_s", (int64_t)(picture->free_rate * 1000));
+    log_int(line, "prefills", load->prefills);
+    log_int(line, "decodes", load->decodes);
+    log_int(line, "queued", load->queued);
+    log_int(line, "placed", load->placed);
+    log_int(line, "decode_pieces", load->decode_pieces);
+    log_int(line, "decode_taken", load->decode_taken);
+    log_int(line, "prefill_backlog_ms", (int64_t)load->backlog_ms);
+    log_int(line, "freed_pieces_s", (int64_t)(load->free_rate * 1000));
 }
 
 /** A line a second: what the scheduler believes, for comparison with what engines and entry boxes say. */
@@ -372,13 +372,13 @@
     if (now < p->picture_at)
         return;
     p->picture_at = now + PICTURE_MS;
-    const sched_picture_t picture = sched_picture(p->sched, now);
+    const sched_load_t load = sched_load(p->sched, now);
     const sched_stats_t stats = sched_stats(p->sched);
-    counter_set(&c_taken, picture.decode_taken);
-    counter_set(&c_pieces, picture.decode_pieces);
+    counter_set(&c_taken, load.decode_taken);
+    counter_set(&c_pieces, load.decode_pieces);
     log_line_t line;
     log_begin(&line, LOG_INFO, "engines");
-    log_picture(&line, &picture);
+    log_picture(&line, &load);
     log_int(&line, "adopted", (int64_t)stats.adopted);
     log_int(&line, "lapsed", (int64_t)stats.lapsed);
     log_end(&line);
@@ -398,9 +398,9 @@
     log_int(&line, "candidates", placed->candidates);
     log_int(&line, "est_ttft_ms", placed->est_ttft_ms);
     if (!placed->granted) {
-        const sched_picture_t picture = sched_picture(p->sched, now);
+        const sched_load_t load = sched_load(p->sched, now);
         log_int(&line, "retry_after_ms", placed->retry_after_ms);
-        log_picture(&line, &picture);
+        log_picture(&line, &load);
     }
     log_end(&line);
 }
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -115,7 +115,7 @@
     uint32_t decode_pieces, decode_taken; /**< memory of the decode engines, and what of it nobody can have */
     double backlog_ms;                    /**< prefill work given and not done, over all prefill engines */
     double free_rate;                     /**< decode pieces freed, a ms */
-} sched_picture_t;
+} sched_load_t;
 
 /** One engine as the scheduler sees it, for status pages. */
 typedef struct {
@@ -221,7 +221,7 @@
 void sched_check(const sched_t *sched);
 
 sched_stats_t sched_stats(const sched_t *sched);
-sched_picture_t sched_picture(const sched_t *sched, tc_time_t now);
+sched_load_t sched_load(const sched_t *sched, tc_time_t now);
 
 /** Fill up to @p room views. @return how many engines there are */
 uint32_t sched_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -112,23 +112,23 @@
     return stats;
 }
 
-sched_picture_t sched_picture(const sched_t *s, tc_time_t now)
+sched_load_t sched_load(const sched_t *s, tc_time_t now)
 {
-    sched_picture_t picture = {.queued = s->n_queue, .placed = s->n_placed, .free_rate = s->free_rate};
+    sched_load_t load = {.queued = s->n_queue, .placed = s->n_placed, .free_rate = s->free_rate};
     for (guint i = 0; i < s->engine_list->len; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (!engine_usable(e, now))
             continue;
         if (e->role == ROLE_PREFILL) {
-            picture.prefills++;
-            picture.backlog_ms += engine_backlog(e, now);
+            load.prefills++;
+            load.backlog_ms += engine_backlog(e, now);
             continue;
         }
-        picture.decodes++;
-        picture.decode_pieces += e->pieces;
-        picture.decode_taken += engine_taken(s, e, now);
+        load.decodes++;
+        load.decode_pieces += e->pieces;
+        load.decode_taken += engine_taken(s, e, now);
     }
-    return picture;
+    return load;
 }
 
 uint32_t sched_engines(const sched_t *s, sched_engine_view_t *views, uint32_t room, tc_time_t now)
