--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_reader.c
@@ -46,7 +46,7 @@
 static void take_runs(const question_t *q, const GArray *runs)
 {
     const engine_reader_t *const r = q->reader;
-    sched_holding_t *const held = g_new0(sched_holding_t, runs->len + 1);
+    sched_engine_request_t *const held = g_new0(sched_engine_request_t, runs->len + 1);
     for (guint i = 0; i < runs->len; i++) {
         const dialect_run_t *const run = &g_array_index(runs, dialect_run_t, i);
         codec_copy_string(held[i].engine_id, sizeof(held[i].engine_id), run->id);
--- a/lib/cluster/engine_reader.h
+++ b/lib/cluster/engine_reader.h
@@ -21,7 +21,7 @@
 typedef struct engine_reader engine_reader_t;
 
 /** An engine has answered. @param held requests that it runs, with the pieces of their memory; borrowed for the call */
-typedef void (*engine_reader_fn_t)(void *arg, const char *engine, const sched_holding_t *held, uint32_t n);
+typedef void (*engine_reader_fn_t)(void *arg, const char *engine, const sched_engine_request_t *held, uint32_t n);
 
 /* ===== Public functions ===== */
 
--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -169,7 +169,7 @@
     fill_links(p, &config);
     sched_configure(p->sched, &config, now);
     /* The list is all that is heard of an engine beside what requests report. */
-    sched_engines_listed(p->sched, now);
+    sched_on_engine_list(p->sched, now);
     free(config.engines);
     free(config.leaving);
     free(config.links);
@@ -538,11 +538,12 @@
     return p->sched && sched_is_in_doubt(p->sched, now);
 }
 
-void placing_hear_engine(placing_t *p, const char *engine, const sched_holding_t *held, uint32_t n, tc_time_t now)
+void placing_hear_engine(placing_t *p, const char *engine, const sched_engine_request_t *held, uint32_t n,
+                         tc_time_t now)
 {
     if (!p->sched)
         return;
-    sched_engine_holds(p->sched, engine, held, n, now);
+    sched_set_engine_requests(p->sched, engine, held, n, now);
     pump(p, now);
 }
 
--- a/lib/cluster/placing.h
+++ b/lib/cluster/placing.h
@@ -89,8 +89,8 @@
 
 /** Whether engines should be asked often what they run: as sched_is_in_doubt. */
 bool placing_is_in_doubt(const placing_t *placing, tc_time_t now);
-/** An engine told what it runs: as sched_engine_holds. */
-void placing_hear_engine(placing_t *placing, const char *engine, const sched_holding_t *held, uint32_t n,
+/** An engine told what it runs: as sched_set_engine_requests. */
+void placing_hear_engine(placing_t *placing, const char *engine, const sched_engine_request_t *held, uint32_t n,
                          tc_time_t now);
 
 /** What the two pools have to do, while this box leads and one service alone has engines.
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -374,7 +374,7 @@
     return placing_is_in_doubt(r->placing, tc_time_now());
 }
 
-void replica_hear_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
+void replica_hear_engine(replica_t *r, const char *engine, const sched_engine_request_t *held, uint32_t n)
 {
     placing_hear_engine(r->placing, engine, held, n, tc_time_now());
 }
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -96,8 +96,8 @@
 const backend_t *replica_backends(const replica_t *replica, uint32_t *n);
 /** Whether engines should be asked often what they run: as sched_is_in_doubt. */
 bool replica_is_in_doubt(const replica_t *replica);
-/** An engine told what it runs: as sched_engine_holds. */
-void replica_hear_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
+/** An engine told what it runs: as sched_set_engine_requests. */
+void replica_hear_engine(replica_t *replica, const char *engine, const sched_engine_request_t *held, uint32_t n);
 /** What the pools of engines have to do: as placing_work. */
 const char *replica_work(const replica_t *replica, pool_load_t *work);
 
--- a/lib/request/scheduler.c
+++ b/lib/request/scheduler.c
@@ -117,7 +117,7 @@
                 fresh = *old;
         }
         g_array_append_val(polls, fresh);
-        sched_engine_leaving(h->core, e->name, view_is_leaving(view, e->name), now);
+        sched_set_engine_leaving(h->core, e->name, view_is_leaving(view, e->name), now);
     }
     g_array_free(h->polls, TRUE);
     h->polls = polls;
@@ -291,18 +291,18 @@
         poll->next = now + POLL_EVERY_MS + (tc_time_t)(g_random_int() % POLL_SPREAD_MS);
     }
     if (h && job->rc == TC_OK) {
-        sched_holding_t *const held = calloc(job->state.n_held + 1, sizeof(*held));
+        sched_engine_request_t *const held = calloc(job->state.n_held + 1, sizeof(*held));
         if (!held)
             abort();
         for (uint32_t i = 0; i < job->state.n_held; i++) {
             codec_copy_string(held[i].engine_id, sizeof(held[i].engine_id), job->state.held[i].id);
             held[i].pieces = job->state.held[i].pieces;
         }
-        sched_engine_seen(h->core, job->engine, job->state.incarnation, job->state.leaving || !serves(s, job), held,
-                          job->state.n_held, job->asked, now);
+        sched_on_engine_state(h->core, job->engine, job->state.incarnation, job->state.leaving || !serves(s, job), held,
+                              job->state.n_held, job->asked, now);
         free(held);
     } else if (h) {
-        sched_engine_missed(h->core, job->engine, now);
+        sched_on_engine_timeout(h->core, job->engine, now);
     }
     if (h)
         drain_actions(s, h);
@@ -497,7 +497,7 @@
     cds_list_for_each_entry(h, &s->hosted, node) {
         const sched_stats_t st = sched_stats(h->core);
         json_t *const engines = json_array();
-        const uint32_t n = views ? sched_engines(h->core, views, VIEWS, tc_time_now()) : 0;
+        const uint32_t n = views ? sched_list_engines(h->core, views, VIEWS, tc_time_now()) : 0;
         for (uint32_t i = 0; i < n && i < VIEWS; i++)
             json_array_append_new(engines, json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:f,s:b,s:b}", "name", views[i].name,
                                                      "role", role_names[views[i].role], "pieces", (int)views[i].pieces,
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -95,7 +95,7 @@
 typedef struct {
     char engine_id[CODEC_STR_SIZE + 16];
     uint32_t pieces;
-} sched_holding_t;
+} sched_engine_request_t;
 
 typedef struct {
     uint32_t queued, placed, cancelling, engines;
@@ -165,26 +165,27 @@
 /** The engine answered its state page. @param incarnation changes when it restarted and forgot everything
  * @param leaving it says that it leaves, or it does not (yet) serve what the configuration says
  * @param asked when the page was asked for */
-void sched_engine_seen(sched_t *sched, const char *engine, uint64_t incarnation, bool leaving,
-                       const sched_holding_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now);
+void sched_on_engine_state(sched_t *sched, const char *engine, uint64_t incarnation, bool leaving,
+                           const sched_engine_request_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now);
 
 /** The same of all engines of the configuration, where a list of them is all that is heard: they are there, and as it
  *  says. */
-void sched_engines_listed(sched_t *sched, tc_time_t now);
+void sched_on_engine_list(sched_t *sched, tc_time_t now);
 
 /** An engine told which requests it runs, by their plain ids, as of up to a second ago: what is not counted here is
  *  given to nobody, until it tells otherwise. For engines that end what nobody holds by themselves. */
-void sched_engine_holds(sched_t *sched, const char *engine, const sched_holding_t *held, uint32_t n, tc_time_t now);
+void sched_set_engine_requests(sched_t *sched, const char *engine, const sched_engine_request_t *held, uint32_t n,
+                               tc_time_t now);
 
 /** Whether engines may run what is not counted here: the scheduler has just begun, an engine refused what it had room
  * for by the count, or an entry box is silent and may place by itself. Then it is worth asking them often. */
 bool sched_is_in_doubt(const sched_t *sched, tc_time_t now);
 
 /** The engine did not answer its state page. */
-void sched_engine_missed(sched_t *sched, const char *engine, tc_time_t now);
+void sched_on_engine_timeout(sched_t *sched, const char *engine, tc_time_t now);
 
 /** The platform's list says that the engine is leaving, or is not. */
-void sched_engine_leaving(sched_t *sched, const char *engine, bool leaving, tc_time_t now);
+void sched_set_engine_leaving(sched_t *sched, const char *engine, bool leaving, tc_time_t now);
 
 /** What back ends say of themselves to an entry box: nothing of that box's requests is granted on those that want no
  *  calls of it, for so long. Replaces what the box said before. */
@@ -224,7 +225,7 @@
 sched_load_t sched_load(const sched_t *sched, tc_time_t now);
 
 /** Fill up to @p room views. @return how many engines there are */
-uint32_t sched_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
+uint32_t sched_list_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
 
 /** The id by which an engine knows an attempt of a request. */
 void sched_engine_id(char *to, size_t size, const char *id, uint32_t attempt);
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -131,7 +131,7 @@
     return load;
 }
 
-uint32_t sched_engines(const sched_t *s, sched_engine_view_t *views, uint32_t room, tc_time_t now)
+uint32_t sched_list_engines(const sched_t *s, sched_engine_view_t *views, uint32_t room, tc_time_t now)
 {
     for (guint i = 0; i < s->engine_list->len && i < room; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
--- a/lib/sched/sched_reconcile.c
+++ b/lib/sched/sched_reconcile.c
@@ -46,7 +46,7 @@
 }
 
 /** Look for ids on the engine that no live caller stands behind, and have them cancelled after a grace. */
-static void reconcile(sched_t *s, engine_t *e, const sched_holding_t *held, uint32_t n, tc_time_t now)
+static void reconcile(sched_t *s, engine_t *e, const sched_engine_request_t *held, uint32_t n, tc_time_t now)
 {
     stranger_t *x, *next;
     cds_list_for_each_entry(x, &s->strangers, node)
@@ -114,7 +114,8 @@
     return false;
 }
 
-void sched_engine_holds(sched_t *s, const char *name, const sched_holding_t *held, uint32_t n, tc_time_t now)
+void sched_set_engine_requests(sched_t *s, const char *name, const sched_engine_request_t *held, uint32_t n,
+                               tc_time_t now)
 {
     engine_t *const e = engine_find(s, name);
     if (!e)
@@ -140,21 +141,21 @@
         e->suspect_until = 0;
 }
 
-void sched_engine_seen(sched_t *s, const char *name, uint64_t incarnation, bool leaving, const sched_holding_t *held,
-                       uint32_t n_held, tc_time_t asked, tc_time_t now)
+void sched_on_engine_state(sched_t *s, const char *name, uint64_t incarnation, bool leaving,
+                           const sched_engine_request_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now)
 {
     engine_t *const e = engine_find(s, name);
     if (!e)
         return;
     note_seen(s, e, incarnation, leaving, asked, now);
-    if (!s->adopts) /* else sched_engine_holds tells */
+    if (!s->adopts) /* else sched_set_engine_requests tells */
         reconcile(s, e, held, n_held, now);
     end_rebuild_early(s, now);
     dispatch(s, now);
     ask_cancels(s, now);
 }
 
-void sched_engines_listed(sched_t *s, tc_time_t now)
+void sched_on_engine_list(sched_t *s, tc_time_t now)
 {
     enum { LISTED = 1 }; /* a list tells no incarnations */
     for (guint i = 0; i < s->engine_list->len; i++) {
@@ -170,14 +171,14 @@
     ask_cancels(s, now);
 }
 
-void sched_engine_missed(sched_t *s, const char *name, tc_time_t now)
+void sched_on_engine_timeout(sched_t *s, const char *name, tc_time_t now)
 {
     engine_t *const e = engine_find(s, name);
     if (e && ++e->misses >= MISSES_DOWN)
         e->down = true;
 }
 
-void sched_engine_leaving(sched_t *s, const char *name, bool leaving, tc_time_t now)
+void sched_set_engine_leaving(sched_t *s, const char *name, bool leaving, tc_time_t now)
 {
     engine_t *const e = engine_find(s, name);
     if (e)
--- a/tests/harness/sched_world.c
+++ b/tests/harness/sched_world.c
@@ -96,7 +96,7 @@
 
 static void engine_poll(world_t *w, fake_engine_t *e)
 {
-    sched_holding_t held[128];
+    sched_engine_request_t held[128];
     uint32_t n = 0;
     GHashTableIter iter;
     gpointer id, pieces;
@@ -105,7 +105,7 @@
         codec_copy_string(held[n].engine_id, sizeof(held[n].engine_id), id);
         held[n++].pieces = GPOINTER_TO_UINT(pieces);
     }
-    sched_engine_seen(w->sched, e->name, e->incarnation, false, held, n, w->now, w->now);
+    sched_on_engine_state(w->sched, e->name, e->incarnation, false, held, n, w->now, w->now);
 }
 
 /* ===== Callers ===== */
--- a/tests/platform/test_call_gate.c
+++ b/tests/platform/test_call_gate.c
@@ -53,7 +53,7 @@
     return (lab_reply_t){.bytes = g_strdup("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"runs\":[]}")};
 }
 
-static void on_read(void *arg, const char *engine, const sched_holding_t *held, uint32_t n)
+static void on_read(void *arg, const char *engine, const sched_engine_request_t *held, uint32_t n)
 {
     (void)engine, (void)held, (void)n;
     ((seen_t *)arg)->answers++;
--- a/tests/random/test_quarantine_random.c
+++ b/tests/random/test_quarantine_random.c
@@ -87,7 +87,7 @@
     const config_t config = {.targets = {.max_queue = 512}, .engines = cfg, .engines_n = n};
     sched_configure(w->sched, &config, w->now);
     for (uint32_t i = 0; i < n; i++)
-        sched_engine_seen(w->sched, cfg[i].name, 1, false, NULL, 0, w->now, w->now);
+        sched_on_engine_state(w->sched, cfg[i].name, 1, false, NULL, 0, w->now, w->now);
 }
 
 static void begin_life(world_t *w, int i)
--- a/tests/unit/reading_lab.h
+++ b/tests/unit/reading_lab.h
@@ -60,7 +60,7 @@
     const config_t config = {.targets = {.max_queue = 512}, .engines = engines, .engines_n = n};
     sched_configure(w->sched, &config, w->now);
     for (uint32_t i = 0; i < n; i++)
-        sched_engine_seen(w->sched, engines[i].name, 1, false, NULL, 0, w->now, w->now);
+        sched_on_engine_state(w->sched, engines[i].name, 1, false, NULL, 0, w->now, w->now);
 }
 
 static inline void reading_ask(reading_t *w, unsigned tokens, unsigned workspace)
--- a/tests/unit/test_cold.c
+++ b/tests/unit/test_cold.c
@@ -109,7 +109,7 @@
     w->sent = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     sched_configure(w->sched, &config, now);
     for (int i = 0; i < 2; i++)
-        sched_engine_seen(w->sched, engines[i].name, 1, false, NULL, 0, now, now);
+        sched_on_engine_state(w->sched, engines[i].name, 1, false, NULL, 0, now, now);
     limits_begin(w->limits, now);
 }
 
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -26,7 +26,7 @@
     f->config = (config_t){.targets = {.max_queue = 16}, .engines = f->engines, .engines_n = ENGINES};
     sched_configure(f->sched, &f->config, 0);
     for (int i = 0; i < ENGINES; i++)
-        sched_engine_seen(f->sched, f->engines[i].name, 1, false, NULL, 0, 0, 0);
+        sched_on_engine_state(f->sched, f->engines[i].name, 1, false, NULL, 0, 0, 0);
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
@@ -106,7 +106,7 @@
 static uint32_t reserved(const fixture_t *f, int engine)
 {
     sched_engine_view_t views[ENGINES];
-    (void)sched_engines(f->sched, views, ENGINES, 0);
+    (void)sched_list_engines(f->sched, views, ENGINES, 0);
     return views[engine].reserved;
 }
 
@@ -194,8 +194,9 @@
     place(f, "known", 10, 10);
     char engine[CODEC_STR_SIZE];
     codec_copy_string(engine, sizeof(engine), f->placed.decode);
-    const sched_holding_t held[] = {{.engine_id = "known", .pieces = 10}, {.engine_id = "stranger", .pieces = 60}};
-    sched_engine_holds(f->sched, engine, held, 2, 20);
+    const sched_engine_request_t held[] = {{.engine_id = "known", .pieces = 10},
+                                           {.engine_id = "stranger", .pieces = 60}};
+    sched_set_engine_requests(f->sched, engine, held, 2, 20);
     place(f, "large", 50, 30);
     g_assert_cmpstr(f->placed.decode, !=, engine);
     place(f, "fits", 30, 40); /* beside 10 and 60 */
@@ -204,7 +205,7 @@
     place(f, "waits", 20, 60);
     g_assert_false(f->answered);
     finish(f, "too", 70); /* the engines' word is older than that */
-    sched_engine_holds(f->sched, engine, held, 1, 80);
+    sched_set_engine_requests(f->sched, engine, held, 1, 80);
     sched_tick(f->sched, 90);
     take_answers(f);
     g_assert_true(f->answered && f->placed.granted);
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -336,7 +336,7 @@
         while (sched_stats(s).queued < 8)
             place(s, number++, 60000, 1000);
         const uint64_t before = sched_stats(s).looks;
-        sched_engines_listed(s, 1000);
+        sched_on_engine_list(s, 1000);
         g_assert_cmpfloat(looks_of(s, before, sizes[k], 1), <=, 2);
         sched_destroy(s);
     }
--- a/tests/unit/test_sched_solo.c
+++ b/tests/unit/test_sched_solo.c
@@ -27,7 +27,7 @@
     f->config = (config_t){.targets = {.max_queue = 16}, .engines = f->engines, .engines_n = ENGINES};
     sched_configure(f->sched, &f->config, 0);
     for (int i = 0; i < ENGINES; i++)
-        sched_engine_seen(f->sched, f->engines[i].name, 1, false, NULL, 0, 0, 0);
+        sched_on_engine_state(f->sched, f->engines[i].name, 1, false, NULL, 0, 0, 0);
 }
 
 static void take_answers(fixture_t *f)
