--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -267,7 +267,7 @@
 
 bool placing_takes_calls(const placing_t *p, const char *box, const char *engine, tc_time_t now)
 {
-    return !p->sched || sched_takes_calls(p->sched, box, engine, now);
+    return !p->sched || sched_engine_accepts(p->sched, box, engine, now);
 }
 
 /* ===== Usage caps ===== */
@@ -535,7 +535,7 @@
 
 bool placing_is_in_doubt(const placing_t *p, tc_time_t now)
 {
-    return p->sched && sched_is_in_doubt(p->sched, now);
+    return p->sched && sched_needs_reconcile(p->sched, now);
 }
 
 void placing_hear_engine(placing_t *p, const char *engine, const sched_engine_request_t *held, uint32_t n,
--- a/lib/cluster/placing.h
+++ b/lib/cluster/placing.h
@@ -87,7 +87,7 @@
 /** Engines in these data centres are granted nothing, and count for no pool; copied. */
 void placing_set_evacuations(placing_t *placing, const evacuations_t *evacuations);
 
-/** Whether engines should be asked often what they run: as sched_is_in_doubt. */
+/** Whether engines should be asked often what they run: as sched_needs_reconcile. */
 bool placing_is_in_doubt(const placing_t *placing, tc_time_t now);
 /** An engine told what it runs: as sched_set_engine_requests. */
 void placing_hear_engine(placing_t *placing, const char *engine, const sched_engine_request_t *held, uint32_t n,
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -94,7 +94,7 @@
 /** The list of back ends as it was set last, without regard to engines that change their role; borrowed until it is
  *  set again. NULL with 0 before the first. */
 const backend_t *replica_backends(const replica_t *replica, uint32_t *n);
-/** Whether engines should be asked often what they run: as sched_is_in_doubt. */
+/** Whether engines should be asked often what they run: as sched_needs_reconcile. */
 bool replica_is_in_doubt(const replica_t *replica);
 /** An engine told what it runs: as sched_set_engine_requests. */
 void replica_hear_engine(replica_t *replica, const char *engine, const sched_engine_request_t *held, uint32_t n);
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -179,7 +179,7 @@
 
 /** Whether engines may run what is not counted here: the scheduler has just begun, an engine refused what it had room
  * for by the count, or an entry box is silent and may place by itself. Then it is worth asking them often. */
-bool sched_is_in_doubt(const sched_t *sched, tc_time_t now);
+bool sched_needs_reconcile(const sched_t *sched, tc_time_t now);
 
 /** The engine did not answer its state page. */
 void sched_on_engine_timeout(sched_t *sched, const char *engine, tc_time_t now);
@@ -191,7 +191,7 @@
  *  calls of it, for so long. Replaces what the box said before. */
 void sched_set_notices(sched_t *sched, const char *box, const backend_notice_t *list, uint32_t n, tc_time_t now);
 /** Whether the engine wants calls of the entry box, as far as that has said. */
-bool sched_takes_calls(const sched_t *sched, const char *box, const char *engine, tc_time_t now);
+bool sched_engine_accepts(const sched_t *sched, const char *box, const char *engine, tc_time_t now);
 
 /** From now on no more than @p grants are made on the engine, until this is called again. SCHED_NO_LIMIT: any number.
  *  @return how many were made within the last such number */
--- a/lib/sched/sched_reconcile.c
+++ b/lib/sched/sched_reconcile.c
@@ -99,7 +99,7 @@
     }
 }
 
-bool sched_is_in_doubt(const sched_t *s, tc_time_t now)
+bool sched_needs_reconcile(const sched_t *s, tc_time_t now)
 {
     if (now < s->doubt_until)
         return true;
--- a/lib/sched/sched_request.c
+++ b/lib/sched/sched_request.c
@@ -83,7 +83,7 @@
     return false;
 }
 
-bool sched_takes_calls(const sched_t *s, const char *box, const char *engine, tc_time_t now)
+bool sched_engine_accepts(const sched_t *s, const char *box, const char *engine, tc_time_t now)
 {
     const owner_t *const owner = g_hash_table_lookup(s->owners, box);
     const engine_t *const e = engine_find(s, engine);
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -215,12 +215,12 @@
 static void test_doubt(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    g_assert_true(sched_is_in_doubt(f->sched, 10)); /* it has just begun */
-    g_assert_false(sched_is_in_doubt(f->sched, 10000));
+    g_assert_true(sched_needs_reconcile(f->sched, 10)); /* it has just begun */
+    g_assert_false(sched_needs_reconcile(f->sched, 10000));
     list(f, NULL, 0, "", 10000);
-    g_assert_false(sched_is_in_doubt(f->sched, 10100));
-    g_assert_true(sched_is_in_doubt(f->sched, 12000));  /* its box is silent, and may place by itself */
-    g_assert_false(sched_is_in_doubt(f->sched, 60000)); /* and is gone */
+    g_assert_false(sched_needs_reconcile(f->sched, 10100));
+    g_assert_true(sched_needs_reconcile(f->sched, 12000));  /* its box is silent, and may place by itself */
+    g_assert_false(sched_needs_reconcile(f->sched, 60000)); /* and is gone */
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_sched_solo.c
+++ b/tests/unit/test_sched_solo.c
@@ -116,10 +116,10 @@
     tick(&f, SOLO_AFTER + 1);
     g_assert_true(f.answered[0] && f.placed[0].granted);
     g_assert_cmpstr(f.placed[0].decode, ==, "e2");
-    g_assert_false(sched_takes_calls(f.sched, "box", "e1", SOLO_AFTER + 1));
-    g_assert_true(sched_takes_calls(f.sched, "another box", "e1", SOLO_AFTER + 1));
+    g_assert_false(sched_engine_accepts(f.sched, "box", "e1", SOLO_AFTER + 1));
+    g_assert_true(sched_engine_accepts(f.sched, "another box", "e1", SOLO_AFTER + 1));
     sched_set_notices(f.sched, "box", NULL, 0, SOLO_AFTER + 1);
-    g_assert_true(sched_takes_calls(f.sched, "box", "e1", SOLO_AFTER + 1));
+    g_assert_true(sched_engine_accepts(f.sched, "box", "e1", SOLO_AFTER + 1));
     sched_destroy(f.sched);
 }
 
