--- a/lib/sched/sched_choose.c
+++ b/lib/sched/sched_choose.c
@@ -118,7 +118,7 @@
             offer_prefill(s, e, r, choice, now);
     }
     pool->from = n > 0 ? (from + looked) % n : 0;
-    s->stats.looks += looked;
+    s->stats.engines_scanned += looked;
 }
 
 /** Find the best engines of each data centre, and count those that could be taken. */
@@ -194,7 +194,7 @@
     choice_t best = {.reason = "no prefill engine is free"};
     const engine_t *const avoid = r->avoid[0] ? engine_find(s, r->avoid) : NULL;
     uint32_t prefills = 0, decodes = 0;
-    s->stats.looks += s->engine_list->len;
+    s->stats.engines_scanned += s->engine_list->len;
     for (guint i = 0; i < s->engine_list->len; i++) {
         engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (e->model != r->model || !engine_usable(e, now) || owner_is_closed(r->owner, e, now))
@@ -302,7 +302,7 @@
     supply_t supply = {.least_ms = INFINITY};
     double least_solo_ms = INFINITY;
     uint32_t prefills = 0, decodes = 0;
-    s->stats.looks += s->engine_list->len;
+    s->stats.engines_scanned += s->engine_list->len;
     for (guint i = 0; i < s->engine_list->len; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (e->model != r->model || !engine_grantable(e, now))
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -252,7 +252,7 @@
 
 static double looks_of(const sched_t *s, uint64_t before, uint32_t engines, unsigned requests)
 {
-    return (double)(sched_stats(s).looks - before) / engines / requests;
+    return (double)(sched_stats(s).engines_scanned - before) / engines / requests;
 }
 
 /* Streams of a calm day ran in another data centre than their boxes in four of five cases: pairs of engines that cost
@@ -303,7 +303,7 @@
         for (unsigned i = 0; i < PLACEMENTS; i++)
             place(s, i, 900, 1000 + (tc_time_t)i);
         g_assert_cmpuint(sched_stats(s).granted, ==, PLACEMENTS);
-        looks[k] = sched_stats(s).looks;
+        looks[k] = sched_stats(s).engines_scanned;
         sched_destroy(s);
     }
     g_assert_cmpuint(looks[1], <=, looks[0] + looks[0] / 20);
@@ -335,7 +335,7 @@
         unsigned number = 0;
         while (sched_stats(s).queued < 8)
             place(s, number++, 60000, 1000);
-        const uint64_t before = sched_stats(s).looks;
+        const uint64_t before = sched_stats(s).engines_scanned;
         sched_on_engine_list(s, 1000);
         g_assert_cmpfloat(looks_of(s, before, sizes[k], 1), <=, 2);
         sched_destroy(s);
@@ -352,7 +352,7 @@
         unsigned number = 0;
         while (sched_stats(s).queued < BURST / 2)
             place(s, number++, 60000, 1000);
-        const uint64_t before = sched_stats(s).looks;
+        const uint64_t before = sched_stats(s).engines_scanned;
         for (unsigned i = 0; i < PLACED; i++)
             place(s, number++, 60000, 1000);
         g_assert_cmpuint(sched_stats(s).queued, >, BURST / 2);
@@ -382,7 +382,7 @@
     while (sched_next_action(s, &action))
         repeated += action.u.answer.repeated; /* of the call before */
     g_assert_cmpuint(repeated, ==, 100);
-    g_assert_cmpuint(sched_stats(s).looks, ==, before.looks);
+    g_assert_cmpuint(sched_stats(s).engines_scanned, ==, before.engines_scanned);
     g_assert_cmpuint(sched_stats(s).queued, ==, before.queued);
     sched_check(s);
     sched_destroy(s);
