--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -99,7 +99,7 @@
 {
     enum { REQUESTS = 4000 };
     config_t config = make_cell(engines);
-    const sched_options_t options = {.cell = "main", .epoch = 1, .share_of = 1};
+    const sched_options_t options = {.cell = "main", .epoch = 1, .share_count = 1};
     sched_t *const s = sched_create(&options, 1000);
     sched_configure(s, &config, 1000);
     const unsigned held = engines / 2 * 15; /* three quarters of what the decode engines hold */
--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -566,7 +566,7 @@
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
                                          .solo_after = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
-                                         .adopts = mechanism_is_on(MECHANISM_ADOPTION)};
+                                         .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
         p->sched = sched_create(&options, now);
         p->term = term;
         configure(p, now);
--- a/lib/request/scheduler.c
+++ b/lib/request/scheduler.c
@@ -100,7 +100,7 @@
 {
     const view_t *const view = s->entry->view.current;
     if (h->share)
-        sched_set_share(h->core, view->n_members);
+        sched_set_share_count(h->core, view->n_members);
     sched_expect_reports(h->core, view->n_members);
     sched_configure(h->core, view_config(view), now);
     GArray *const polls = g_array_new(FALSE, TRUE, sizeof(poll_t));
@@ -133,7 +133,7 @@
     h->epoch = epoch;
     h->share = share;
     h->polls = g_array_new(FALSE, TRUE, sizeof(poll_t));
-    const sched_options_t options = {.cell = cell, .epoch = epoch, .share_of = 1, .rebuild = !share};
+    const sched_options_t options = {.cell = cell, .epoch = epoch, .share_count = 1, .rebuild = !share};
     h->core = sched_create(&options, now);
     cds_list_add(&h->node, &s->hosted);
     counter_add(&c_hosted, 1);
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -169,7 +169,7 @@
 static void configure_engine(sched_t *s, const engine_cfg_t *cfg)
 {
     model_t *const model = model_get(s, cfg->model);
-    model_begin_rate(model, cfg->prefill_rate / 1000.0 / s->share_of);
+    model_begin_rate(model, cfg->prefill_rate / 1000.0 / s->share_count);
     engine_t *e = engine_find(s, cfg->name);
     if (!e) {
         e = g_new0(engine_t, 1);
@@ -191,7 +191,7 @@
     e->dc = dc_place(s, cfg->dc);
     e->model = model;
     e->role = cfg->role;
-    e->pieces = cfg->pieces / s->share_of;
+    e->pieces = cfg->pieces / s->share_count;
     e->max_batch = cfg->max_batch;
     e->configured = true;
     e->leaving_config = false;
@@ -234,9 +234,9 @@
     }
 }
 
-void sched_set_share(sched_t *s, uint32_t share_of)
+void sched_set_share_count(sched_t *s, uint32_t share_count)
 {
-    s->share_of = share_of > 0 ? share_of : 1;
+    s->share_count = share_count > 0 ? share_count : 1;
 }
 
 void sched_configure(sched_t *s, const config_t *config, tc_time_t now)
@@ -274,11 +274,11 @@
     sched_t *const s = g_new0(sched_t, 1);
     codec_copy_string(s->cell, sizeof(s->cell), options->cell);
     s->epoch = options->epoch;
-    s->share_of = options->share_of > 0 ? options->share_of : 1;
+    s->share_count = options->share_count > 0 ? options->share_count : 1;
     s->piece_tokens = options->piece_tokens > 0 ? options->piece_tokens : SCHED_PIECE_TOKENS;
     s->solo_after = options->solo_after;
     s->rebuilding = options->rebuild;
-    s->adopts = options->adopts;
+    s->adopt_unknown = options->adopt_unknown;
     s->rebuild_from = now;
     s->admit_from = options->rebuild ? now + SCHED_REBUILD_MS : now;
     s->doubt_until = now + DOUBT_MS;
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -61,13 +61,13 @@
 typedef struct {
     const char *cell;      /**< engines with this cell belong to the scheduler */
     uint64_t epoch;        /**< of the lease */
-    uint32_t share_of;     /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
+    uint32_t share_count;  /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
     uint32_t piece_tokens; /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
     tc_time_t solo_after; /**< a request that no prefill engine took for this long, ms, may be read by its decode engine
                                itself, one at a time there; 0: never */
     bool rebuild;         /**< start with SCHED_REBUILD_MS of learning */
-    bool adopts;          /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
-                               what nobody here knows outside a rebuild is a request whose lease lapsed */
+    bool adopt_unknown;   /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
+                        what nobody here knows outside a rebuild is a request whose lease lapsed */
 } sched_options_t;
 
 typedef enum { SCHED_ACT_ANSWER, SCHED_ACT_CANCEL } sched_action_kind_t;
@@ -140,8 +140,8 @@
 /** So many entry boxes are live: once all of them have renewed, a rebuilding scheduler need not wait any longer. */
 void sched_expect_reports(sched_t *sched, uint32_t boxes);
 
-/** Policy "share": from now on this is one of @p share_of equal parts. Call before sched_configure. */
-void sched_set_share(sched_t *sched, uint32_t share_of);
+/** Policy "share": from now on this is one of @p share_count equal parts. Call before sched_configure. */
+void sched_set_share_count(sched_t *sched, uint32_t share_count);
 
 /** A request asks for engines; answered later through SCHED_ACT_ANSWER, by its deadline at the latest. */
 void sched_place(sched_t *sched, const msg_place_t *place, sched_token_t token, tc_time_t now);
--- a/lib/sched/sched_choose.c
+++ b/lib/sched/sched_choose.c
@@ -25,7 +25,7 @@
 
 static bool decode_fits(const sched_t *s, const engine_t *e, const request_t *r, tc_time_t now)
 {
-    const uint32_t batch_limit = e->max_batch / s->share_of > 0 ? e->max_batch / s->share_of : 1;
+    const uint32_t batch_limit = e->max_batch / s->share_count > 0 ? e->max_batch / s->share_count : 1;
     return engine_taken(s, e, now) + r->pieces <= e->pieces && e->batch < batch_limit;
 }
 
--- a/lib/sched/sched_engine.c
+++ b/lib/sched/sched_engine.c
@@ -221,5 +221,5 @@
     if (!link)
         return tokens * 1000.0 / FALLBACK_LINK_RATE;
     /* The other entries' shares of the link are not known to a share: it counts on its part only. */
-    return (link->outstanding + tokens) / (link->rate / s->share_of);
+    return (link->outstanding + tokens) / (link->rate / s->share_count);
 }
--- a/lib/sched/sched_internal.h
+++ b/lib/sched/sched_internal.h
@@ -220,7 +220,7 @@
 struct sched {
     char cell[CODEC_STR_SIZE];
     uint64_t epoch;
-    uint32_t share_of;
+    uint32_t share_count;
     uint32_t piece_tokens; /* memory is counted in pieces of this size */
     tc_time_t solo_after;  /* 0: decode engines read no prompts */
     tc_time_t admit_from;
@@ -228,7 +228,7 @@
     tc_time_t rebuild_from;
     uint32_t expected, reports; /* live entry boxes, and how many of them have renewed */
     bool rebuilding;            /* began with the requests of a scheduler before it */
-    bool adopts;                /* as in sched_options_t */
+    bool adopt_unknown;         /* as in sched_options_t */
     bool suspended;             /* nothing is granted now */
     targets_cfg_t targets;
     GHashTable *requests; /* id -> request_t, owned by the lists */
--- a/lib/sched/sched_lease.c
+++ b/lib/sched/sched_lease.c
@@ -39,7 +39,7 @@
  *  let go of it. */
 static bool is_news(const sched_t *s, tc_time_t now)
 {
-    return s->adopts || (s->rebuilding && now < s->admit_from + SCHED_LEASE_MS);
+    return s->adopt_unknown || (s->rebuilding && now < s->admit_from + SCHED_LEASE_MS);
 }
 
 /** Whether the box that holds a request has placed it anew by itself. */
@@ -57,7 +57,7 @@
     for (uint32_t i = 0; i < renew->held_n; i++) {
         const held_t *const held = &renew->held[i];
         request_t *r = g_hash_table_lookup(s->requests, held->id);
-        if (r && s->adopts && has_moved(r, owner, held)) {
+        if (r && s->adopt_unknown && has_moved(r, owner, held)) {
             withdraw(s, r, false, now);
             request_forget(s, r);
             r = NULL;
--- a/lib/sched/sched_reconcile.c
+++ b/lib/sched/sched_reconcile.c
@@ -148,7 +148,7 @@
     if (!e)
         return;
     note_seen(s, e, incarnation, leaving, asked, now);
-    if (!s->adopts) /* else sched_set_engine_requests tells */
+    if (!s->adopt_unknown) /* else sched_set_engine_requests tells */
         reconcile(s, e, held, n_held, now);
     end_rebuild_early(s, now);
     dispatch(s, now);
@@ -163,7 +163,7 @@
         if (!e->configured)
             continue;
         note_seen(s, e, LISTED, false, now, now);
-        if (!s->adopts)
+        if (!s->adopt_unknown)
             reconcile(s, e, NULL, 0, now);
     }
     end_rebuild_early(s, now);
--- a/tests/harness/sched_world.c
+++ b/tests/harness/sched_world.c
@@ -377,7 +377,7 @@
 
 static sched_t *make_sched(world_t *w)
 {
-    const sched_options_t options = {.cell = "main", .epoch = ++w->epoch, .share_of = 1, .rebuild = w->epoch > 1};
+    const sched_options_t options = {.cell = "main", .epoch = ++w->epoch, .share_count = 1, .rebuild = w->epoch > 1};
     sched_t *const s = sched_create(&options, w->now);
     sched_expect_reports(s, ENTRIES);
     sched_configure(s, &w->config, w->now);
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -18,7 +18,7 @@
 static void set_up(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    const sched_options_t options = {.cell = "c", .epoch = EPOCH, .piece_tokens = 16, .adopts = true};
+    const sched_options_t options = {.cell = "c", .epoch = EPOCH, .piece_tokens = 16, .adopt_unknown = true};
     f->sched = sched_create(&options, 0);
     /* Prompts take no time to speak of. */
     const engine_cfg_t like = {.pieces = PIECES, .max_batch = 8, .prefill_rate = 1000000};
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -132,7 +132,7 @@
 static bool may_serve(const sched_t *s, const engine_t *e, const request_t *r, role_t role)
 {
     return !is_closed(r, e) && is_apart(r, e) && e->role == role && strcmp(e->model->name, "m") == 0 &&
-           engine_grantable(e, NOW) && strcmp(e->name, r->avoid) != 0 && s->share_of == 1;
+           engine_grantable(e, NOW) && strcmp(e->name, r->avoid) != 0 && s->share_count == 1;
 }
 
 static bool has_room(const sched_t *s, const engine_t *e, const request_t *r)
