--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -564,7 +564,7 @@
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
-                                         .solo_after = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
+                                         .local_prefill_after_ms = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
                                          .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
         p->sched = sched_create(&options, now);
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -147,7 +147,7 @@
     bool asked;           /* the scheduler was asked, or there was none to ask */
     bool prefill_granted; /* the leader has counted a call to the prefill engine that it chose, and none was made; */
     bool decode_granted;  /* the same of the decode engine */
-    bool solo;            /* the decode engine of this placement is to read the prompt itself: see place_is_solo */
+    bool local_prefill;   /* the decode engine of this placement is to read the prompt itself: see place_is_solo */
     unsigned questions;   /* that were put to it */
     uint32_t attempt;     /* what the scheduler counts it as, 0 for nothing */
     char prefill[CODEC_STR_SIZE];
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -99,7 +99,7 @@
     counter_add(&c_granted, 1);
     histogram_add(&h_place, tc_time_now() - f->request.arrived);
     f->placement.attempt = placed->attempt;
-    f->placement.solo = !placed->prefill[0] && !f->handle.instance;
+    f->placement.local_prefill = !placed->prefill[0] && !f->handle.instance;
     f->placement.prefill_granted = placed->prefill[0] && !f->handle.instance;
     f->placement.decode_granted = true;
     if (placed->prefill[0])
@@ -268,7 +268,7 @@
 
 bool place_is_solo(const forward_t *f)
 {
-    instance_t *const chosen = f->placement.solo ? place_chosen(f, STAGE_DECODE) : NULL;
+    instance_t *const chosen = f->placement.local_prefill ? place_chosen(f, STAGE_DECODE) : NULL;
     if (!chosen)
         return false;
     instance_unref(chosen);
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -276,7 +276,7 @@
     s->epoch = options->epoch;
     s->share_count = options->share_count > 0 ? options->share_count : 1;
     s->piece_tokens = options->piece_tokens > 0 ? options->piece_tokens : SCHED_PIECE_TOKENS;
-    s->solo_after = options->solo_after;
+    s->local_prefill_after_ms = options->local_prefill_after_ms;
     s->rebuilding = options->rebuild;
     s->adopt_unknown = options->adopt_unknown;
     s->rebuild_from = now;
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -59,15 +59,15 @@
 } sched_token_t;
 
 typedef struct {
-    const char *cell;      /**< engines with this cell belong to the scheduler */
-    uint64_t epoch;        /**< of the lease */
-    uint32_t share_count;  /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
-    uint32_t piece_tokens; /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
-    tc_time_t solo_after; /**< a request that no prefill engine took for this long, ms, may be read by its decode engine
-                               itself, one at a time there; 0: never */
-    bool rebuild;         /**< start with SCHED_REBUILD_MS of learning */
-    bool adopt_unknown;   /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
-                        what nobody here knows outside a rebuild is a request whose lease lapsed */
+    const char *cell;                 /**< engines with this cell belong to the scheduler */
+    uint64_t epoch;                   /**< of the lease */
+    uint32_t share_count;             /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
+    uint32_t piece_tokens;            /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
+    tc_time_t local_prefill_after_ms; /**< a request that no prefill engine took for this long, ms, may be read by its
+                               decode engine itself, one at a time there; 0: never */
+    bool rebuild;                     /**< start with SCHED_REBUILD_MS of learning */
+    bool adopt_unknown; /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
+                      what nobody here knows outside a rebuild is a request whose lease lapsed */
 } sched_options_t;
 
 typedef enum { SCHED_ACT_ANSWER, SCHED_ACT_CANCEL } sched_action_kind_t;
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -37,7 +37,7 @@
         if (r->decode) {
             r->decode->counted.pieces += r->pieces;
             r->decode->counted.batch++;
-            r->decode->counted.solos += r->solo;
+            r->decode->counted.local_prefills += r->local_prefill;
             r->decode->counted.suspects += r->ends >= 1;
             r->decode->counted.twice += r->ends >= 2;
         }
@@ -74,7 +74,7 @@
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         assert(e->counted.pieces == e->reserved); /* no piece is held by nobody, none is held twice */
         assert(e->counted.batch == e->batch);
-        assert(e->counted.solos == e->solos && e->solos <= 1);
+        assert(e->counted.local_prefills == e->local_prefills && e->local_prefills <= 1);
         assert(e->counted.prefills == e->prefills);
         assert(e->counted.suspects == e->suspects && e->counted.twice == e->twice);
     }
--- a/lib/sched/sched_choose.c
+++ b/lib/sched/sched_choose.c
@@ -177,7 +177,7 @@
 /* ===== Decode engines that read prompts ===== */
 
 /** A decode engine reads a prompt at this part of a prefill engine's pace, between the tokens of others. */
-static const double SOLO_PACE = 0.4;
+static const double LOCAL_PREFILL_SPEED = 0.4;
 
 /** So many decode engines a prefill engine, or more: prompts wait for prefill engines while memory is free. Where the
  *  pools are in proportion, a burst runs out of both, and reading prompts on decode engines only slows their streams.
@@ -189,7 +189,7 @@
     return decodes >= SHORT_OF_PREFILL * prefills;
 }
 
-choice_t choose_solo(sched_t *s, const request_t *r, tc_time_t now)
+choice_t choose_local_prefill(sched_t *s, const request_t *r, tc_time_t now)
 {
     choice_t best = {.reason = "no prefill engine is free"};
     const engine_t *const avoid = r->avoid[0] ? engine_find(s, r->avoid) : NULL;
@@ -201,7 +201,7 @@
             continue;
         prefills += e->role == ROLE_PREFILL;
         decodes += e->role == ROLE_DECODE;
-        if (e == avoid || e->solos > 0 || !decode_candidate(s, e, r, now))
+        if (e == avoid || e->local_prefills > 0 || !decode_candidate(s, e, r, now))
             continue;
         best.decodes++;
         if (!best.decode || decode_cost(e, r) < decode_cost(best.decode, r))
@@ -210,7 +210,7 @@
     if (!is_short_of_prefill(prefills, decodes))
         best.decode = NULL;
     if (best.decode)
-        best.total_ms = engine_prefill_ms(best.decode, r) / SOLO_PACE + TPOT_MS;
+        best.total_ms = engine_prefill_ms(best.decode, r) / LOCAL_PREFILL_SPEED + TPOT_MS;
     return best;
 }
 
@@ -229,7 +229,7 @@
     model->pass = s->pass;
     model->no_prefill = false;
     model->no_decode_from = UINT32_MAX;
-    model->no_solo_from = UINT32_MAX;
+    model->no_local_prefill_from = UINT32_MAX;
 }
 
 /** Whether what one request does not get, no later one of its model and size gets either: it shuns no engine, none is
@@ -273,12 +273,13 @@
         return (choice_t){.reason = "the same runs already, and a back end has ended under it"};
     begin_findings(s, model);
     const choice_t pair = choose_pair_in_pass(s, r, model, now);
-    if (pair.decode || s->solo_after == 0 || now - r->queued_at < s->solo_after || r->pieces >= model->no_solo_from)
+    if (pair.decode || s->local_prefill_after_ms == 0 || now - r->queued_at < s->local_prefill_after_ms ||
+        r->pieces >= model->no_local_prefill_from)
         return pair;
-    const choice_t solo = choose_solo(s, r, now);
-    if (!solo.decode && speaks_for_others(r))
-        model->no_solo_from = r->pieces;
-    return solo;
+    const choice_t local = choose_local_prefill(s, r, now);
+    if (!local.decode && speaks_for_others(r))
+        model->no_local_prefill_from = r->pieces;
+    return local;
 }
 
 /* ===== Estimates ===== */
@@ -300,7 +301,7 @@
 {
     const engine_t *const avoid = r->avoid[0] ? engine_find(s, r->avoid) : NULL;
     supply_t supply = {.least_ms = INFINITY};
-    double least_solo_ms = INFINITY;
+    double least_local_ms = INFINITY;
     uint32_t prefills = 0, decodes = 0;
     s->stats.engines_scanned += s->engine_list->len;
     for (guint i = 0; i < s->engine_list->len; i++) {
@@ -311,8 +312,8 @@
             const uint32_t taken = engine_taken(s, e, now);
             supply.free_pieces += taken < e->pieces ? e->pieces - taken : 0;
             decodes++;
-            if (s->solo_after > 0)
-                least_solo_ms = MIN(least_solo_ms, engine_prefill_ms(e, r) / SOLO_PACE);
+            if (s->local_prefill_after_ms > 0)
+                least_local_ms = MIN(least_local_ms, engine_prefill_ms(e, r) / LOCAL_PREFILL_SPEED);
         } else {
             prefills++;
             supply.backlog_ms += engine_backlog(e, now);
@@ -321,9 +322,9 @@
         }
     }
     supply.prefills = prefills;
-    if (s->solo_after > 0 && is_short_of_prefill(prefills, decodes)) {
-        supply.prefills += SOLO_PACE * decodes;
-        supply.least_ms = MIN(supply.least_ms, least_solo_ms);
+    if (s->local_prefill_after_ms > 0 && is_short_of_prefill(prefills, decodes)) {
+        supply.prefills += LOCAL_PREFILL_SPEED * decodes;
+        supply.least_ms = MIN(supply.least_ms, least_local_ms);
     }
     return supply;
 }
--- a/lib/sched/sched_internal.h
+++ b/lib/sched/sched_internal.h
@@ -68,14 +68,14 @@
     pool_t pools[2]; /* by role */
     /* What dispatch has found out in the pass of this number: nothing frees engines in the middle of a pass. */
     uint64_t pass;
-    bool no_prefill;         /* no prefill engine takes more work */
-    uint32_t no_decode_from; /* no decode engine has room for so many pieces, or more */
-    uint32_t no_solo_from;   /* the same of decode engines that would read the prompt */
+    bool no_prefill;                /* no prefill engine takes more work */
+    uint32_t no_decode_from;        /* no decode engine has room for so many pieces, or more */
+    uint32_t no_local_prefill_from; /* the same of decode engines that would read the prompt */
 } model_t;
 
 /** What requests and cancels hold of an engine. */
 typedef struct {
-    uint32_t pieces, batch, prefills, solos, suspects, twice;
+    uint32_t pieces, batch, prefills, local_prefills, suspects, twice;
 } tally_t;
 
 /** What a choice looks at comes first: it looks at all engines, and a cache line holds 64 bytes. */
@@ -88,16 +88,16 @@
     bool leaving_self; /* does not serve its configured role, model and version, or says that it leaves */
     bool down;
     uint32_t pieces, max_batch;
-    uint32_t reserved;    /* pieces of placed and cancelling requests */
-    uint32_t foreign;     /* pieces of ids that no request accounts for: not given to anybody */
-    uint32_t unseen;      /* pieces that are taken though nothing here accounts for them, as a refusal has shown, */
-    tc_time_t unseen_at;  /* then */
-    uint32_t batch;       /* requests placed for decode */
-    uint32_t solos;       /* of these, whose prompt this decode engine reads itself and has not finished */
-    uint32_t suspects;    /* requests that it runs or reads the prompt of, under which a back end has ended, */
-    uint32_t twice;       /* and of these, under which two have */
-    uint32_t grants_left; /* SCHED_NO_LIMIT: any number */
-    uint32_t grants_made; /* of a number that was set */
+    uint32_t reserved;       /* pieces of placed and cancelling requests */
+    uint32_t foreign;        /* pieces of ids that no request accounts for: not given to anybody */
+    uint32_t unseen;         /* pieces that are taken though nothing here accounts for them, as a refusal has shown, */
+    tc_time_t unseen_at;     /* then */
+    uint32_t batch;          /* requests placed for decode */
+    uint32_t local_prefills; /* of these, whose prompt this decode engine reads itself and has not finished */
+    uint32_t suspects;       /* requests that it runs or reads the prompt of, under which a back end has ended, */
+    uint32_t twice;          /* and of these, under which two have */
+    uint32_t grants_left;    /* SCHED_NO_LIMIT: any number */
+    uint32_t grants_made;    /* of a number that was set */
     tc_time_t suspect_until;
     tc_time_t stalled_until;  /* a handover to it stalled: no more of them, whatever its state page says */
     tc_time_t outdated_until; /* it is not what the configuration says, or no longer there */
@@ -187,7 +187,7 @@
     double link_tokens; /* counted in link->outstanding */
     bool long_transfer; /* counted in link->long_transfers */
     bool waiting;       /* token has not been answered */
-    bool solo;          /* counted in decode->solos */
+    bool local_prefill; /* counted in decode->local_prefills */
     bool prefilling;    /* counted in prefill->prefills, */
     uint32_t read_ends; /* and with so many ends in its suspects and twice */
 } request_t;
@@ -221,8 +221,8 @@
     char cell[CODEC_STR_SIZE];
     uint64_t epoch;
     uint32_t share_count;
-    uint32_t piece_tokens; /* memory is counted in pieces of this size */
-    tc_time_t solo_after;  /* 0: decode engines read no prompts */
+    uint32_t piece_tokens;            /* memory is counted in pieces of this size */
+    tc_time_t local_prefill_after_ms; /* 0: decode engines read no prompts */
     tc_time_t admit_from;
     tc_time_t doubt_until; /* engines may run what is not counted here */
     tc_time_t rebuild_from;
@@ -312,9 +312,9 @@
  *  their data centres, so the best engines of each data centre are all that need be paired. */
 choice_t choose_pair(sched_t *s, const request_t *r, bool keep_prefill, tc_time_t now);
 /** Best decode engine that would read the prompt itself, if a request may do without a prefill engine by now. */
-choice_t choose_solo(sched_t *s, const request_t *r, tc_time_t now);
-/** choose_pair, then choose_solo, for a queued request; without a look where an earlier request of this pass has shown
- *  that there is nothing. Call between two calls of begin_pass. */
+choice_t choose_local_prefill(sched_t *s, const request_t *r, tc_time_t now);
+/** choose_pair, then choose_local_prefill, for a queued request; without a look where an earlier request of this pass
+ * has shown that there is nothing. Call between two calls of begin_pass. */
 choice_t choose_queued(sched_t *s, const request_t *r, tc_time_t now);
 void begin_pass(sched_t *s);
 /** Estimated ms until a request with this due time could start, judged by the queue ahead of it. */
@@ -328,7 +328,7 @@
 void reserve(sched_t *s, request_t *r, const choice_t *choice, tc_time_t now);
 void end_prefill_work(request_t *r, tc_time_t now);
 void end_transfer(request_t *r);
-void end_solo(request_t *r);
+void end_local_prefill(request_t *r);
 /** Give the pieces back; the engine has let go of them by itself. */
 void release_decode(sched_t *s, request_t *r, tc_time_t now);
 /** Give the pieces back only once the engine confirms a cancel. */
--- a/lib/sched/sched_place.c
+++ b/lib/sched/sched_place.c
@@ -35,7 +35,7 @@
     placed->est_ttft_ms = choice->total_ms < 1e9 ? (uint32_t)choice->total_ms : 0;
     placed->candidates = choice->prefills + choice->decodes;
     codec_copy_string(placed->reason, sizeof(placed->reason),
-                      replan ? "replanned" : (r->solo ? "read by its decode engine" : "lowest estimate"));
+                      replan ? "replanned" : (r->local_prefill ? "read by its decode engine" : "lowest estimate"));
     s->stats.granted++;
 }
 
@@ -329,7 +329,7 @@
     case PHASE_DECODE:
         end_prefill_work(r, now);
         end_transfer(r);
-        end_solo(r);
+        end_local_prefill(r);
         r->phase = PHASE_DECODE;
         if (r->decode)
             r->decode->failures = 0;
--- a/lib/sched/sched_reserve.c
+++ b/lib/sched/sched_reserve.c
@@ -56,10 +56,10 @@
     count_decode(r);
     take_link(r, choice->link);
     engine_t *const p = choice->prefill;
-    if (!p) {                                 /* the decode engine reads the prompt itself */
-        assert(!r->prefill && d->solos == 0); /* one at a time, and only where no prefill engine has begun */
-        r->solo = true;
-        d->solos++;
+    if (!p) {                                          /* the decode engine reads the prompt itself */
+        assert(!r->prefill && d->local_prefills == 0); /* one at a time, and only where no prefill engine has begun */
+        r->local_prefill = true;
+        d->local_prefills++;
         return;
     }
     if (r->prefill == p)
@@ -96,13 +96,13 @@
     p->backlog_at = now;
 }
 
-void end_solo(request_t *r)
+void end_local_prefill(request_t *r)
 {
-    if (!r->solo)
+    if (!r->local_prefill)
         return;
-    assert(r->decode && r->decode->solos > 0); /* solo is set only together with the count */
-    r->solo = false;
-    r->decode->solos--;
+    assert(r->decode && r->decode->local_prefills > 0); /* solo is set only together with the count */
+    r->local_prefill = false;
+    r->decode->local_prefills--;
 }
 
 void end_transfer(request_t *r)
@@ -129,7 +129,7 @@
 void release_decode(sched_t *s, request_t *r, tc_time_t now)
 {
     end_transfer(r);
-    end_solo(r);
+    end_local_prefill(r);
     if (!r->decode)
         return;
     free_pieces(r->decode, r->pieces);
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -231,7 +231,7 @@
     for (uint32_t i = 0; i < n; i++)
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%u", i % 5);
     const config_t config = {.targets = {.max_queue = BURST}, .engines = engines, .engines_n = n};
-    const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 32, .solo_after = 120};
+    const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 32, .local_prefill_after_ms = 120};
     sched_t *const s = sched_create(&options, 0);
     sched_configure(s, &config, 0);
     g_free(engines);
--- a/tests/unit/test_sched_solo.c
+++ b/tests/unit/test_sched_local_prefill.c
@@ -6,7 +6,7 @@
 
 #include "unit/sched_lab.h"
 
-enum { ENGINES = 4, SOLO_AFTER = 100 };
+enum { ENGINES = 4, LOCAL_PREFILL_AFTER_MS = 100 };
 
 typedef struct {
     sched_t *sched;
@@ -20,7 +20,8 @@
 static void set_up(fixture_t *f, int prefills)
 {
     memset(f, 0, sizeof(*f));
-    const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 256, .solo_after = SOLO_AFTER};
+    const sched_options_t options = {
+        .cell = "c", .epoch = 1, .piece_tokens = 256, .local_prefill_after_ms = LOCAL_PREFILL_AFTER_MS};
     f->sched = sched_create(&options, 0);
     const engine_cfg_t like = {.pieces = 1000, .max_batch = 8, .prefill_rate = 10000};
     lab_fill_engines(f->engines, ENGINES, prefills, &like);
@@ -67,20 +68,20 @@
     for (uint64_t i = 1; i <= 5; i++)
         place(&f, i, 1); /* the prefill engine has half a second of work */
     g_assert_false(f.answered[1]);
-    tick(&f, SOLO_AFTER + 1);
-    unsigned solos = 0;
+    tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
+    unsigned local_prefills = 0;
     for (int i = 1; i <= 5; i++) {
         if (!f.answered[i])
             continue;
-        solos++;
+        local_prefills++;
         g_assert_true(f.placed[i].granted);
         g_assert_cmpstr(f.placed[i].prefill, ==, "");
         g_assert_cmpstr(f.placed[i].decode, !=, "");
     }
-    g_assert_cmpuint(solos, ==, 3); /* one on each decode engine */
+    g_assert_cmpuint(local_prefills, ==, 3); /* one on each decode engine */
     msg_progress_t first = {.attempt = f.placed[1].attempt, .phase = PHASE_DECODE};
     codec_copy_string(first.id, sizeof(first.id), "r1");
-    sched_progress(f.sched, &first, SOLO_AFTER + 2); /* its prompt is read: the next may come */
+    sched_progress(f.sched, &first, LOCAL_PREFILL_AFTER_MS + 2); /* its prompt is read: the next may come */
     take_answers(&f);
     g_assert_true(f.answered[4] || f.answered[5]);
     sched_destroy(f.sched);
@@ -92,7 +93,7 @@
     set_up(&f, 2);
     for (uint64_t i = 0; i <= 4; i++)
         place(&f, i, 0);
-    tick(&f, SOLO_AFTER + 1);
+    tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     for (int i = 0; i <= 4; i++)
         g_assert_true(!f.answered[i] || strcmp(f.placed[i].prefill, "") != 0);
     sched_destroy(f.sched);
@@ -107,19 +108,19 @@
     memset(closed, 0, sizeof(closed));
     for (int i = 0; i < ENGINES; i++) {
         codec_copy_string(closed[i].backend, sizeof(closed[i].backend), f.engines[i].name);
-        closed[i].closed_ms = i == 2 ? SOLO_AFTER : 10 * SOLO_AFTER;
+        closed[i].closed_ms = i == 2 ? LOCAL_PREFILL_AFTER_MS : 10 * LOCAL_PREFILL_AFTER_MS;
     }
     sched_set_notices(f.sched, "box", closed, ENGINES, 0);
     place(&f, 0, 0);
-    tick(&f, SOLO_AFTER - 1);
+    tick(&f, LOCAL_PREFILL_AFTER_MS - 1);
     g_assert_false(f.answered[0]);
-    tick(&f, SOLO_AFTER + 1);
+    tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     g_assert_true(f.answered[0] && f.placed[0].granted);
     g_assert_cmpstr(f.placed[0].decode, ==, "e2");
-    g_assert_false(sched_engine_accepts(f.sched, "box", "e1", SOLO_AFTER + 1));
-    g_assert_true(sched_engine_accepts(f.sched, "another box", "e1", SOLO_AFTER + 1));
-    sched_set_notices(f.sched, "box", NULL, 0, SOLO_AFTER + 1);
-    g_assert_true(sched_engine_accepts(f.sched, "box", "e1", SOLO_AFTER + 1));
+    g_assert_false(sched_engine_accepts(f.sched, "box", "e1", LOCAL_PREFILL_AFTER_MS + 1));
+    g_assert_true(sched_engine_accepts(f.sched, "another box", "e1", LOCAL_PREFILL_AFTER_MS + 1));
+    sched_set_notices(f.sched, "box", NULL, 0, LOCAL_PREFILL_AFTER_MS + 1);
+    g_assert_true(sched_engine_accepts(f.sched, "box", "e1", LOCAL_PREFILL_AFTER_MS + 1));
     sched_destroy(f.sched);
 }
 
@@ -132,12 +133,12 @@
     memset(closed, 0, sizeof(closed));
     for (int i = 0; i < 2; i++) {
         codec_copy_string(closed[i].backend, sizeof(closed[i].backend), f.engines[i].name);
-        closed[i].closed_ms = 10 * SOLO_AFTER;
+        closed[i].closed_ms = 10 * LOCAL_PREFILL_AFTER_MS;
     }
     sched_set_notices(f.sched, "box", closed, 2, 0);
     place(&f, 0, 0);
     g_assert_false(f.answered[0]);
-    tick(&f, SOLO_AFTER + 1);
+    tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     g_assert_true(f.answered[0] && f.placed[0].granted);
     g_assert_cmpstr(f.placed[0].prefill, ==, "");
     sched_destroy(f.sched);
@@ -149,7 +150,7 @@
     set_up(&f, 0);
     place(&f, 0, 0);
     g_assert_false(f.answered[0]); /* not refused: a decode engine can do it */
-    tick(&f, SOLO_AFTER + 1);
+    tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     g_assert_true(f.answered[0] && f.placed[0].granted);
     sched_destroy(f.sched);
 }
