--- a/tests/fuzz/fuzz_sched.c
+++ b/tests/fuzz/fuzz_sched.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "harness/sched_world.h"
+#include "harness/sched_sim.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
@@ -20,8 +20,8 @@
     if (operations == 0)
         atexit(print_counts);
     chooser_t chooser = {.bytes = data, .size = size};
-    const sched_world_options_t options = {.steps = 2000, .freezes = size % 2 == 0};
-    const sched_world_result_t result = sched_world_run(&options, &chooser);
+    const sched_sim_options_t options = {.steps = 2000, .freezes = size % 2 == 0};
+    const sched_sim_result_t result = sched_sim_run(&options, &chooser);
     operations += result.operations + 1;
     checks += result.checks;
     if (result.broken) {
--- a/tests/harness/sched_world.c
+++ b/tests/harness/sched_sim.c
@@ -1,4 +1,4 @@
-#include "harness/sched_world.h"
+#include "harness/sched_sim.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -39,7 +39,7 @@
 } fake_engine_t;
 
 typedef struct {
-    sched_world_options_t options;
+    sched_sim_options_t options;
     chooser_t *chooser;
     sched_t *sched;
     uint64_t epoch;
@@ -52,7 +52,7 @@
     tc_time_t told_until[ENTRIES][ENGINES];   /* as that has told this scheduler */
     tc_time_t suspended_until;                /* the scheduler's lease ran out: it hears and does nothing */
     GPtrArray *callers;
-    sched_world_result_t result;
+    sched_sim_result_t result;
 } world_t;
 
 static void broken(world_t *w, const char *promise)
@@ -553,7 +553,7 @@
             broken(w, "an engine still holds memory for callers who are gone");
 }
 
-sched_world_result_t sched_world_run(const sched_world_options_t *options, chooser_t *chooser)
+sched_sim_result_t sched_sim_run(const sched_sim_options_t *options, chooser_t *chooser)
 {
     world_t *const w = calloc(1, sizeof(*w));
     if (!w)
@@ -565,7 +565,7 @@
     run(w);
     if (!w->result.broken)
         settle(w);
-    const sched_world_result_t result = w->result;
+    const sched_sim_result_t result = w->result;
     sched_destroy(w->sched);
     for (unsigned i = 0; i < ENGINES; i++)
         g_hash_table_destroy(w->engines[i].held);
--- a/tests/random/test_sched_random.c
+++ b/tests/random/test_sched_random.c
@@ -2,13 +2,13 @@
 
 #include <stdlib.h>
 
-#include "harness/sched_world.h"
+#include "harness/sched_sim.h"
 
-static sched_world_result_t run(guint32 seed, bool freezes, bool no_renewals)
+static sched_sim_result_t run(guint32 seed, bool freezes, bool no_renewals)
 {
     chooser_t chooser = {.random = g_rand_new_with_seed(seed)};
-    const sched_world_options_t options = {.steps = 2500, .freezes = freezes, .no_renewals = no_renewals};
-    const sched_world_result_t result = sched_world_run(&options, &chooser);
+    const sched_sim_options_t options = {.steps = 2500, .freezes = freezes, .no_renewals = no_renewals};
+    const sched_sim_result_t result = sched_sim_run(&options, &chooser);
     g_rand_free(chooser.random);
     return result;
 }
@@ -19,7 +19,7 @@
     const guint32 count = wanted ? (guint32)strtoul(wanted, NULL, 10) : 25;
     uint64_t granted = 0, finished = 0, cancels = 0, checks = 0;
     for (guint32 seed = from; seed < from + count; seed++) {
-        const sched_world_result_t r = run(seed, freezes, false);
+        const sched_sim_result_t r = run(seed, freezes, false);
         if (r.broken)
             g_error("seed %u%s: %s", seed, freezes ? " with freezes" : "", r.broken);
         granted += r.granted;
