--- a/tests/unit/reading_lab.h
+++ b/tests/unit/reading_lab.h
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum {
     READING_RATE = 33333, /* tokens a second that an engine reads */
--- a/tests/unit/sched_lab.h
+++ b/tests/unit/sched_fixture.h
@@ -1,8 +1,8 @@
-/** @file sched_lab.h
+/** @file sched_fixture.h
  * Engines for the tests of the scheduler that need a few of them, by hand.
  */
-#ifndef TRACKCOVE_TESTS_SCHED_LAB_H
-#define TRACKCOVE_TESTS_SCHED_LAB_H
+#ifndef TRACKCOVE_TESTS_SCHED_FIXTURE_H
+#define TRACKCOVE_TESTS_SCHED_FIXTURE_H
 
 #include <glib.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 
 /** Fill in engines e0, e1 and so on of cell "c" and model "m". @param prefills how many compute prompts, from the first
  *  @param like what else they have in common */
-static inline void lab_fill_engines(engine_cfg_t *engines, int n, int prefills, const engine_cfg_t *like)
+static inline void sched_fixture_fill_engines(engine_cfg_t *engines, int n, int prefills, const engine_cfg_t *like)
 {
     for (int i = 0; i < n; i++) {
         engine_cfg_t *const e = &engines[i];
--- a/tests/unit/test_ring.c
+++ b/tests/unit/test_ring.c
@@ -13,7 +13,7 @@
 
 #include "forward/fleet.h"
 #include "sched/sched_internal.h"
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum { DCS = 5, REQUESTS = 300, ASKED = 32 };
 
@@ -34,7 +34,7 @@
 {
     engine_cfg_t *const engines = g_new0(engine_cfg_t, n);
     const engine_cfg_t like = {.pieces = 1300, .max_batch = 12, .prefill_rate = 50000};
-    lab_fill_engines(engines, (int)n, (int)n / 3, &like);
+    sched_fixture_fill_engines(engines, (int)n, (int)n / 3, &like);
     for (uint32_t i = 0; i < n; i++)
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%u", i % DCS);
     return engines;
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum { ENGINES = 3, PIECES = 100, EPOCH = 2 };
 
@@ -22,7 +22,7 @@
     f->sched = sched_create(&options, 0);
     /* Prompts take no time to speak of. */
     const engine_cfg_t like = {.pieces = PIECES, .max_batch = 8, .prefill_rate = 1000000};
-    lab_fill_engines(f->engines, ENGINES, 1, &like);
+    sched_fixture_fill_engines(f->engines, ENGINES, 1, &like);
     f->config = (config_t){.targets = {.max_queue = 16}, .engines = f->engines, .engines_n = ENGINES};
     sched_configure(f->sched, &f->config, 0);
     for (int i = 0; i < ENGINES; i++)
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "sched/sched_internal.h"
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum { ENGINES_MOST = 600, DCS_MOST = 6, FLEETS = 300, NOW = 10000 };
 
@@ -19,7 +19,7 @@
 static void fill_engines(GRand *random, engine_cfg_t *engines, int n, int dcs)
 {
     const engine_cfg_t like = {.pieces = 200, .max_batch = 12, .prefill_rate = 50000};
-    lab_fill_engines(engines, n, g_rand_int_range(random, 0, n + 1), &like);
+    sched_fixture_fill_engines(engines, n, g_rand_int_range(random, 0, n + 1), &like);
     for (int i = 0; i < n; i++) {
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%d", g_rand_int_range(random, 0, dcs));
         if (g_rand_int_range(random, 0, 10) == 0)
@@ -227,7 +227,7 @@
 {
     engine_cfg_t *const engines = g_new0(engine_cfg_t, n);
     const engine_cfg_t like = {.pieces = 1300, .max_batch = 12, .prefill_rate = 50000};
-    lab_fill_engines(engines, (int)n, (int)n / 3, &like);
+    sched_fixture_fill_engines(engines, (int)n, (int)n / 3, &like);
     for (uint32_t i = 0; i < n; i++)
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%u", i % 5);
     const config_t config = {.targets = {.max_queue = BURST}, .engines = engines, .engines_n = n};
--- a/tests/unit/test_sched_local_prefill.c
+++ b/tests/unit/test_sched_local_prefill.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum { ENGINES = 4, LOCAL_PREFILL_AFTER_MS = 100 };
 
@@ -24,7 +24,7 @@
         .cell = "c", .epoch = 1, .piece_tokens = 256, .local_prefill_after_ms = LOCAL_PREFILL_AFTER_MS};
     f->sched = sched_create(&options, 0);
     const engine_cfg_t like = {.pieces = 1000, .max_batch = 8, .prefill_rate = 10000};
-    lab_fill_engines(f->engines, ENGINES, prefills, &like);
+    sched_fixture_fill_engines(f->engines, ENGINES, prefills, &like);
     f->config = (config_t){.targets = {.max_queue = 16}, .engines = f->engines, .engines_n = ENGINES};
     sched_configure(f->sched, &f->config, 0);
     for (int i = 0; i < ENGINES; i++)
--- a/tests/unit/test_sched_pace.c
+++ b/tests/unit/test_sched_pace.c
@@ -43,7 +43,7 @@
     reading_t *const w = reading_create(7);
     const engine_cfg_t like = {.pieces = 10000, .max_batch = 1000, .prefill_rate = SETTINGS_RATE};
     engine_cfg_t engines[ENGINES];
-    lab_fill_engines(engines, ENGINES, PREFILLS + NEW, &like);
+    sched_fixture_fill_engines(engines, ENGINES, PREFILLS + NEW, &like);
     configure(w, engines, false);
     const tc_time_t start = w->now;
     const double most_a_ms = PREFILLS * READING_RATE / 1000.0 / MEAN;
--- a/tests/unit/test_sched_workspaces.c
+++ b/tests/unit/test_sched_workspaces.c
@@ -21,7 +21,7 @@
     reading_t *const w = reading_create(11);
     const engine_cfg_t like = {.pieces = 10000, .max_batch = 1000, .prefill_rate = READING_RATE};
     engine_cfg_t engines[ENGINES];
-    lab_fill_engines(engines, ENGINES, PREFILLS, &like);
+    sched_fixture_fill_engines(engines, ENGINES, PREFILLS, &like);
     reading_configure(w, engines, ENGINES);
     const tc_time_t end = w->now + SPAN_MS;
     while (w->now < end) {
