--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -4,11 +4,11 @@
 
 #include "roles/balance.h"
 
-static uint32_t wanted(uint32_t prefills, uint32_t decodes, double prefill_load, double decode_work)
+static uint32_t wanted(uint32_t prefills, uint32_t decodes, double prefill_load, double decode_load)
 {
     const role_pools_t b = {.prefills = prefills,
                             .decodes = decodes,
-                            .load = {.prefill = prefill_work, .prefill_slow = prefill_work, .decode = decode_work}};
+                            .load = {.prefill = prefill_load, .prefill_slow = prefill_load, .decode = decode_load}};
     return balance_target_prefills(&b);
 }
 
