--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -195,7 +195,7 @@
     placing_set_evacuations(f->placing, &held);
     g_assert_cmpint(place(f, "first"), ==, 1); /* at b */
     pool_load_t load;
-    g_assert_cmpstr(placing_work(f->placing, &work), ==, "lm");
+    g_assert_cmpstr(placing_work(f->placing, &load), ==, "lm");
     order(&held, "b", true, 2);
     placing_set_evacuations(f->placing, &held);
     const int64_t refused = counter_read("trackcove_placing_refused_total");
