--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -169,7 +169,7 @@
     fill_links(p, &config);
     sched_configure(p->sched, &config, now);
     /* The list is all that is heard of an engine beside what requests report. */
-    sched_engines_listed(p->sched, now);
+    sched_on_engine_list(p->sched, now);
     free(config.engines);
     free(config.leaving);
     free(config.links);
@@ -255,18 +255,19 @@
 
 /* ===== Work ===== */
 
-const char *leader_sched_pool_work(const leader_sched_t *p, pool_work_t *work)
+const char *leader_sched_pool_work(const leader_sched_t *p, pool_load_t *work)
 {
     if (!p->sched || p->services_n != 1)
         return ""; /* the averages are those of all engines together */
     const sched_stats_t stats = sched_stats(p->sched);
-    *work = (pool_work_t){.prefill = stats.prefill_work, .settled = stats.prefill_settled, .decode = stats.decode_work};
+    *work = (pool_load_t){
+        .prefill = stats.prefill_load, .prefill_slow = stats.prefill_load_slow, .decode = stats.decode_load};
     return p->services[0].service;
 }
 
 bool leader_sched_accepts_calls(const leader_sched_t *p, const char *box, const char *engine, tc_time_t now)
 {
-    return !p->sched || sched_takes_calls(p->sched, box, engine, now);
+    return !p->sched || sched_engine_accepts(p->sched, box, engine, now);
 }
 
 /* ===== Usage caps ===== */
@@ -353,16 +354,16 @@
 /* ===== Actions ===== */
 
 /** What the scheduler takes engines for: the inputs of its refusals. */
-static void log_picture(log_line_t *line, const sched_picture_t *picture)
+static void log_picture(log_line_t *line, const sched_load_t *load)
 {
-    log_int(line, "prefills", picture->prefills);
-    log_int(line, "decodes", picture->decodes);
-    log_int(line, "queued", picture->queued);
-    log_int(line, "placed", picture->placed);
-    log_int(line, "decode_pieces", picture->decode_pieces);
-    log_int(line, "decode_taken", picture->decode_taken);
-    log_int(line, "prefill_backlog_ms", (int64_t)picture->backlog_ms);
-    log_int(line, "freed_pieces_s", (int64_t)(picture->free_rate * 1000));
+    log_int(line, "prefills", load->prefills);
+    log_int(line, "decodes", load->decodes);
+    log_int(line, "queued", load->queued);
+    log_int(line, "placed", load->placed);
+    log_int(line, "decode_pieces", load->decode_pieces);
+    log_int(line, "decode_taken", load->decode_taken);
+    log_int(line, "prefill_backlog_ms", (int64_t)load->backlog_ms);
+    log_int(line, "freed_pieces_s", (int64_t)(load->free_rate * 1000));
 }
 
 /** A line a second: what the scheduler believes, for comparison with what engines and entry boxes say. */
@@ -371,13 +372,13 @@
     if (now < p->picture_at)
         return;
     p->picture_at = now + PICTURE_MS;
-    const sched_picture_t picture = sched_picture(p->sched, now);
+    const sched_load_t load = sched_load(p->sched, now);
     const sched_stats_t stats = sched_stats(p->sched);
-    counter_set(&c_taken, picture.decode_taken);
-    counter_set(&c_pieces, picture.decode_pieces);
+    counter_set(&c_taken, load.decode_taken);
+    counter_set(&c_pieces, load.decode_pieces);
     log_line_t line;
     log_begin(&line, LOG_INFO, "engines");
-    log_picture(&line, &picture);
+    log_picture(&line, &load);
     log_int(&line, "adopted", (int64_t)stats.adopted);
     log_int(&line, "lapsed", (int64_t)stats.lapsed);
     log_end(&line);
@@ -397,9 +398,9 @@
     log_int(&line, "candidates", placed->candidates);
     log_int(&line, "est_ttft_ms", placed->est_ttft_ms);
     if (!placed->granted) {
-        const sched_picture_t picture = sched_picture(p->sched, now);
+        const sched_load_t load = sched_load(p->sched, now);
         log_int(&line, "retry_after_ms", placed->retry_after_ms);
-        log_picture(&line, &picture);
+        log_picture(&line, &load);
     }
     log_end(&line);
 }
@@ -534,15 +535,15 @@
 
 bool leader_sched_is_uncertain(const leader_sched_t *p, tc_time_t now)
 {
-    return p->sched && sched_is_in_doubt(p->sched, now);
+    return p->sched && sched_needs_reconcile(p->sched, now);
 }
 
-void leader_sched_update_engine(leader_sched_t *p, const char *engine, const sched_holding_t *held, uint32_t n,
+void leader_sched_update_engine(leader_sched_t *p, const char *engine, const sched_engine_request_t *held, uint32_t n,
                                 tc_time_t now)
 {
     if (!p->sched)
         return;
-    sched_engine_holds(p->sched, engine, held, n, now);
+    sched_set_engine_requests(p->sched, engine, held, n, now);
     pump(p, now);
 }
 
@@ -563,9 +564,9 @@
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
-                                         .solo_after = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
+                                         .local_prefill_after_ms = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
-                                         .adopts = mechanism_is_on(MECHANISM_ADOPTION)};
+                                         .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
         p->sched = sched_create(&options, now);
         p->term = term;
         configure(p, now);
--- a/lib/cluster/leader_sched.h
+++ b/lib/cluster/leader_sched.h
@@ -88,15 +88,15 @@
 /** Engines in these data centres are granted nothing, and count for no pool; copied. */
 void leader_sched_set_evacuations(leader_sched_t *placing, const evacuations_t *evacuations);
 
-/** Whether engines should be asked often what they run: as sched_is_in_doubt. */
+/** Whether engines should be asked often what they run: as sched_needs_reconcile. */
 bool leader_sched_is_uncertain(const leader_sched_t *placing, tc_time_t now);
-/** An engine told what it runs: as sched_engine_holds. */
-void leader_sched_update_engine(leader_sched_t *placing, const char *engine, const sched_holding_t *held, uint32_t n,
-                                tc_time_t now);
+/** An engine told what it runs: as sched_set_engine_requests. */
+void leader_sched_update_engine(leader_sched_t *placing, const char *engine, const sched_engine_request_t *held,
+                                uint32_t n, tc_time_t now);
 
 /** What the two pools have to do, while this box leads and one service alone has engines.
  *  @return that service's name, borrowed until services are set again; or "", with nothing filled in */
-const char *leader_sched_pool_work(const leader_sched_t *placing, pool_work_t *work);
+const char *leader_sched_pool_work(const leader_sched_t *placing, pool_load_t *work);
 
 /** Call every tick, and when the lease changes. @param boxes entry boxes that are there */
 void leader_sched_tick(leader_sched_t *placing, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -364,7 +364,7 @@
 
 /* ===== The scheduler beside it ===== */
 
-const char *replica_work(const replica_t *r, pool_work_t *work)
+const char *replica_work(const replica_t *r, pool_load_t *work)
 {
     return leader_sched_pool_work(r->placing, work);
 }
@@ -374,7 +374,7 @@
     return leader_sched_is_uncertain(r->placing, tc_time_now());
 }
 
-void replica_update_engine(replica_t *r, const char *engine, const sched_holding_t *held, uint32_t n)
+void replica_update_engine(replica_t *r, const char *engine, const sched_engine_request_t *held, uint32_t n)
 {
     leader_sched_update_engine(r->placing, engine, held, n, tc_time_now());
 }
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -94,12 +94,12 @@
 /** The list of back ends as it was set last, without regard to engines that change their role; borrowed until it is
  *  set again. NULL with 0 before the first. */
 const backend_t *replica_backends(const replica_t *replica, uint32_t *n);
-/** Whether engines should be asked often what they run: as sched_is_in_doubt. */
+/** Whether engines should be asked often what they run: as sched_needs_reconcile. */
 bool replica_is_in_doubt(const replica_t *replica);
-/** An engine told what it runs: as sched_engine_holds. */
-void replica_update_engine(replica_t *replica, const char *engine, const sched_holding_t *held, uint32_t n);
+/** An engine told what it runs: as sched_set_engine_requests. */
+void replica_update_engine(replica_t *replica, const char *engine, const sched_engine_request_t *held, uint32_t n);
 /** What the pools of engines have to do: as leader_sched_pool_work. */
-const char *replica_work(const replica_t *replica, pool_work_t *work);
+const char *replica_work(const replica_t *replica, pool_load_t *work);
 
 /** The services with engines that the document names: for the scheduler beside the leader. */
 void replica_set_services(replica_t *replica, const leader_sched_service_t *list, uint32_t n);
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -112,10 +112,10 @@
     const use_t use = count_use(s, now);
     const double weight = span < BUSY_MS ? span / BUSY_MS : 1;
     s->busy_at = now;
-    s->stats.decode_work += weight * (use.taken - s->stats.decode_work);
+    s->stats.decode_load += weight * (use.taken - s->stats.decode_load);
     const double prompts = s->granted_ms / span;
-    s->stats.prefill_work += weight * (prompts - s->stats.prefill_work);
-    s->stats.prefill_settled += (span < SETTLE_MS ? span / SETTLE_MS : 1) * (prompts - s->stats.prefill_settled);
+    s->stats.prefill_load += weight * (prompts - s->stats.prefill_load);
+    s->stats.prefill_load_slow += (span < SETTLE_MS ? span / SETTLE_MS : 1) * (prompts - s->stats.prefill_load_slow);
     s->granted_ms = 0;
     if (use.prefills > 0)
         s->stats.prefill_busy += weight * (use.working / use.prefills - s->stats.prefill_busy);
@@ -169,7 +169,7 @@
 static void configure_engine(sched_t *s, const engine_cfg_t *cfg)
 {
     model_t *const model = model_get(s, cfg->model);
-    model_begin_rate(model, cfg->prefill_rate / 1000.0 / s->share_of);
+    model_begin_rate(model, cfg->prefill_rate / 1000.0 / s->share_count);
     engine_t *e = engine_find(s, cfg->name);
     if (!e) {
         e = g_new0(engine_t, 1);
@@ -191,7 +191,7 @@
     e->dc = dc_place(s, cfg->dc);
     e->model = model;
     e->role = cfg->role;
-    e->pieces = cfg->pieces / s->share_of;
+    e->pieces = cfg->pieces / s->share_count;
     e->max_batch = cfg->max_batch;
     e->configured = true;
     e->leaving_config = false;
@@ -234,9 +234,9 @@
     }
 }
 
-void sched_set_share(sched_t *s, uint32_t share_of)
+void sched_set_share_count(sched_t *s, uint32_t share_count)
 {
-    s->share_of = share_of > 0 ? share_of : 1;
+    s->share_count = share_count > 0 ? share_count : 1;
 }
 
 void sched_configure(sched_t *s, const config_t *config, tc_time_t now)
@@ -274,11 +274,11 @@
     sched_t *const s = g_new0(sched_t, 1);
     codec_copy_string(s->cell, sizeof(s->cell), options->cell);
     s->epoch = options->epoch;
-    s->share_of = options->share_of > 0 ? options->share_of : 1;
+    s->share_count = options->share_count > 0 ? options->share_count : 1;
     s->piece_tokens = options->piece_tokens > 0 ? options->piece_tokens : SCHED_PIECE_TOKENS;
-    s->solo_after = options->solo_after;
+    s->local_prefill_after_ms = options->local_prefill_after_ms;
     s->rebuilding = options->rebuild;
-    s->adopts = options->adopts;
+    s->adopt_unknown = options->adopt_unknown;
     s->rebuild_from = now;
     s->admit_from = options->rebuild ? now + SCHED_REBUILD_MS : now;
     s->doubt_until = now + DOUBT_MS;
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -59,15 +59,15 @@
 } sched_token_t;
 
 typedef struct {
-    const char *cell;      /**< engines with this cell belong to the scheduler */
-    uint64_t epoch;        /**< of the lease */
-    uint32_t share_of;     /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
-    uint32_t piece_tokens; /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
-    tc_time_t solo_after; /**< a request that no prefill engine took for this long, ms, may be read by its decode engine
-                               itself, one at a time there; 0: never */
-    bool rebuild;         /**< start with SCHED_REBUILD_MS of learning */
-    bool adopts;          /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
-                               what nobody here knows outside a rebuild is a request whose lease lapsed */
+    const char *cell;                 /**< engines with this cell belong to the scheduler */
+    uint64_t epoch;                   /**< of the lease */
+    uint32_t share_count;             /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
+    uint32_t piece_tokens;            /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
+    tc_time_t local_prefill_after_ms; /**< a request that no prefill engine took for this long, ms, may be read by its
+                               decode engine itself, one at a time there; 0: never */
+    bool rebuild;                     /**< start with SCHED_REBUILD_MS of learning */
+    bool adopt_unknown; /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
+                      what nobody here knows outside a rebuild is a request whose lease lapsed */
 } sched_options_t;
 
 typedef enum { SCHED_ACT_ANSWER, SCHED_ACT_CANCEL } sched_action_kind_t;
@@ -95,17 +95,17 @@
 typedef struct {
     char engine_id[CODEC_STR_SIZE + 16];
     uint32_t pieces;
-} sched_holding_t;
+} sched_engine_request_t;
 
 typedef struct {
     uint32_t queued, placed, cancelling, engines;
-    double prefill_busy, decode_busy;                  /**< moving averages, 0 to 1, for the planner */
-    double prefill_work, prefill_settled, decode_work; /**< for the mover: as prefill, settled and decode in
-                                                            pool_work_t (roles/balance.h) */
+    double prefill_busy, decode_busy;                    /**< moving averages, 0 to 1, for the planner */
+    double prefill_load, prefill_load_slow, decode_load; /**< for the rebalancer: as prefill, settled and decode in
+                                                            pool_load_t (roles/balance.h) */
     uint64_t cache_predicted,
         cache_actual; /**< prompt tokens taken for cached at the grant, and cached as engines said */
     uint64_t granted, refused, resumed, replanned, lapsed, orphans, adopted;
-    uint64_t looks; /**< engines looked at to choose, or to judge how long a request would wait */
+    uint64_t engines_scanned; /**< engines looked at to choose, or to judge how long a request would wait */
 } sched_stats_t;
 
 /** What the scheduler takes all engines that can be used for, at one moment. */
@@ -115,7 +115,7 @@
     uint32_t decode_pieces, decode_taken; /**< memory of the decode engines, and what of it nobody can have */
     double backlog_ms;                    /**< prefill work given and not done, over all prefill engines */
     double free_rate;                     /**< decode pieces freed, a ms */
-} sched_picture_t;
+} sched_load_t;
 
 /** One engine as the scheduler sees it, for status pages. */
 typedef struct {
@@ -140,8 +140,8 @@
 /** So many entry boxes are live: once all of them have renewed, a rebuilding scheduler need not wait any longer. */
 void sched_expect_reports(sched_t *sched, uint32_t boxes);
 
-/** Policy "share": from now on this is one of @p share_of equal parts. Call before sched_configure. */
-void sched_set_share(sched_t *sched, uint32_t share_of);
+/** Policy "share": from now on this is one of @p share_count equal parts. Call before sched_configure. */
+void sched_set_share_count(sched_t *sched, uint32_t share_count);
 
 /** A request asks for engines; answered later through SCHED_ACT_ANSWER, by its deadline at the latest. */
 void sched_place(sched_t *sched, const msg_place_t *place, sched_token_t token, tc_time_t now);
@@ -165,32 +165,33 @@
 /** The engine answered its state page. @param incarnation changes when it restarted and forgot everything
  * @param leaving it says that it leaves, or it does not (yet) serve what the configuration says
  * @param asked when the page was asked for */
-void sched_engine_seen(sched_t *sched, const char *engine, uint64_t incarnation, bool leaving,
-                       const sched_holding_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now);
+void sched_on_engine_state(sched_t *sched, const char *engine, uint64_t incarnation, bool leaving,
+                           const sched_engine_request_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now);
 
 /** The same of all engines of the configuration, where a list of them is all that is heard: they are there, and as it
  *  says. */
-void sched_engines_listed(sched_t *sched, tc_time_t now);
+void sched_on_engine_list(sched_t *sched, tc_time_t now);
 
 /** An engine told which requests it runs, by their plain ids, as of up to a second ago: what is not counted here is
  *  given to nobody, until it tells otherwise. For engines that end what nobody holds by themselves. */
-void sched_engine_holds(sched_t *sched, const char *engine, const sched_holding_t *held, uint32_t n, tc_time_t now);
+void sched_set_engine_requests(sched_t *sched, const char *engine, const sched_engine_request_t *held, uint32_t n,
+                               tc_time_t now);
 
 /** Whether engines may run what is not counted here: the scheduler has just begun, an engine refused what it had room
  * for by the count, or an entry box is silent and may place by itself. Then it is worth asking them often. */
-bool sched_is_in_doubt(const sched_t *sched, tc_time_t now);
+bool sched_needs_reconcile(const sched_t *sched, tc_time_t now);
 
 /** The engine did not answer its state page. */
-void sched_engine_missed(sched_t *sched, const char *engine, tc_time_t now);
+void sched_on_engine_timeout(sched_t *sched, const char *engine, tc_time_t now);
 
 /** The platform's list says that the engine is leaving, or is not. */
-void sched_engine_leaving(sched_t *sched, const char *engine, bool leaving, tc_time_t now);
+void sched_set_engine_leaving(sched_t *sched, const char *engine, bool leaving, tc_time_t now);
 
 /** What back ends say of themselves to an entry box: nothing of that box's requests is granted on those that want no
  *  calls of it, for so long. Replaces what the box said before. */
 void sched_set_notices(sched_t *sched, const char *box, const backend_notice_t *list, uint32_t n, tc_time_t now);
 /** Whether the engine wants calls of the entry box, as far as that has said. */
-bool sched_takes_calls(const sched_t *sched, const char *box, const char *engine, tc_time_t now);
+bool sched_engine_accepts(const sched_t *sched, const char *box, const char *engine, tc_time_t now);
 
 /** From now on no more than @p grants are made on the engine, until this is called again. SCHED_NO_LIMIT: any number.
  *  @return how many were made within the last such number */
@@ -221,10 +222,10 @@
 void sched_check(const sched_t *sched);
 
 sched_stats_t sched_stats(const sched_t *sched);
-sched_picture_t sched_picture(const sched_t *sched, tc_time_t now);
+sched_load_t sched_load(const sched_t *sched, tc_time_t now);
 
 /** Fill up to @p room views. @return how many engines there are */
-uint32_t sched_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
+uint32_t sched_list_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
 
 /** The id by which an engine knows an attempt of a request. */
 void sched_engine_id(char *to, size_t size, const char *id, uint32_t attempt);
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -37,7 +37,7 @@
         if (r->decode) {
             r->decode->counted.pieces += r->pieces;
             r->decode->counted.batch++;
-            r->decode->counted.solos += r->solo;
+            r->decode->counted.local_prefills += r->local_prefill;
             r->decode->counted.suspects += r->ends >= 1;
             r->decode->counted.twice += r->ends >= 2;
         }
@@ -74,7 +74,7 @@
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         assert(e->counted.pieces == e->reserved); /* no piece is held by nobody, none is held twice */
         assert(e->counted.batch == e->batch);
-        assert(e->counted.solos == e->solos && e->solos <= 1);
+        assert(e->counted.local_prefills == e->local_prefills && e->local_prefills <= 1);
         assert(e->counted.prefills == e->prefills);
         assert(e->counted.suspects == e->suspects && e->counted.twice == e->twice);
     }
@@ -112,26 +112,26 @@
     return stats;
 }
 
-sched_picture_t sched_picture(const sched_t *s, tc_time_t now)
+sched_load_t sched_load(const sched_t *s, tc_time_t now)
 {
-    sched_picture_t picture = {.queued = s->n_queue, .placed = s->n_placed, .free_rate = s->free_rate};
+    sched_load_t load = {.queued = s->n_queue, .placed = s->n_placed, .free_rate = s->free_rate};
     for (guint i = 0; i < s->engine_list->len; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (!engine_usable(e, now))
             continue;
         if (e->role == ROLE_PREFILL) {
-            picture.prefills++;
-            picture.backlog_ms += engine_backlog(e, now);
+            load.prefills++;
+            load.backlog_ms += engine_backlog(e, now);
             continue;
         }
-        picture.decodes++;
-        picture.decode_pieces += e->pieces;
-        picture.decode_taken += engine_taken(s, e, now);
+        load.decodes++;
+        load.decode_pieces += e->pieces;
+        load.decode_taken += engine_taken(s, e, now);
     }
-    return picture;
+    return load;
 }
 
-uint32_t sched_engines(const sched_t *s, sched_engine_view_t *views, uint32_t room, tc_time_t now)
+uint32_t sched_list_engines(const sched_t *s, sched_engine_view_t *views, uint32_t room, tc_time_t now)
 {
     for (guint i = 0; i < s->engine_list->len && i < room; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -194,8 +194,8 @@
     order(&held, "a", true, 1);
     leader_sched_set_evacuations(f->placing, &held);
     g_assert_cmpint(place(f, "first"), ==, 1); /* at b */
-    pool_work_t work;
-    g_assert_cmpstr(leader_sched_pool_work(f->placing, &work), ==, "lm");
+    pool_load_t load;
+    g_assert_cmpstr(leader_sched_pool_work(f->placing, &load), ==, "lm");
     order(&held, "b", true, 2);
     leader_sched_set_evacuations(f->placing, &held);
     const int64_t refused = counter_read("trackcove_placing_refused_total");
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "sched/sched_internal.h"
-#include "unit/sched_lab.h"
+#include "unit/sched_fixture.h"
 
 enum { ENGINES_MOST = 600, DCS_MOST = 6, FLEETS = 300, NOW = 10000 };
 
@@ -19,7 +19,7 @@
 static void fill_engines(GRand *random, engine_cfg_t *engines, int n, int dcs)
 {
     const engine_cfg_t like = {.pieces = 200, .max_batch = 12, .prefill_rate = 50000};
-    lab_fill_engines(engines, n, g_rand_int_range(random, 0, n + 1), &like);
+    sched_fixture_fill_engines(engines, n, g_rand_int_range(random, 0, n + 1), &like);
     for (int i = 0; i < n; i++) {
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%d", g_rand_int_range(random, 0, dcs));
         if (g_rand_int_range(random, 0, 10) == 0)
@@ -132,7 +132,7 @@
 static bool may_serve(const sched_t *s, const engine_t *e, const request_t *r, role_t role)
 {
     return !is_closed(r, e) && is_apart(r, e) && e->role == role && strcmp(e->model->name, "m") == 0 &&
-           engine_grantable(e, NOW) && strcmp(e->name, r->avoid) != 0 && s->share_of == 1;
+           engine_grantable(e, NOW) && strcmp(e->name, r->avoid) != 0 && s->share_count == 1;
 }
 
 static bool has_room(const sched_t *s, const engine_t *e, const request_t *r)
@@ -227,11 +227,11 @@
 {
     engine_cfg_t *const engines = g_new0(engine_cfg_t, n);
     const engine_cfg_t like = {.pieces = 1300, .max_batch = 12, .prefill_rate = 50000};
-    lab_fill_engines(engines, (int)n, (int)n / 3, &like);
+    sched_fixture_fill_engines(engines, (int)n, (int)n / 3, &like);
     for (uint32_t i = 0; i < n; i++)
         g_snprintf(engines[i].dc, sizeof(engines[i].dc), "dc%u", i % 5);
     const config_t config = {.targets = {.max_queue = BURST}, .engines = engines, .engines_n = n};
-    const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 32, .solo_after = 120};
+    const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 32, .local_prefill_after_ms = 120};
     sched_t *const s = sched_create(&options, 0);
     sched_configure(s, &config, 0);
     g_free(engines);
@@ -252,7 +252,7 @@
 
 static double looks_of(const sched_t *s, uint64_t before, uint32_t engines, unsigned requests)
 {
-    return (double)(sched_stats(s).looks - before) / engines / requests;
+    return (double)(sched_stats(s).engines_scanned - before) / engines / requests;
 }
 
 /* Streams of a calm day ran in another data centre than their boxes in four of five cases: pairs of engines that cost
@@ -303,7 +303,7 @@
         for (unsigned i = 0; i < PLACEMENTS; i++)
             place(s, i, 900, 1000 + (tc_time_t)i);
         g_assert_cmpuint(sched_stats(s).granted, ==, PLACEMENTS);
-        looks[k] = sched_stats(s).looks;
+        looks[k] = sched_stats(s).engines_scanned;
         sched_destroy(s);
     }
     g_assert_cmpuint(looks[1], <=, looks[0] + looks[0] / 20);
@@ -335,8 +335,8 @@
         unsigned number = 0;
         while (sched_stats(s).queued < 8)
             place(s, number++, 60000, 1000);
-        const uint64_t before = sched_stats(s).looks;
-        sched_engines_listed(s, 1000);
+        const uint64_t before = sched_stats(s).engines_scanned;
+        sched_on_engine_list(s, 1000);
         g_assert_cmpfloat(looks_of(s, before, sizes[k], 1), <=, 2);
         sched_destroy(s);
     }
@@ -352,7 +352,7 @@
         unsigned number = 0;
         while (sched_stats(s).queued < BURST / 2)
             place(s, number++, 60000, 1000);
-        const uint64_t before = sched_stats(s).looks;
+        const uint64_t before = sched_stats(s).engines_scanned;
         for (unsigned i = 0; i < PLACED; i++)
             place(s, number++, 60000, 1000);
         g_assert_cmpuint(sched_stats(s).queued, >, BURST / 2);
@@ -382,7 +382,7 @@
     while (sched_next_action(s, &action))
         repeated += action.u.answer.repeated; /* of the call before */
     g_assert_cmpuint(repeated, ==, 100);
-    g_assert_cmpuint(sched_stats(s).looks, ==, before.looks);
+    g_assert_cmpuint(sched_stats(s).engines_scanned, ==, before.engines_scanned);
     g_assert_cmpuint(sched_stats(s).queued, ==, before.queued);
     sched_check(s);
     sched_destroy(s);
