--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -166,7 +166,7 @@
 }
 
 /** Those that are what is asked for, by their kind; empty when there is none. */
-static pool_t pool_of(const fleet_t *f, const fleet_wish_t *wish)
+static pool_t pool_of(const fleet_t *f, const fleet_query_t *wish)
 {
     const pool_key_t key = pool_key(wish->service, wish->stage);
     const GPtrArray *const pool = g_hash_table_lookup(f->pools, key.text);
@@ -180,7 +180,7 @@
     return pool->instances[(from + place) % pool->n];
 }
 
-uint64_t fleet_looks(const fleet_t *f)
+uint64_t fleet_instances_examined(const fleet_t *f)
 {
     return f->looks;
 }
@@ -225,7 +225,7 @@
     return g_ptr_array_index(f->instances, place);
 }
 
-void fleet_list(fleet_t *f, const backend_t *list, uint32_t n, tc_time_t fetched)
+void fleet_set_list(fleet_t *f, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
     f->listed_at = fetched;
     (void)cold_hear_list(f->cold, fetched);
@@ -269,7 +269,7 @@
     }
 }
 
-void fleet_list_same(fleet_t *f, tc_time_t fetched)
+void fleet_confirm_list(fleet_t *f, tc_time_t fetched)
 {
     f->listed_at = fetched;
     if (cold_hear_list(f->cold, fetched))
@@ -309,7 +309,7 @@
 
 /* ===== Loads ===== */
 
-void fleet_hear_loads(fleet_t *f, const backend_load_t *loads, uint32_t n, bool partial, tc_time_t now)
+void fleet_set_remote_loads(fleet_t *f, const backend_load_t *loads, uint32_t n, bool partial, tc_time_t now)
 {
     f->loads_at = now;
     for (guint i = 0; i < f->instances->len; i++) {
@@ -359,7 +359,7 @@
 
 /** Whether it takes one more connection, each request being one: of all boxes, as far as they are known, and of this
  *  box's part of them, whatever is known of the others. Engines take fewer requests than connections. */
-static bool has_connection(const instance_t *instance, const fleet_wish_t *wish)
+static bool has_connection(const instance_t *instance, const fleet_query_t *wish)
 {
     if (wish->connections == 0 || instance->stage != STAGE_NONE)
         return true;
@@ -368,25 +368,25 @@
 }
 
 /** Whether one of its kind is what is asked for, whatever it takes now. */
-static bool suits(const instance_t *instance, const fleet_wish_t *wish)
+static bool suits(const instance_t *instance, const fleet_query_t *wish)
 {
     return !instance->listed.draining && !instance->evacuated && instance->availability.leaving_since == 0 &&
            keeps_apart(instance, wish->ends) && has_connection(instance, wish);
 }
 
-static bool was_tried(const instance_t *instance, const fleet_wish_t *wish)
+static bool was_tried(const instance_t *instance, const fleet_query_t *wish)
 {
     return wish->tried && g_ptr_array_find((GPtrArray *)(uintptr_t)wish->tried, instance, NULL);
 }
 
-static bool fits(const instance_t *instance, const fleet_wish_t *wish)
+static bool fits(const instance_t *instance, const fleet_query_t *wish)
 {
     if (wish->now < instance->limited_until || (wish->unlimited && instance->limit.is_set))
         return false;
     return suits(instance, wish) && instance_takes_work(instance, wish->now) && !was_tried(instance, wish);
 }
 
-tc_time_t fleet_opens_at(fleet_t *f, const fleet_wish_t *wish)
+tc_time_t fleet_next_available_at(fleet_t *f, const fleet_query_t *wish)
 {
     const pool_t pool = pool_of(f, wish);
     tc_time_t soonest = TC_TIME_NEVER;
@@ -402,7 +402,7 @@
     return soonest;
 }
 
-tc_time_t fleet_closed_until(fleet_t *f, const fleet_wish_t *wish)
+tc_time_t fleet_closed_until(fleet_t *f, const fleet_query_t *wish)
 {
     const pool_t pool = pool_of(f, wish);
     tc_time_t soonest = 0;
@@ -417,7 +417,7 @@
     return soonest;
 }
 
-bool fleet_is_evacuated(fleet_t *f, const fleet_wish_t *wish)
+bool fleet_is_evacuated(fleet_t *f, const fleet_query_t *wish)
 {
     const pool_t pool = f->evacuations.list_n > 0 ? pool_of(f, wish) : (pool_t){0};
     for (guint i = 0; i < pool.n; i++)
@@ -426,7 +426,7 @@
     return pool.n > 0;
 }
 
-void fleet_each(fleet_t *f, const fleet_wish_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg)
+void fleet_each(fleet_t *f, const fleet_query_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg)
 {
     const pool_t pool = pool_of(f, wish);
     const guint from = pool.n > 0 ? wish->draw % pool.n : 0;
@@ -437,7 +437,7 @@
     }
 }
 
-unsigned fleet_count(const fleet_t *f, const fleet_wish_t *wish)
+unsigned fleet_count(const fleet_t *f, const fleet_query_t *wish)
 {
     return pool_of(f, wish).n;
 }
@@ -457,8 +457,8 @@
     return kept + 1;
 }
 
-void fleet_each_behind(fleet_t *f, const fleet_wish_t *wish, uint64_t place, unsigned most,
-                       void (*fn)(void *arg, instance_t *instance), void *arg)
+void fleet_each_successor(fleet_t *f, const fleet_query_t *wish, uint64_t place, unsigned most,
+                          void (*fn)(void *arg, instance_t *instance), void *arg)
 {
     const pool_t pool = pool_of(f, wish);
     instance_t **const nearest = g_new0(instance_t *, most + 1);
@@ -482,14 +482,14 @@
     return (double)(instance->running + instance->others) / slots;
 }
 
-static double cost_of(const instance_t *instance, const fleet_wish_t *wish)
+static double cost_of(const instance_t *instance, const fleet_query_t *wish)
 {
     const double far = strcmp(instance->listed.dc, wish->dc) != 0 ? FAR_COST : 0;
     const double beside = wish->ends >= 1 ? SUSPECT_COST * instance->suspects : 0;
     return load_of(instance) + far + beside;
 }
 
-static instance_t *better_of(instance_t *one, instance_t *two, const fleet_wish_t *wish)
+static instance_t *better_of(instance_t *one, instance_t *two, const fleet_query_t *wish)
 {
     return cost_of(one, wish) <= cost_of(two, wish) ? one : two;
 }
@@ -503,7 +503,7 @@
 
 /** Two of all by lot, and one of the near ones.
  *  @param good those that fit, at least one @param near of them, those in the wished data centre */
-static instance_t *choose_by_lot(const GPtrArray *good, const GPtrArray *near, uint32_t draw, const fleet_wish_t *wish)
+static instance_t *choose_by_lot(const GPtrArray *good, const GPtrArray *near, uint32_t draw, const fleet_query_t *wish)
 {
     instance_t *const one = g_ptr_array_index(good, draw % good->len);
     instance_t *const two = g_ptr_array_index(good, (draw / good->len) % good->len);
@@ -515,7 +515,7 @@
 
 /** A few of those that fit, drawn by lot, and the best of them: what is known of the other boxes' requests is some
  *  hundred ms old, and if all boxes took the one that looks best, it would be swamped until they hear of it. */
-instance_t *fleet_choose(fleet_t *f, const fleet_wish_t *wish)
+instance_t *fleet_choose(fleet_t *f, const fleet_query_t *wish)
 {
     const pool_t pool = pool_of(f, wish);
     const guint from = pool.n > FITTING_ENOUGH ? wish->draw % pool.n : 0;
--- a/lib/forward/fleet.h
+++ b/lib/forward/fleet.h
@@ -70,7 +70,7 @@
     unsigned boxes;         /**< that share them, at least 1 where connections is set */
     tc_time_t now;
     uint32_t draw; /**< a random number, to break ties */
-} fleet_wish_t;
+} fleet_query_t;
 
 /* ===== Public functions ===== */
 
@@ -80,9 +80,9 @@
 
 /** Replace what is listed. Instances that stay keep what is known of them. @param fetched when the list was asked for
  */
-void fleet_list(fleet_t *fleet, const backend_t *list, uint32_t n, tc_time_t fetched);
+void fleet_set_list(fleet_t *fleet, const backend_t *list, uint32_t n, tc_time_t fetched);
 /** The list was read again at @p fetched and is the same. */
-void fleet_list_same(fleet_t *fleet, tc_time_t fetched);
+void fleet_confirm_list(fleet_t *fleet, tc_time_t fetched);
 /** How old the list is, in ms, for logs; TC_TIME_NEVER when there is none yet. */
 tc_time_t fleet_list_age(const fleet_t *fleet, tc_time_t now);
 /** The same for the other boxes' loads. */
@@ -90,14 +90,14 @@
 /** Number of listed instances. */
 unsigned fleet_size(const fleet_t *fleet);
 /** How many instances were looked at to choose, or to judge when one takes work, so far. */
-uint64_t fleet_looks(const fleet_t *fleet);
+uint64_t fleet_instances_examined(const fleet_t *fleet);
 
 /** Back ends in these data centres get nothing new from now on, others again; copied. */
 void fleet_set_evacuations(fleet_t *fleet, const evacuations_t *evacuations, tc_time_t now);
 
 /** What other boxes have in flight; instances not named have nothing. @param partial engines are left out: what was
  *  told of them stands */
-void fleet_hear_loads(fleet_t *fleet, const backend_load_t *loads, uint32_t n, bool partial, tc_time_t now);
+void fleet_set_remote_loads(fleet_t *fleet, const backend_load_t *loads, uint32_t n, bool partial, tc_time_t now);
 /** What this box has in flight, for the others. @return heap array for free(), its length in @p n */
 backend_load_t *fleet_own_loads(const fleet_t *fleet, uint32_t *n);
 
@@ -107,22 +107,22 @@
 instance_t *fleet_at(const fleet_t *fleet, unsigned place);
 /** When the first one takes work again, where none does now for its limit, or since it asked for no calls;
  *  TC_TIME_NEVER: one does, or there is none. Those that were tried count: who comes back tries anew. */
-tc_time_t fleet_opens_at(fleet_t *fleet, const fleet_wish_t *wish);
+tc_time_t fleet_next_available_at(fleet_t *fleet, const fleet_query_t *wish);
 /** Whether there are back ends for it, and all of them stand in evacuated data centres, whatever they take now. */
-bool fleet_is_evacuated(fleet_t *fleet, const fleet_wish_t *wish);
+bool fleet_is_evacuated(fleet_t *fleet, const fleet_query_t *wish);
 /** When the first one takes calls again, where all asked for none; 0: one takes calls now, or there is none. */
-tc_time_t fleet_closed_until(fleet_t *fleet, const fleet_wish_t *wish);
+tc_time_t fleet_closed_until(fleet_t *fleet, const fleet_query_t *wish);
 /** Run @p fn, which may not change the list, for every instance that fits, from the one at a place by the wish's draw
  * on and around. The instance is borrowed. */
-void fleet_each(fleet_t *fleet, const fleet_wish_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg);
+void fleet_each(fleet_t *fleet, const fleet_query_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg);
 /** How many instances are what is asked for, by their kind. */
-unsigned fleet_count(const fleet_t *fleet, const fleet_wish_t *wish);
+unsigned fleet_count(const fleet_t *fleet, const fleet_query_t *wish);
 /** The same as fleet_each for at most @p most of them, whose ids come next behind @p place in the ring, nearest first.
  */
-void fleet_each_behind(fleet_t *fleet, const fleet_wish_t *wish, uint64_t place, unsigned most,
-                       void (*fn)(void *arg, instance_t *instance), void *arg);
+void fleet_each_successor(fleet_t *fleet, const fleet_query_t *wish, uint64_t place, unsigned most,
+                          void (*fn)(void *arg, instance_t *instance), void *arg);
 /** Choose. @return a counted reference, or NULL when no back end is left */
-instance_t *fleet_choose(fleet_t *fleet, const fleet_wish_t *wish);
+instance_t *fleet_choose(fleet_t *fleet, const fleet_query_t *wish);
 
 /** Whether it may get requests, and questions that prepare them: it is listed, leaves neither by the list nor by its
  *  answers, its data centre is not evacuated, and it did not ask for no calls. Whatever is remembered of an instance is
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -108,17 +108,17 @@
     fail(f, why, FULL_AFTER_MS + g_rand_int_range(f->owner->random, 0, FULL_SPREAD_MS));
 }
 
-static fleet_wish_t wish_of(const forward_t *f, stage_t stage)
+static fleet_query_t wish_of(const forward_t *f, stage_t stage)
 {
-    return (fleet_wish_t){.service = f->service,
-                          .stage = stage,
-                          .dc = f->owner->options.dc,
-                          .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
-                          .ends = forward_ends(f),
-                          .connections = f->settings->max_connections,
-                          .boxes = forward_boxes(f->owner),
-                          .now = tc_time_now(),
-                          .draw = g_rand_int(f->owner->random)};
+    return (fleet_query_t){.service = f->service,
+                           .stage = stage,
+                           .dc = f->owner->options.dc,
+                           .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
+                           .ends = forward_ends(f),
+                           .connections = f->settings->max_connections,
+                           .boxes = forward_boxes(f->owner),
+                           .now = tc_time_now(),
+                           .draw = g_rand_int(f->owner->random)};
 }
 
 /** Other callers that were refused for the same reason come back beside this one: up to so much later. */
@@ -127,8 +127,8 @@
 /** No back end is left, or those that are take no work for a while: then its caller is told when one does. */
 static void fail_without_backend(forward_t *f, stage_t stage)
 {
-    const fleet_wish_t wish = wish_of(f, stage);
-    const tc_time_t until = fleet_opens_at(f->owner->fleet, &wish);
+    const fleet_query_t wish = wish_of(f, stage);
+    const tc_time_t until = fleet_next_available_at(f->owner->fleet, &wish);
     if (until == TC_TIME_NEVER) {
         forward_fail(f, fleet_is_evacuated(f->owner->fleet, &wish) ? REASON_EVACUATED : "no back end is left");
         return;
@@ -175,7 +175,7 @@
 
 instance_t *forward_choose(forward_t *f, stage_t stage)
 {
-    const fleet_wish_t wish = wish_of(f, stage);
+    const fleet_query_t wish = wish_of(f, stage);
     return fleet_choose(f->owner->fleet, &wish);
 }
 
@@ -194,7 +194,7 @@
 
 bool forward_has_unlimited(forward_t *f, stage_t stage)
 {
-    fleet_wish_t wish = wish_of(f, stage);
+    fleet_query_t wish = wish_of(f, stage);
     wish.unlimited = true;
     return drop_choice(fleet_choose(f->owner->fleet, &wish));
 }
@@ -322,7 +322,7 @@
  *  be served. */
 static bool is_shut_out(const forward_t *f)
 {
-    const fleet_wish_t wish = wish_of(f, STAGE_DECODE);
+    const fleet_query_t wish = wish_of(f, STAGE_DECODE);
     return fleet_is_evacuated(f->owner->fleet, &wish) || fleet_closed_until(f->owner->fleet, &wish) >= place_until(f);
 }
 
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -114,7 +114,7 @@
 
 /** Of a few engines all are asked, of more those behind the place where the scheduler begins its choice. Beyond them
  *  one that was placed by a box alone is found by luck. */
-static unsigned most_asked(const forward_t *f, const fleet_wish_t *wish)
+static unsigned most_asked(const forward_t *f, const fleet_query_t *wish)
 {
     return fleet_count(f->owner->fleet, wish) > LOCATE_LUCK * LOCATE_MOST ? LOCATE_NEAREST : LOCATE_MOST;
 }
@@ -126,8 +126,8 @@
     if (forward_ends(f) > 0)
         return false; /* the engine that kept it has ended, and another is chosen with regard to who runs there */
     f->locate.asked = true;
-    const fleet_wish_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
-    fleet_each_behind(f->owner->fleet, &wish, f->fingerprint, most_asked(f, &wish), ask, f);
+    const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
+    fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, most_asked(f, &wish), ask, f);
     if (f->locate.waiting > 0)
         return true;
     settle(f);
--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -313,7 +313,7 @@
         f->spare[i] = plans[i].spare;
         list[i].slots = 8;
     }
-    fleet_list(f->fleet, list, n, tc_time_now());
+    fleet_set_list(f->fleet, list, n, tc_time_now());
 }
 
 /** The same with back ends that answer by their plans. */
--- a/tests/platform/test_availability.c
+++ b/tests/platform/test_availability.c
@@ -252,7 +252,7 @@
 static void list_again(fixture_t *f, tc_time_t after)
 {
     backend_t listed = fleet_at(f->fleet, 0)->listed;
-    fleet_list(f->fleet, &listed, 1, tc_time_now() + after);
+    fleet_set_list(f->fleet, &listed, 1, tc_time_now() + after);
 }
 
 /** It is listed as leaving soon after it says so. A list that was read long after and shows it as ready is one of a new
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -52,7 +52,7 @@
     g_assert_cmpint(rest, >, 1000); /* the list is read once a second */
     backend_t changed = fleet_find(f->fleet, "i-0")->listed;
     codec_copy_string(changed.stage, sizeof(changed.stage), "decode");
-    fleet_list(f->fleet, &changed, 1, now);
+    fleet_set_list(f->fleet, &changed, 1, now);
     g_assert_cmpint(fleet_find(f->fleet, "i-0")->avoid_until, <=, now);
 }
 
@@ -338,7 +338,7 @@
         list[i] = *like;
         g_snprintf(list[i].id, sizeof(list[i].id), "%s-%u", names, i);
     }
-    fleet_list(f->fleet, list, engines + 1, tc_time_now());
+    fleet_set_list(f->fleet, list, engines + 1, tc_time_now());
     g_free(list);
     const int64_t before = counter_read("trackcove_locate_asked_total");
     lab_call_t *const c = begin_with(f, "/again/x", "Last-Event-Id: 1\r\nPrompt-Prefix: a1:10,b2:90\r\n");
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -45,7 +45,7 @@
         list[n] = instance->listed;
         list[n++].draining = i == 1;
     }
-    fleet_list(f->fleet, list, n, tc_time_now());
+    fleet_set_list(f->fleet, list, n, tc_time_now());
 }
 
 /* ===== Memory set aside ===== */
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -186,7 +186,7 @@
                    .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}}};
     e->forwarder = forwarder_create(w->f.loop, e->fleet, e->client, &options);
     forwarder_set_routes(e->forwarder, w->table);
-    fleet_list(e->fleet, w->list, w->backends_n, tc_time_now());
+    fleet_set_list(e->fleet, w->list, w->backends_n, tc_time_now());
     tc_err_t err = {0};
     const reporter_options_t reports = {.peer_listen = e->self.peer_addr,
                                         .controls = w->f.seeds,
--- a/tests/platform/test_quarantine.c
+++ b/tests/platform/test_quarantine.c
@@ -57,7 +57,7 @@
     search_t search = {.addr = addr};
     for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++)
         fleet_each(f->fleet,
-                   &(fleet_wish_t){.service = kinds[i].service, .stage = kinds[i].stage, .now = tc_time_now()},
+                   &(fleet_query_t){.service = kinds[i].service, .stage = kinds[i].stage, .now = tc_time_now()},
                    compare_addr, &search);
     return search.found;
 }
@@ -80,7 +80,7 @@
         g_snprintf(list[n - 1].id, sizeof(list[n - 1].id), "life-%u", ++lives);
         ended++;
     }
-    fleet_list(f->fleet, list, n, tc_time_now());
+    fleet_set_list(f->fleet, list, n, tc_time_now());
     return ended;
 }
 
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -89,7 +89,7 @@
 {
     unsigned n = 0;
     for (uint32_t draw = 0; draw < 50; draw++) {
-        const fleet_wish_t wish = {.service = "app", .dc = "b", .now = now, .draw = draw * 7919};
+        const fleet_query_t wish = {.service = "app", .dc = "b", .now = now, .draw = draw * 7919};
         instance_t *const chosen = fleet_choose(fleet, &wish);
         if (!chosen)
             continue;
@@ -105,7 +105,7 @@
     fleet_t *const fleet = fleet_create();
     evacuations_t held = {0};
     const tc_time_t now = 1000;
-    fleet_list(fleet, backends, G_N_ELEMENTS(backends), now);
+    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now);
     g_assert_cmpuint(count_chosen(fleet, "b", now), >, 0);
     order(&held, "b", true, 1);
     fleet_set_evacuations(fleet, &held, now);
@@ -113,7 +113,7 @@
     g_assert_cmpuint(count_chosen(fleet, "a", now), >, 0);
     g_assert_false(instance_takes_work(fleet_find(fleet, "b1"), now));
     g_assert_true(instance_takes_upkeep(fleet_find(fleet, "b1"), now));
-    fleet_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
+    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     order(&held, "a", true, 2);
     fleet_set_evacuations(fleet, &held, now);
--- a/tests/unit/test_ring.c
+++ b/tests/unit/test_ring.c
@@ -55,7 +55,7 @@
         codec_copy_string(b->stage, sizeof(b->stage), engines[i].role == ROLE_PREFILL ? "prefill" : "decode");
     }
     fleet_t *const fleet = fleet_create();
-    fleet_list(fleet, list, listed, 50);
+    fleet_set_list(fleet, list, listed, 50);
     g_free(list);
     return fleet;
 }
@@ -91,8 +91,8 @@
         char engine[CODEC_STR_SIZE];
         place(s, i, fingerprint, engine);
         search_t search = {.wanted = engine};
-        const fleet_wish_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-        fleet_each_behind(fleet, &wish, fingerprint, ASKED, ask, &search);
+        const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+        fleet_each_successor(fleet, &wish, fingerprint, ASKED, ask, &search);
         g_assert_cmpuint(search.asked, ==, ASKED);
         found += search.found;
     }
@@ -117,8 +117,8 @@
     engine_cfg_t *const engines = make_engines(30);
     fleet_t *const fleet = make_fleet(engines, 30, 31);
     search_t search = {.wanted = "e29"};
-    const fleet_wish_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-    fleet_each_behind(fleet, &wish, 1, ASKED, ask, &search);
+    const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+    fleet_each_successor(fleet, &wish, 1, ASKED, ask, &search);
     g_assert_cmpuint(search.asked, ==, 20);
     g_assert_cmpuint(fleet_count(fleet, &wish), ==, 20);
     g_assert_true(search.found);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -141,11 +141,11 @@
     const backend_t list[] = {backend("far", "b", "", false), backend("near", "a", "", false),
                               backend("leaving", "a", "", true), backend("engine", "a", "decode", false)};
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, G_N_ELEMENTS(list), 50);
+    fleet_set_list(f, list, G_N_ELEMENTS(list), 50);
     GPtrArray *const tried = g_ptr_array_new();
     /* Of two drawn by lot the better is taken: draws 1 and 2 draw both. */
-    const fleet_wish_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 1};
-    const fleet_wish_t turned = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 2};
+    const fleet_query_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 1};
+    const fleet_query_t turned = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 2};
     instance_t *const near = fleet_choose(f, &wish);
     g_assert_cmpstr(near->listed.id, ==, "near");
     instance_t *const same = fleet_choose(f, &turned);
@@ -160,7 +160,7 @@
     g_ptr_array_add(tried, near);
     g_ptr_array_add(tried, far);
     g_assert_null(fleet_choose(f, &wish));
-    fleet_list(f, list, 1, 60); /* a request keeps what it uses, also when it is listed no more */
+    fleet_set_list(f, list, 1, 60); /* a request keeps what it uses, also when it is listed no more */
     g_assert_false(near->present);
     instance_end(near, 0, 0);
     instance_unref(near);
@@ -178,8 +178,8 @@
     unsigned open = 0;
     for (int i = 0; i < BOXES; i++) {
         fleet_t *const f = fleet_create();
-        fleet_list(f, list, 1, 50);
-        const fleet_wish_t wish = {.service = "s", .dc = "a", .connections = TAKES, .boxes = BOXES, .now = 100};
+        fleet_set_list(f, list, 1, 50);
+        const fleet_query_t wish = {.service = "s", .dc = "a", .connections = TAKES, .boxes = BOXES, .now = 100};
         for (int k = 0; k < PLENTY; k++) {
             instance_t *const chosen = fleet_choose(f, &wish);
             if (!chosen)
@@ -199,10 +199,10 @@
 {
     const backend_t list[] = {backend("one", "a", "", false)};
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, 1, 50);
+    fleet_set_list(f, list, 1, 50);
     const backend_load_t load = {.id = "one", .running = 20};
-    fleet_hear_loads(f, &load, 1, false, 60);
-    const fleet_wish_t wish = {.service = "s", .dc = "a", .connections = 20, .boxes = 2, .now = 100};
+    fleet_set_remote_loads(f, &load, 1, false, 60);
+    const fleet_query_t wish = {.service = "s", .dc = "a", .connections = 20, .boxes = 2, .now = 100};
     g_assert_null(fleet_choose(f, &wish));
     fleet_destroy(f);
 }
@@ -211,11 +211,11 @@
 {
     const backend_t list[] = {backend("one", "a", "", false), backend("two", "a", "", false)};
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, 2, 50);
+    fleet_set_list(f, list, 2, 50);
     instance_t *const one = fleet_find(f, "one");
     instance_failed(one, 1000);
     for (uint32_t draw = 0; draw < 8; draw++) {
-        const fleet_wish_t wish = {.service = "s", .dc = "a", .now = 1100, .draw = draw};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 1100, .draw = draw};
         instance_t *const chosen = fleet_choose(f, &wish);
         g_assert_cmpstr(chosen->listed.id, ==, "two");
         instance_unref(chosen);
@@ -239,11 +239,11 @@
         list[i] = backend(id, "a", "", false);
     }
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, 8, 50);
+    fleet_set_list(f, list, 8, 50);
     const backend_load_t busy = {.id = "3", .running = 4};
-    fleet_hear_loads(f, &busy, 1, false, 90);
+    fleet_set_remote_loads(f, &busy, 1, false, 90);
     for (uint32_t draw = 0; draw < 64; draw++) {
-        const fleet_wish_t wish = {.service = "s", .dc = "a", .now = 100, .draw = draw};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .draw = draw};
         instance_t *const chosen = fleet_choose(f, &wish);
         taken[atoi(chosen->listed.id)]++;
         instance_unref(chosen);
@@ -272,18 +272,18 @@
         list[i] = backend(id, names[i % DCS], "", false);
     }
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, DCS * EACH, 50);
+    fleet_set_list(f, list, DCS * EACH, 50);
     backend_load_t loads[EACH];
     memset(loads, 0, sizeof(loads));
     for (int i = 0; i < EACH; i++) {
         codec_copy_string(loads[i].id, sizeof(loads[i].id), list[i * DCS].id);
         loads[i].running = running;
     }
-    fleet_hear_loads(f, loads, EACH, false, 60);
+    fleet_set_remote_loads(f, loads, EACH, false, 60);
     GRand *const random = g_rand_new_with_seed(3);
     unsigned near = 0, taken[DCS * EACH] = {0};
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_wish_t wish = {.service = "s", .dc = "0", .now = 100, .draw = g_rand_int(random)};
+        const fleet_query_t wish = {.service = "s", .dc = "0", .now = 100, .draw = g_rand_int(random)};
         instance_t *const chosen = fleet_choose(f, &wish);
         near += strcmp(chosen->listed.dc, "0") == 0;
         g_assert_cmpuint(++taken[atoi(chosen->listed.id)], <, CHOICES / EACH * 3); /* spread over all near ones */
@@ -317,18 +317,18 @@
         codec_copy_string(list[i].service, sizeof(list[i].service), i < engines ? "lm" : "plain");
     }
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, engines + PLAIN, 50);
+    fleet_set_list(f, list, engines + PLAIN, 50);
     g_free(list);
     for (uint32_t draw = 0; draw < 10; draw++) {
-        const fleet_wish_t wish = {.service = service,
-                                   .stage = stage[0] ? STAGE_DECODE : STAGE_NONE,
-                                   .dc = "a",
-                                   .now = 100,
-                                   .draw = draw * 2654435761U};
+        const fleet_query_t wish = {.service = service,
+                                    .stage = stage[0] ? STAGE_DECODE : STAGE_NONE,
+                                    .dc = "a",
+                                    .now = 100,
+                                    .draw = draw * 2654435761U};
         instance_unref(fleet_choose(f, &wish));
-        g_assert_cmpint(fleet_opens_at(f, &wish), ==, TC_TIME_NEVER);
+        g_assert_cmpint(fleet_next_available_at(f, &wish), ==, TC_TIME_NEVER);
     }
-    const uint64_t looks = fleet_looks(f);
+    const uint64_t looks = fleet_instances_examined(f);
     fleet_destroy(f);
     return looks;
 }
@@ -350,12 +350,12 @@
         list[i] = backend(id, "a", "", false);
     }
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, MANY, 50);
+    fleet_set_list(f, list, MANY, 50);
     g_free(list);
     GRand *const random = g_rand_new_with_seed(1);
     unsigned taken[MANY] = {0}, most = 0;
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_wish_t wish = {.service = "s", .dc = "a", .now = 100, .draw = g_rand_int(random)};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .draw = g_rand_int(random)};
         instance_t *const chosen = fleet_choose(f, &wish);
         const unsigned times = ++taken[atoi(chosen->listed.id)];
         most = MAX(most, times);
@@ -432,14 +432,14 @@
 {
     const backend_t list[] = {backend("1", "a", "", false), backend("2", "a", "decode", false)};
     fleet_t *const f = fleet_create();
-    fleet_list(f, list, 2, 50);
+    fleet_set_list(f, list, 2, 50);
     const backend_load_t all[] = {{.id = "1", .running = 4}, {.id = "2", .running = 6}};
-    fleet_hear_loads(f, all, 2, false, 60);
+    fleet_set_remote_loads(f, all, 2, false, 60);
     const backend_load_t some = {.id = "1", .running = 1};
-    fleet_hear_loads(f, &some, 1, true, 70);
+    fleet_set_remote_loads(f, &some, 1, true, 70);
     g_assert_cmpuint(fleet_find(f, "1")->others, ==, 1);
     g_assert_cmpuint(fleet_find(f, "2")->others, ==, 6);
-    fleet_hear_loads(f, &some, 1, false, 80);
+    fleet_set_remote_loads(f, &some, 1, false, 80);
     g_assert_cmpuint(fleet_find(f, "2")->others, ==, 0);
     fleet_destroy(f);
 }
