--- a/lib/backend/availability.h
+++ b/lib/backend/availability.h
@@ -21,8 +21,8 @@
 
 /** What a call to a back end is about. */
 typedef enum {
-    CALL_NEW_WORK, /**< a request, or a question that prepares one */
-    CALL_UPKEEP    /**< what it has already, e.g. memory that nobody will use */
+    CALL_NEW_WORK,   /**< a request, or a question that prepares one */
+    CALL_MAINTENANCE /**< what it has already, e.g. memory that nobody will use */
 } call_purpose_t;
 
 /** What one answer says. */
--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_reader.c
@@ -95,7 +95,7 @@
 {
     for (uint32_t tries = 0; tries < n; tries++) {
         const backend_t *const b = &backends[r->turn++ % n];
-        if (runs_streams(b) && call_gate_takes(r->gate, b->id, CALL_UPKEEP, now))
+        if (runs_streams(b) && call_gate_takes(r->gate, b->id, CALL_MAINTENANCE, now))
             return b;
     }
     return NULL;
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -64,15 +64,15 @@
     g_free(instance);
 }
 
-bool instance_takes_work(const instance_t *instance, tc_time_t now)
+bool instance_accepts_work(const instance_t *instance, tc_time_t now)
 {
     return instance->present && !instance->listed.draining && !instance->evacuated &&
            availability_takes(&instance->availability, CALL_NEW_WORK, now);
 }
 
-bool instance_takes_upkeep(const instance_t *instance, tc_time_t now)
+bool instance_accepts_maintenance(const instance_t *instance, tc_time_t now)
 {
-    return availability_takes(&instance->availability, CALL_UPKEEP, now);
+    return availability_takes(&instance->availability, CALL_MAINTENANCE, now);
 }
 
 static void drop(void *instance)
@@ -97,7 +97,7 @@
     instance->twice -= ends >= 2;
 }
 
-bool instance_hear_limit(instance_t *instance, const instance_limit_t *limit)
+bool instance_update_limit(instance_t *instance, const instance_limit_t *limit)
 {
     const instance_limit_t before = instance->limit;
     if (limit->seen_at < before.seen_at)
@@ -383,7 +383,7 @@
 {
     if (wish->now < instance->limited_until || (wish->unlimited && instance->limit.is_set))
         return false;
-    return suits(instance, wish) && instance_takes_work(instance, wish->now) && !was_tried(instance, wish);
+    return suits(instance, wish) && instance_accepts_work(instance, wish->now) && !was_tried(instance, wish);
 }
 
 tc_time_t fleet_next_available_at(fleet_t *f, const fleet_query_t *wish)
--- a/lib/forward/fleet.h
+++ b/lib/forward/fleet.h
@@ -127,9 +127,9 @@
 /** Whether it may get requests, and questions that prepare them: it is listed, leaves neither by the list nor by its
  *  answers, its data centre is not evacuated, and it did not ask for no calls. Whatever is remembered of an instance is
  * checked by this before use. */
-bool instance_takes_work(const instance_t *instance, tc_time_t now);
+bool instance_accepts_work(const instance_t *instance, tc_time_t now);
 /** Whether it may get calls about what it has already. */
-bool instance_takes_upkeep(const instance_t *instance, tc_time_t now);
+bool instance_accepts_maintenance(const instance_t *instance, tc_time_t now);
 
 /** One more reference. @return @p instance */
 instance_t *instance_ref(instance_t *instance);
@@ -143,7 +143,7 @@
 void instance_end(instance_t *instance, uint64_t tokens, unsigned ends);
 
 /** An answer told of its limit. Older news than what is known changes nothing. @return whether the limit has changed */
-bool instance_hear_limit(instance_t *instance, const instance_limit_t *limit);
+bool instance_update_limit(instance_t *instance, const instance_limit_t *limit);
 
 /** It answered well. */
 void instance_succeeded(instance_t *instance);
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -249,7 +249,7 @@
 
 void forward_send(forward_t *f, dialect_ask_t ask, instance_t *instance)
 {
-    if (!instance_takes_work(instance, tc_time_now())) { /* since it was chosen */
+    if (!instance_accepts_work(instance, tc_time_now())) { /* since it was chosen */
         f->asked_again = false;
         instance_unref(instance);
         forward_go_on(f);
@@ -269,7 +269,7 @@
     if (!keeper)
         return false;
     f->locate.instance = NULL; /* once: when it can't, the stream is placed like any other */
-    if (!instance_takes_work(keeper, tc_time_now())) {
+    if (!instance_accepts_work(keeper, tc_time_now())) {
         instance_unref(keeper);
         return false;
     }
--- a/lib/forward/forward_ask.c
+++ b/lib/forward/forward_ask.c
@@ -60,7 +60,7 @@
 engine_ask_t *engine_ask(forward_t *f, instance_t *instance, GByteArray *request, const engine_ask_limits_t *limits,
                          web_ask_fn_t fn)
 {
-    assert(instance_takes_work(instance, tc_time_now())); /* promise: as of requests */
+    assert(instance_accepts_work(instance, tc_time_now())); /* promise: as of requests */
     engine_ask_t *const e = g_new0(engine_ask_t, 1);
     e->request = f;
     e->instance = instance;
@@ -120,7 +120,7 @@
 
 void upkeep_call(forwarder_t *fw, instance_t *instance, GByteArray *request)
 {
-    if (!instance_takes_upkeep(instance, tc_time_now())) {
+    if (!instance_accepts_maintenance(instance, tc_time_now())) {
         g_byte_array_unref(request); /* an engine drops by itself what nobody takes */
         return;
     }
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -39,7 +39,7 @@
 
 void hold_check(forward_t *f)
 {
-    if (f->hold.instance && (tc_time_now() >= f->hold.until || !instance_takes_work(f->hold.instance, tc_time_now())))
+    if (f->hold.instance && (tc_time_now() >= f->hold.until || !instance_accepts_work(f->hold.instance, tc_time_now())))
         hold_release(f);
 }
 
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -58,7 +58,7 @@
 /** @param from who says so, for the log @return whether the limit has changed */
 static bool take(instance_t *instance, const instance_limit_t *limit, const char *from)
 {
-    if (!instance_hear_limit(instance, limit))
+    if (!instance_update_limit(instance, limit))
         return false;
     counter_add(&c_changes, 1);
     log_limit(instance, from);
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -260,7 +260,7 @@
     const bool granted = stage == STAGE_PREFILL ? f->placement.prefill_granted : f->placement.decode_granted;
     if (instance && !granted && tc_time_now() < instance->limited_until)
         return NULL;
-    if (!instance || !instance_takes_work(instance, tc_time_now()) ||
+    if (!instance || !instance_accepts_work(instance, tc_time_now()) ||
         g_ptr_array_find((GPtrArray *)(uintptr_t)tried, instance, NULL))
         return NULL;
     return instance_ref(instance);
--- a/lib/forward/forward_step.c
+++ b/lib/forward/forward_step.c
@@ -455,7 +455,7 @@
 {
     assert(!f->step); /* one call at a time: a request never runs on two back ends by our will */
     const tc_time_t now = tc_time_now();
-    assert(instance_takes_work(instance, now)); /* promise: none to a back end that leaves or asked for no calls */
+    assert(instance_accepts_work(instance, now)); /* promise: none to a back end that leaves or asked for no calls */
     counter_add(&c_calls, 1);
     step_t *const s = g_new0(step_t, 1);
     s->request = f;
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -93,7 +93,7 @@
         instance_t *const chosen = fleet_choose(fleet, &wish);
         if (!chosen)
             continue;
-        g_assert_true(instance_takes_work(chosen, now));
+        g_assert_true(instance_accepts_work(chosen, now));
         n += strcmp(chosen->listed.dc, dc) == 0;
         instance_unref(chosen);
     }
@@ -111,8 +111,8 @@
     fleet_set_evacuations(fleet, &held, now);
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     g_assert_cmpuint(count_chosen(fleet, "a", now), >, 0);
-    g_assert_false(instance_takes_work(fleet_find(fleet, "b1"), now));
-    g_assert_true(instance_takes_upkeep(fleet_find(fleet, "b1"), now));
+    g_assert_false(instance_accepts_work(fleet_find(fleet, "b1"), now));
+    g_assert_true(instance_accepts_maintenance(fleet_find(fleet, "b1"), now));
     fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     order(&held, "a", true, 2);
