--- a/lib/backend/availability.c
+++ b/lib/backend/availability.c
@@ -4,7 +4,7 @@
 
 #include "common/log.h"
 
-bool availability_hear(availability_t *a, const availability_notice_t *notice, tc_time_t now)
+bool availability_update(availability_t *a, const availability_notice_t *notice, tc_time_t now)
 {
     const availability_t before = *a;
     if (notice->leaving && a->leaving_since == 0)
@@ -20,7 +20,7 @@
         a->leaving_since = 0;
 }
 
-bool availability_takes(const availability_t *a, call_purpose_t purpose, tc_time_t now)
+bool availability_accepts(const availability_t *a, call_purpose_t purpose, tc_time_t now)
 {
     const bool leaves = a->leaving_since > 0 && purpose == CALL_NEW_WORK;
     return !leaves && now >= a->closed_until;
--- a/lib/backend/availability.h
+++ b/lib/backend/availability.h
@@ -41,14 +41,14 @@
 
 /** Take what an answer says that came at @p now. Of several times that it asked for the latest end counts.
  *  @return whether anything has changed */
-bool availability_hear(availability_t *availability, const availability_notice_t *notice, tc_time_t now);
+bool availability_update(availability_t *availability, const availability_notice_t *notice, tc_time_t now);
 
 /** The list of back ends, as read at @p fetched, shows it as one that does not leave. */
 void availability_listed_ready(availability_t *availability, tc_time_t fetched);
 
 /** Whether it wants such a call now: while it wants none at all, and new work from when it said that it leaves, it is
  *  sent nothing. */
-bool availability_takes(const availability_t *availability, call_purpose_t purpose, tc_time_t now);
+bool availability_accepts(const availability_t *availability, call_purpose_t purpose, tc_time_t now);
 
 /** The line of the log for news. @param backend its id */
 void availability_log(const char *backend, const availability_notice_t *notice);
--- a/lib/backend/call_gate.h
+++ b/lib/backend/call_gate.h
@@ -17,19 +17,19 @@
 typedef struct call_gate call_gate_t;
 
 /** Whether others know that a back end, by its id, takes such calls. */
-typedef bool (*call_gate_fn_t)(void *arg, const char *backend, call_purpose_t purpose);
+typedef bool (*call_gate_check_fn_t)(void *arg, const char *backend, call_purpose_t purpose);
 
 /* ===== Public functions ===== */
 
 /** @param fn asked beside; NULL: nobody is @param arg for it */
-call_gate_t *call_gate_create(call_gate_fn_t fn, void *arg);
+call_gate_t *call_gate_create(call_gate_check_fn_t fn, void *arg);
 void call_gate_destroy(call_gate_t *gate);
 
 /** Whether a call may be made now. */
-bool call_gate_takes(const call_gate_t *gate, const char *backend, call_purpose_t purpose, tc_time_t now);
+bool call_gate_accepts(const call_gate_t *gate, const char *backend, call_purpose_t purpose, tc_time_t now);
 /** An answer of the back end said so. */
-void call_gate_hear(call_gate_t *gate, const char *backend, const availability_notice_t *notice, tc_time_t now);
+void call_gate_update(call_gate_t *gate, const char *backend, const availability_notice_t *notice, tc_time_t now);
 /** These are listed, as read at @p fetched: others are forgotten. */
-void call_gate_list(call_gate_t *gate, const backend_t *list, uint32_t n, tc_time_t fetched);
+void call_gate_set_list(call_gate_t *gate, const backend_t *list, uint32_t n, tc_time_t fetched);
 
 #endif
--- a/lib/cluster/engine_reader.c
+++ b/lib/cluster/engine_reader.c
@@ -60,7 +60,7 @@
 {
     const question_t *const q = arg;
     const availability_notice_t notice = dialect_read_notice(head);
-    call_gate_hear(q->reader->gate, q->engine, &notice, tc_time_now());
+    call_gate_update(q->reader->gate, q->engine, &notice, tc_time_now());
 }
 
 static void on_answer(void *arg, web_ask_end_t how)
@@ -95,7 +95,7 @@
 {
     for (uint32_t tries = 0; tries < n; tries++) {
         const backend_t *const b = &backends[r->turn++ % n];
-        if (runs_streams(b) && call_gate_takes(r->gate, b->id, CALL_MAINTENANCE, now))
+        if (runs_streams(b) && call_gate_accepts(r->gate, b->id, CALL_MAINTENANCE, now))
             return b;
     }
     return NULL;
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -67,12 +67,12 @@
 bool instance_accepts_work(const instance_t *instance, tc_time_t now)
 {
     return instance->present && !instance->listed.draining && !instance->evacuated &&
-           availability_takes(&instance->availability, CALL_NEW_WORK, now);
+           availability_accepts(&instance->availability, CALL_NEW_WORK, now);
 }
 
 bool instance_accepts_maintenance(const instance_t *instance, tc_time_t now)
 {
-    return availability_takes(&instance->availability, CALL_MAINTENANCE, now);
+    return availability_accepts(&instance->availability, CALL_MAINTENANCE, now);
 }
 
 static void drop(void *instance)
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -15,7 +15,7 @@
         return;
     const availability_notice_t notice = dialect_read_notice(head);
     const bool was_leaving = instance->availability.leaving_since > 0;
-    if (!availability_hear(&instance->availability, &notice, tc_time_now()))
+    if (!availability_update(&instance->availability, &notice, tc_time_now()))
         return;
     counter_add(&c_closed, notice.retry_after > 0);
     availability_log(instance->listed.id, &notice);
--- a/lib/request/service.c
+++ b/lib/request/service.c
@@ -73,7 +73,7 @@
             const worker_cfg_t *const w = &service->workers[i];
             const seen_t *const seen = seen_get(w->name);
             if (view_is_leaving(view, w->name) || strcmp(w->name, avoid) == 0 ||
-                !availability_takes(&seen->availability, CALL_NEW_WORK, now) ||
+                !availability_accepts(&seen->availability, CALL_NEW_WORK, now) ||
                 (pass == 0 && now < seen->ejected_until))
                 continue;
             const double cost = (seen->outstanding + 1) * seen->latency_ms;
@@ -97,7 +97,7 @@
     seen_t *const seen = seen_get(worker);
     const availability_notice_t notice = {.retry_after = retry_after};
     seen->outstanding--;
-    if (availability_hear(&seen->availability, &notice, tc_time_now()))
+    if (availability_update(&seen->availability, &notice, tc_time_now()))
         availability_log(worker, &notice);
     if (ok) {
         seen->failures = 0;
--- a/lib/roles/mover.c
+++ b/lib/roles/mover.c
@@ -194,7 +194,7 @@
 {
     const mover_t *const m = arg;
     const availability_notice_t notice = dialect_read_notice(head);
-    call_gate_hear(m->gate, m->asked->engine.id, &notice, tc_time_now());
+    call_gate_update(m->gate, m->asked->engine.id, &notice, tc_time_now());
 }
 
 static void call_engine(mover_t *m, move_t *move, GByteArray *request, web_ask_fn_t fn)
@@ -246,7 +246,7 @@
 /** Whether the engine takes new work of this box: an order is some. */
 static bool takes_orders(const mover_t *m, const char *engine)
 {
-    return call_gate_takes(m->gate, engine, CALL_NEW_WORK, tc_time_now());
+    return call_gate_accepts(m->gate, engine, CALL_NEW_WORK, tc_time_now());
 }
 
 /** What the engine says it is: the order rests on it. */
--- a/tests/platform/test_call_gate.c
+++ b/tests/platform/test_call_gate.c
@@ -15,21 +15,21 @@
 {
     call_gate_t *const g = call_gate_create(NULL, NULL);
     const availability_notice_t closed = {.retry_after = 100}, leaving = {.leaving = true}, nothing = {0};
-    call_gate_hear(g, "a", &closed, 1000);
-    call_gate_hear(g, "a", &nothing, 1050);
-    call_gate_hear(g, "b", &leaving, 1000);
-    g_assert_false(call_gate_takes(g, "a", CALL_MAINTENANCE, 1099));
-    g_assert_true(call_gate_takes(g, "a", CALL_NEW_WORK, 1100));
-    g_assert_false(call_gate_takes(g, "b", CALL_NEW_WORK, 1001));
-    g_assert_true(call_gate_takes(g, "b", CALL_MAINTENANCE, 1001));
-    g_assert_true(call_gate_takes(g, "c", CALL_NEW_WORK, 1001));
+    call_gate_update(g, "a", &closed, 1000);
+    call_gate_update(g, "a", &nothing, 1050);
+    call_gate_update(g, "b", &leaving, 1000);
+    g_assert_false(call_gate_accepts(g, "a", CALL_MAINTENANCE, 1099));
+    g_assert_true(call_gate_accepts(g, "a", CALL_NEW_WORK, 1100));
+    g_assert_false(call_gate_accepts(g, "b", CALL_NEW_WORK, 1001));
+    g_assert_true(call_gate_accepts(g, "b", CALL_MAINTENANCE, 1001));
+    g_assert_true(call_gate_accepts(g, "c", CALL_NEW_WORK, 1001));
     const backend_t list[] = {{.id = "b"}};
-    call_gate_hear(g, "a", &closed, 2000);
-    call_gate_list(g, list, 1, 2000);
-    g_assert_true(call_gate_takes(g, "a", CALL_MAINTENANCE, 2001)); /* it is gone: a new one may have its name */
-    g_assert_false(call_gate_takes(g, "b", CALL_NEW_WORK, 2001));
-    call_gate_list(g, list, 1, 1000 + AVAILABILITY_LISTED_MS);
-    g_assert_true(call_gate_takes(g, "b", CALL_NEW_WORK, 2001));
+    call_gate_update(g, "a", &closed, 2000);
+    call_gate_set_list(g, list, 1, 2000);
+    g_assert_true(call_gate_accepts(g, "a", CALL_MAINTENANCE, 2001)); /* it is gone: a new one may have its name */
+    g_assert_false(call_gate_accepts(g, "b", CALL_NEW_WORK, 2001));
+    call_gate_set_list(g, list, 1, 1000 + AVAILABILITY_LISTED_MS);
+    g_assert_true(call_gate_accepts(g, "b", CALL_NEW_WORK, 2001));
     call_gate_destroy(g);
 }
 
@@ -84,11 +84,11 @@
         codec_copy_string(list[i].addr, sizeof(list[i].addr), addr);
         engines[i] = lab_backend_start(loop, addr, i == 0 ? refuse : tell, &seen.asked[i]);
     }
-    while (call_gate_takes(gate, "e0", CALL_MAINTENANCE, tc_time_now()))
+    while (call_gate_accepts(gate, "e0", CALL_MAINTENANCE, tc_time_now()))
         tick(loop, reader, list);
     g_assert_cmpuint(seen.asked[0], ==, 1);
     const unsigned before = seen.asked[1];
-    while (!call_gate_takes(gate, "e0", CALL_MAINTENANCE, tc_time_now())) {
+    while (!call_gate_accepts(gate, "e0", CALL_MAINTENANCE, tc_time_now())) {
         g_assert_cmpuint(seen.asked[0], ==, 1);
         tick(loop, reader, list);
     }
