--- a/lib/cap/cap_ledger.c
+++ b/lib/cap/cap_ledger.c
@@ -142,7 +142,7 @@
     spend(l, b, units, now);
 }
 
-double cap_ledger_room(cap_ledger_t *l, const char *name, tc_time_t now)
+double cap_ledger_available(cap_ledger_t *l, const char *name, tc_time_t now)
 {
     bucket_t *const b = find(l, name);
     if (!b)
@@ -151,7 +151,7 @@
     return MIN(b->level, window_limit(l, &b->cfg) - cap_window_sum(&b->used, l->rules.window, now));
 }
 
-void cap_ledger_return(cap_ledger_t *l, const char *name, double units, tc_time_t now)
+void cap_ledger_refund(cap_ledger_t *l, const char *name, double units, tc_time_t now)
 {
     bucket_t *const b = find(l, name);
     if (!b)
@@ -210,7 +210,7 @@
     l->states_at = 0;
 }
 
-void cap_ledger_begin(cap_ledger_t *l, tc_time_t now)
+void cap_ledger_start_term(cap_ledger_t *l, tc_time_t now)
 {
     GHashTableIter iter;
     gpointer value;
@@ -284,8 +284,8 @@
         cap_window_spread(&b->used, l->rules.window, (double)(use->window - news - before), now);
 }
 
-void cap_ledger_hear(cap_ledger_t *l, const char *box, uint64_t incarnation, const cap_use_t *list, uint32_t n,
-                     tc_time_t now)
+void cap_ledger_apply_report(cap_ledger_t *l, const char *box, uint64_t incarnation, const cap_use_t *list, uint32_t n,
+                             tc_time_t now)
 {
     for (uint32_t i = 0; i < n; i++)
         hear_one(l, told_key(box, incarnation, list[i].name), &list[i], now);
@@ -309,7 +309,7 @@
 
 /* ===== What boxes are told ===== */
 
-const cap_state_t *cap_ledger_tell(cap_ledger_t *l, uint32_t *n, tc_time_t now)
+const cap_state_t *cap_ledger_get_states(cap_ledger_t *l, uint32_t *n, tc_time_t now)
 {
     if (l->states_at == 0 || now - l->states_at >= TELL_EVERY_MS) {
         l->states_at = now;
--- a/lib/cap/cap_ledger.h
+++ b/lib/cap/cap_ledger.h
@@ -49,7 +49,7 @@
 /** The caps from now on, copied; those of subjects that are there already keep their count. */
 void cap_ledger_configure(cap_ledger_t *ledger, const cap_cfg_t *list, uint32_t n, tc_time_t now);
 /** This box begins to lead. */
-void cap_ledger_begin(cap_ledger_t *ledger, tc_time_t now);
+void cap_ledger_start_term(cap_ledger_t *ledger, tc_time_t now);
 /** So many boxes report. Those that are missing, cut off perhaps, may still let in their parts: what remains is handed
  *  out here. */
 void cap_ledger_set_boxes(cap_ledger_t *ledger, unsigned n, tc_time_t now);
@@ -58,20 +58,20 @@
  *  @param after when it would be let in, ms from now: callers that are refused one after the other are told times one
  *  behind the other, at the pace of the cap */
 bool cap_ledger_take(cap_ledger_t *ledger, const char *name, double units, tc_time_t now, tc_time_t *after);
-/** So many units were let in, within cap_ledger_room. */
+/** So many units were let in, within cap_ledger_available. */
 void cap_ledger_spend(cap_ledger_t *ledger, const char *name, double units, tc_time_t now);
 /** Units that may be let in now, below 0 when too many were; more than anybody asks for a subject without a cap. */
-double cap_ledger_room(cap_ledger_t *ledger, const char *name, tc_time_t now);
+double cap_ledger_available(cap_ledger_t *ledger, const char *name, tc_time_t now);
 /** A request that was let in has not run, and will not. */
-void cap_ledger_return(cap_ledger_t *ledger, const char *name, double units, tc_time_t now);
+void cap_ledger_refund(cap_ledger_t *ledger, const char *name, double units, tc_time_t now);
 /** What the next decision rests on. */
 cap_view_t cap_ledger_view(cap_ledger_t *ledger, const char *name, tc_time_t now);
 
 /** A box tells what it let in by itself. */
-void cap_ledger_hear(cap_ledger_t *ledger, const char *box, uint64_t incarnation, const cap_use_t *list, uint32_t n,
-                     tc_time_t now);
+void cap_ledger_apply_report(cap_ledger_t *ledger, const char *box, uint64_t incarnation, const cap_use_t *list,
+                             uint32_t n, tc_time_t now);
 /** What boxes are to know: subjects near their caps, or over them. Borrowed until the next call of any function. */
-const cap_state_t *cap_ledger_tell(cap_ledger_t *ledger, uint32_t *n, tc_time_t now);
+const cap_state_t *cap_ledger_get_states(cap_ledger_t *ledger, uint32_t *n, tc_time_t now);
 /** Forget what boxes told that have been silent, at most once a second. */
 void cap_ledger_tick(cap_ledger_t *ledger, tc_time_t now);
 
--- a/lib/cluster/limits.c
+++ b/lib/cluster/limits.c
@@ -29,7 +29,7 @@
     const uint32_t granted = sched_limit_engine(sched, engine, SCHED_NO_LIMIT);
     cap_ledger_spend(l->ledger, engine, granted, now);
     cap_ledger_spend(l->cold, engine, granted, now);
-    const double room = MIN(cap_ledger_room(l->ledger, engine, now), cap_ledger_room(l->cold, engine, now));
+    const double room = MIN(cap_ledger_available(l->ledger, engine, now), cap_ledger_available(l->cold, engine, now));
     if (!isinf(room))
         (void)sched_limit_engine(sched, engine, room > 0 ? (uint32_t)room : 0);
 }
@@ -46,7 +46,7 @@
     g_hash_table_iter_init(&iter, l->colds);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
         bind_engine(l, sched, id, now);
-        if (isinf(cap_ledger_room(l->cold, id, now)))
+        if (isinf(cap_ledger_available(l->cold, id, now)))
             g_hash_table_iter_remove(&iter); /* it is cold no more, and the scheduler knows */
     }
 }
@@ -127,8 +127,8 @@
 /** @param hash of what the box was told before */
 static void tell(limits_t *l, uint64_t hash, msg_report_ack_t *ack, tc_time_t now)
 {
-    ack->limits.caps = (cap_state_t *)(uintptr_t)cap_ledger_tell(l->ledger, &ack->limits.caps_n, now);
-    ack->limits.cold = (cap_state_t *)(uintptr_t)cap_ledger_tell(l->cold, &ack->limits.cold_n, now);
+    ack->limits.caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->ledger, &ack->limits.caps_n, now);
+    ack->limits.cold = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->cold, &ack->limits.cold_n, now);
     ack->limits.hash = limit_table_hash(l->known);
     if (hash == ack->limits.hash)
         return;
@@ -148,9 +148,10 @@
 void limits_take_report(limits_t *l, sched_t *sched, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     const bool changed = hear(l, report->limits, report->limits_n, now);
-    cap_ledger_hear(l->cold, report->self.box, report->self.incarnation, report->cold_used, report->cold_used_n, now);
-    cap_ledger_hear(l->ledger, report->self.box, report->self.incarnation, report->limits_used, report->limits_used_n,
-                    now);
+    cap_ledger_apply_report(l->cold, report->self.box, report->self.incarnation, report->cold_used, report->cold_used_n,
+                            now);
+    cap_ledger_apply_report(l->ledger, report->self.box, report->self.incarnation, report->limits_used,
+                            report->limits_used_n, now);
     if (changed)
         bind_engines(l, sched, now);
     bind_used(l, sched, report->limits_used, report->limits_used_n, now);
@@ -165,7 +166,7 @@
         return false;
     if (!cold || cap_ledger_take(l->cold, backend, 1, now, after))
         return true;
-    cap_ledger_return(l->ledger, backend, 1, now);
+    cap_ledger_refund(l->ledger, backend, 1, now);
     return false;
 }
 
@@ -184,8 +185,8 @@
 {
     limit_table_clear(l->known);
     apply(l, now);
-    cap_ledger_begin(l->ledger, now);
-    cap_ledger_begin(l->cold, now);
+    cap_ledger_start_term(l->ledger, now);
+    cap_ledger_start_term(l->cold, now);
 }
 
 void limits_tick(limits_t *l, sched_t *sched, unsigned boxes, tc_time_t now)
--- a/lib/cluster/placing.c
+++ b/lib/cluster/placing.c
@@ -280,8 +280,8 @@
 {
     if (!p->sched)
         return; /* what it let in is told again to whoever leads */
-    cap_ledger_hear(p->caps, report->self.box, report->self.incarnation, report->used, report->used_n, now);
-    ack->caps = (cap_state_t *)(uintptr_t)cap_ledger_tell(p->caps, &ack->caps_n, now);
+    cap_ledger_apply_report(p->caps, report->self.box, report->self.incarnation, report->used, report->used_n, now);
+    ack->caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(p->caps, &ack->caps_n, now);
     sched_set_notices(p->sched, report->self.box, report->notices, report->notices_n, now);
     limits_take_report(p->limits, p->sched, report, ack, now);
 }
@@ -329,7 +329,7 @@
     if (!entry)
         return;
     if (!answer->placed.granted)
-        cap_ledger_return(p->caps, entry->workspace, entry->units, now);
+        cap_ledger_refund(p->caps, entry->workspace, entry->units, now);
     g_hash_table_remove(p->let_in, answer->id);
 }
 
@@ -556,7 +556,7 @@
         g_hash_table_remove_all(p->budgets);
     }
     if (!p->sched && term != 0) {
-        cap_ledger_begin(p->caps, now);
+        cap_ledger_start_term(p->caps, now);
         limits_begin(p->limits, now);
         g_hash_table_remove_all(p->let_in);
         const sched_options_t options = {.cell = CELL,
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -97,7 +97,7 @@
     w->ledger = cap_ledger_create(&w->rules);
     w->term++;
     configure(w);
-    cap_ledger_begin(w->ledger, w->now);
+    cap_ledger_start_term(w->ledger, w->now);
 }
 
 static void lose_leader(world_t *w)
@@ -155,9 +155,9 @@
     uint32_t n;
     cap_use_t *const used = cap_parts_report(b->parts, &n, w->now);
     if (w->ledger && !b->silent) {
-        cap_ledger_hear(w->ledger, b->name, b->incarnation, used, n, w->now);
+        cap_ledger_apply_report(w->ledger, b->name, b->incarnation, used, n, w->now);
         uint32_t told;
-        const cap_state_t *const states = cap_ledger_tell(w->ledger, &told, w->now);
+        const cap_state_t *const states = cap_ledger_get_states(w->ledger, &told, w->now);
         if (g_rand_double(w->random) > 0.02) { /* an answer may be lost */
             b->told = true;
             b->report_at = cap_parts_hear(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
