--- a/lib/cap/cap_parts.c
+++ b/lib/cap/cap_shares.c
@@ -1,4 +1,4 @@
-#include "cap/cap_parts.h"
+#include "cap/cap_shares.h"
 
 #include <glib.h>
 #include <math.h>
@@ -58,7 +58,7 @@
     uint64_t heard;       /* and as a leader has heard */
 } part_t;
 
-struct cap_parts {
+struct cap_shares {
     cap_rules_t rules;
     GHashTable *by_name; /* part_t.name -> part_t */
     GHashTable *states;  /* subject -> cap_state_t: those near their caps, as a leader told last */
@@ -77,7 +77,7 @@
     g_free(p);
 }
 
-static part_t *part_get(cap_parts_t *c, const char *name)
+static part_t *part_get(cap_shares_t *c, const char *name)
 {
     part_t *p = g_hash_table_lookup(c->by_name, name);
     if (p)
@@ -89,24 +89,24 @@
 }
 
 /** Units a second that this box let in over the last window, whoever decided it. */
-static double recent_rate(const cap_parts_t *c, part_t *p, tc_time_t now)
+static double recent_rate(const cap_shares_t *c, part_t *p, tc_time_t now)
 {
     return cap_window_sum(&p->window, c->rules.window, now) * MS_PER_S / (double)c->rules.window;
 }
 
 /** Whether this box let in as much as such a request over the last window. */
-static bool was_active(const cap_parts_t *c, part_t *p, double units, tc_time_t now)
+static bool was_active(const cap_shares_t *c, part_t *p, double units, tc_time_t now)
 {
     return cap_window_sum(&p->window, c->rules.window, now) >= units;
 }
 
-static void note(const cap_parts_t *c, part_t *p, double units, tc_time_t now)
+static void note(const cap_shares_t *c, part_t *p, double units, tc_time_t now)
 {
     cap_window_add(&p->window, c->rules.window, units, now);
     p->used_at = now;
 }
 
-static void count_own(const cap_parts_t *c, part_t *p, double units, tc_time_t now)
+static void count_own(const cap_shares_t *c, part_t *p, double units, tc_time_t now)
 {
     note(c, p, units, now);
     p->free_units += units;
@@ -115,7 +115,7 @@
 
 /** Units a second that this box may let in by itself. @param is_far whether the subject was far from its cap when the
  *  leader told last: then it may go on as before */
-static double part_rate(const cap_parts_t *c, part_t *p, const cap_t *cap, unsigned boxes, bool is_far, tc_time_t now)
+static double part_rate(const cap_shares_t *c, part_t *p, const cap_t *cap, unsigned boxes, bool is_far, tc_time_t now)
 {
     const double equal = cap->rate / boxes;
     if (!mechanism_is_on(MECHANISM_CAP_DEMAND) || c->told_at == 0)
@@ -128,8 +128,8 @@
 /** A request is often larger than what comes in while a box is alone, so that rounding down would refuse all and
  *  rounding up let in one at each box. Where a box begins is by lot: all boxes together let in what they may, and a
  * part of the slack. One at which the subject was active lately, far from its cap, begins with a request. */
-static void begin_part(const cap_parts_t *c, part_t *p, const cap_ask_t *ask, unsigned boxes, bool is_far, double draw,
-                       tc_time_t now)
+static void begin_part(const cap_shares_t *c, part_t *p, const cap_request_t *ask, unsigned boxes, bool is_far,
+                       double draw, tc_time_t now)
 {
     const double all = ask->units * boxes;
     const double slack = (c->told_at > 0 ? SLACK_PART : START_SLACK_PART) * c->rules.slack;
@@ -140,7 +140,7 @@
     p->is_begun = true;
 }
 
-static void fill_part(const cap_parts_t *c, part_t *p, double rate, tc_time_t now)
+static void fill_part(const cap_shares_t *c, part_t *p, double rate, tc_time_t now)
 {
     const double due = rate * (double)(now - p->level_at) / MS_PER_S;
     const double depth_ms = MIN(DEPTH_MS, DEPTH_PART * (double)c->rules.window);
@@ -148,8 +148,8 @@
     p->level_at = now;
 }
 
-static bool take_part(cap_parts_t *c, part_t *p, const cap_ask_t *ask, unsigned boxes, double draw, tc_time_t now,
-                      cap_verdict_t *verdict)
+static bool take_part(cap_shares_t *c, part_t *p, const cap_request_t *ask, unsigned boxes, double draw, tc_time_t now,
+                      cap_decision_t *verdict)
 {
     const bool is_far = !c->rules.strict && c->told_at > 0 && !g_hash_table_contains(c->states, ask->name);
     const double rate = part_rate(c, p, ask->cap, boxes, is_far, now);
@@ -176,7 +176,7 @@
 /* ===== Deciding ===== */
 
 /** Whether a subject far from its cap may be let in though no leader has been heard for a moment. */
-static bool is_free(const cap_parts_t *c, part_t *p, double units, double draw, tc_time_t now)
+static bool is_free(const cap_shares_t *c, part_t *p, double units, double draw, tc_time_t now)
 {
     if (p->free_since != c->told_at)
         p->free_units = 0;
@@ -189,12 +189,12 @@
     return p->free_units + units <= FREE_GROWTH * before;
 }
 
-bool cap_parts_take(cap_parts_t *c, const cap_ask_t *ask, unsigned boxes, double draw, tc_time_t now,
-                    cap_verdict_t *verdict)
+bool cap_shares_take(cap_shares_t *c, const cap_request_t *ask, unsigned boxes, double draw, tc_time_t now,
+                     cap_decision_t *verdict)
 {
     part_t *const p = part_get(c, ask->name);
     const cap_state_t *const state = g_hash_table_lookup(c->states, ask->name);
-    *verdict = (cap_verdict_t){.told_age = c->told_at > 0 ? now - c->told_at : TC_TIME_NEVER};
+    *verdict = (cap_decision_t){.told_age = c->told_at > 0 ? now - c->told_at : TC_TIME_NEVER};
     const bool led = mechanism_is_on(MECHANISM_CAP_LEADER);
     const bool in_touch = led && !ask->is_leaders && verdict->told_age <= TOLD_MS;
     if (!in_touch && (!led || state || !is_free(c, p, ask->units, draw, now)))
@@ -208,7 +208,7 @@
     return true;
 }
 
-void cap_parts_note(cap_parts_t *c, const cap_ask_t *ask, tc_time_t now)
+void cap_shares_record(cap_shares_t *c, const cap_request_t *ask, tc_time_t now)
 {
     note(c, part_get(c, ask->name), ask->units, now);
 }
@@ -216,12 +216,12 @@
 /* ===== To and from the leader ===== */
 
 /** Nothing is left of it that a decision or a report would need. */
-static bool is_idle(const cap_parts_t *c, const part_t *p, tc_time_t now)
+static bool is_idle(const cap_shares_t *c, const part_t *p, tc_time_t now)
 {
     return p->heard == p->total && now - p->used_at > REST_WINDOWS * c->rules.window;
 }
 
-cap_use_t *cap_parts_report(cap_parts_t *c, uint32_t *n, tc_time_t now)
+cap_use_t *cap_shares_report(cap_shares_t *c, uint32_t *n, tc_time_t now)
 {
     cap_use_t *const list = calloc(g_hash_table_size(c->by_name) + 1, sizeof(*list));
     if (!list)
@@ -244,7 +244,7 @@
     return list;
 }
 
-bool cap_parts_hear(cap_parts_t *c, uint64_t term, const cap_state_t *list, uint32_t n, tc_time_t now)
+bool cap_shares_apply_reply(cap_shares_t *c, uint64_t term, const cap_state_t *list, uint32_t n, tc_time_t now)
 {
     const bool is_new = term != c->term;
     c->tells_all = is_new || (c->tells_all && !c->told_all);
@@ -269,9 +269,9 @@
 
 /* ===== Life ===== */
 
-cap_parts_t *cap_parts_create(const cap_rules_t *rules)
+cap_shares_t *cap_shares_create(const cap_rules_t *rules)
 {
-    cap_parts_t *const c = g_new0(cap_parts_t, 1);
+    cap_shares_t *const c = g_new0(cap_shares_t, 1);
     c->rules = *rules;
     c->rules.window = MAX(rules->window, CAP_WINDOW_MIN);
     c->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, part_free);
@@ -279,7 +279,7 @@
     return c;
 }
 
-void cap_parts_destroy(cap_parts_t *c)
+void cap_shares_destroy(cap_shares_t *c)
 {
     g_hash_table_destroy(c->by_name);
     g_hash_table_destroy(c->states);
--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -156,7 +156,7 @@
     lists_take_ack(r, ack, question.asked);
     if (ack->leads && r->quarantine && quarantine_news_heard(r->quarantine, ack->quarantine.term))
         r->hurry = true;
-    if (ack->leads && r->caps && cap_parts_hear(r->caps, ack->quarantine.term, ack->caps, ack->caps_n, now))
+    if (ack->leads && r->caps && cap_shares_apply_reply(r->caps, ack->quarantine.term, ack->caps, ack->caps_n, now))
         r->hurry = true;
     if (ack->leads && r->events.take_limits && r->events.take_limits(r->events.arg, ack))
         r->hurry = true;
@@ -182,7 +182,7 @@
     if (r->quarantine)
         quarantine_fill_news(r->quarantine, &report.quarantine, tc_time_now());
     if (r->caps)
-        report.used = cap_parts_report(r->caps, &report.used_n, tc_time_now());
+        report.used = cap_shares_report(r->caps, &report.used_n, tc_time_now());
     if (r->events.fill_report)
         r->events.fill_report(r->events.arg, &report);
     r->waiting = true;
--- a/lib/cluster/reporter.h
+++ b/lib/cluster/reporter.h
@@ -15,7 +15,7 @@
 
 /* ===== Dependencies ===== */
 
-#include "cap/cap_parts.h"
+#include "cap/cap_shares.h"
 #include "cluster/quarantine.h"
 #include "gen/schema.h"
 #include "peer/peer.h"
@@ -50,7 +50,7 @@
     const char *const *controls;   /**< peer addresses of control boxes to begin with, NULL at the end */
     const char *const *neighbours; /**< peer addresses of other boxes that may be asked, NULL at the end */
     quarantine_t *quarantine;      /**< borrowed: what it knows is told to leaders, and theirs to it; NULL for none */
-    cap_parts_t *caps;             /**< the same */
+    cap_shares_t *caps;            /**< the same */
 } reporter_options_t;
 
 /* ===== Public functions ===== */
--- a/lib/cluster/reporter_internal.h
+++ b/lib/cluster/reporter_internal.h
@@ -22,7 +22,7 @@
     const entry_box_t *self;
     reporter_events_t events;
     quarantine_t *quarantine; /* or NULL */
-    cap_parts_t *caps;        /* or NULL */
+    cap_shares_t *caps;       /* or NULL */
     char **controls;          /* seeds */
     char **neighbours;
     char leader[CODEC_STR_SIZE];
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -488,9 +488,9 @@
     fw->options = *options;
     fw->budgets = retry_budgets_create();
     fw->quarantine = quarantine_create();
-    fw->caps = cap_parts_create(&options->caps);
-    fw->limits = cap_parts_create(&options->limits.named);
-    fw->cold = cap_parts_create(&options->limits.cold);
+    fw->caps = cap_shares_create(&options->caps);
+    fw->limits = cap_shares_create(&options->limits.named);
+    fw->cold = cap_shares_create(&options->limits.cold);
     fw->limits_told = limit_table_create();
     fw->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     fw->random = g_rand_new();
@@ -511,9 +511,9 @@
     route_table_unref(fw->table);
     g_hash_table_destroy(fw->budgets);
     quarantine_destroy(fw->quarantine);
-    cap_parts_destroy(fw->caps);
-    cap_parts_destroy(fw->limits);
-    cap_parts_destroy(fw->cold);
+    cap_shares_destroy(fw->caps);
+    cap_shares_destroy(fw->limits);
+    cap_shares_destroy(fw->cold);
     limit_table_destroy(fw->limits_told);
     g_hash_table_destroy(fw->paces);
     g_rand_free(fw->random);
@@ -547,7 +547,7 @@
     return fw->quarantine;
 }
 
-cap_parts_t *forwarder_caps(forwarder_t *fw)
+cap_shares_t *forwarder_caps(forwarder_t *fw)
 {
     return fw->caps;
 }
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -13,7 +13,7 @@
 
 /* ===== Dependencies ===== */
 
-#include "cap/cap_parts.h"
+#include "cap/cap_shares.h"
 #include "cluster/quarantine.h"
 #include "cluster/reporter.h"
 #include "common/retry_budget.h"
@@ -63,7 +63,7 @@
 /** What the box knows of requests under which back ends end: for its reports. Lives as long as the forwarder. */
 quarantine_t *forwarder_quarantine(forwarder_t *forwarder);
 /** What the box lets in of workspaces with usage caps: for its reports. Lives as long as the forwarder. */
-cap_parts_t *forwarder_caps(forwarder_t *forwarder);
+cap_shares_t *forwarder_caps(forwarder_t *forwarder);
 /** What leaders are to know of back ends by their answers, for a report: fills in its limits, limits_hash, limits_used
  *  and notices, for free(). */
 void forwarder_fill_report(forwarder_t *forwarder, msg_report_t *report);
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -24,13 +24,13 @@
     return cap_cost(&f->workspace->cap, f->facts.counts_tokens ? tokens : 0);
 }
 
-static cap_ask_t ask_of(const forward_t *f)
+static cap_request_t ask_of(const forward_t *f)
 {
-    return (cap_ask_t){
+    return (cap_request_t){
         .name = f->workspace->name, .cap = &f->workspace->cap, .units = cap_units(f), .is_leaders = f->placement.asked};
 }
 
-static void log_refused(const forward_t *f, const cap_verdict_t *verdict)
+static void log_refused(const forward_t *f, const cap_decision_t *verdict)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "cap_refused");
@@ -49,7 +49,7 @@
     log_end(&line);
 }
 
-static void refuse(forward_t *f, const cap_verdict_t *verdict)
+static void refuse(forward_t *f, const cap_decision_t *verdict)
 {
     counter_add(&c_refused, 1);
     log_refused(f, verdict);
@@ -61,9 +61,9 @@
     if (f->let_in || !has_cap(f))
         return true;
     forwarder_t *const fw = f->owner;
-    const cap_ask_t ask = ask_of(f);
-    cap_verdict_t verdict;
-    if (!cap_parts_take(fw->caps, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict)) {
+    const cap_request_t ask = ask_of(f);
+    cap_decision_t verdict;
+    if (!cap_shares_take(fw->caps, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict)) {
         refuse(f, &verdict);
         return false;
     }
@@ -77,12 +77,12 @@
     if (f->let_in || !has_cap(f))
         return;
     f->let_in = true;
-    const cap_ask_t ask = ask_of(f);
-    cap_parts_note(f->owner->caps, &ask, tc_time_now());
+    const cap_request_t ask = ask_of(f);
+    cap_shares_record(f->owner->caps, &ask, tc_time_now());
 }
 
 void cap_refuse(forward_t *f, tc_time_t after)
 {
-    const cap_verdict_t verdict = {.why = "the leader's count of all boxes", .told_age = 0, .after = after};
+    const cap_decision_t verdict = {.why = "the leader's count of all boxes", .told_age = 0, .after = after};
     refuse(f, &verdict);
 }
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -284,9 +284,9 @@
     struct cds_list_head looks;   /* of forward_look.c */
     struct cds_list_head upkeeps; /* of forward_ask.c */
     quarantine_t *quarantine;
-    cap_parts_t *caps;
-    cap_parts_t *limits;        /* that back ends name */
-    cap_parts_t *cold;          /* of cold back ends */
+    cap_shares_t *caps;
+    cap_shares_t *limits;       /* that back ends name */
+    cap_shares_t *cold;         /* of cold back ends */
     limit_table_t *limits_told; /* that the leader told, */
     uint64_t limits_hash;       /* of that list */
     tc_time_t created;
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -124,8 +124,8 @@
 {
     report->limits = list_news(fw, &report->limits_n);
     report->limits_hash = fw->limits_hash;
-    report->limits_used = cap_parts_report(fw->limits, &report->limits_used_n, tc_time_now());
-    report->cold_used = cap_parts_report(fw->cold, &report->cold_used_n, tc_time_now());
+    report->limits_used = cap_shares_report(fw->limits, &report->limits_used_n, tc_time_now());
+    report->cold_used = cap_shares_report(fw->cold, &report->cold_used_n, tc_time_now());
 }
 
 static bool has_urgent_news(const forwarder_t *fw)
@@ -146,8 +146,9 @@
         limit_learn_told(fw);
     }
     fw->limits_hash = ack->limits.hash;
-    const bool is_new = cap_parts_hear(fw->limits, ack->quarantine.term, ack->limits.caps, ack->limits.caps_n, now);
-    (void)cap_parts_hear(fw->cold, ack->quarantine.term, ack->limits.cold, ack->limits.cold_n, now);
+    const bool is_new =
+        cap_shares_apply_reply(fw->limits, ack->quarantine.term, ack->limits.caps, ack->limits.caps_n, now);
+    (void)cap_shares_apply_reply(fw->cold, ack->quarantine.term, ack->limits.cold, ack->limits.cold_n, now);
     return is_new || has_urgent_news(fw);
 }
 
@@ -160,10 +161,10 @@
 }
 
 /** A request to a back end, as caps see it. @param cap filled in, and referred to */
-static cap_ask_t ask_of(const instance_t *instance, double rate, cap_t *cap)
+static cap_request_t ask_of(const instance_t *instance, double rate, cap_t *cap)
 {
     *cap = (cap_t){.unit = CAP_REQUESTS, .rate = MAX(rate, LIMIT_RATE_MIN)};
-    return (cap_ask_t){.name = instance->listed.id, .cap = cap, .units = 1, .is_leaders = true};
+    return (cap_request_t){.name = instance->listed.id, .cap = cap, .units = 1, .is_leaders = true};
 }
 
 /** The leader has counted the request: the next one hears of it from this box. */
@@ -171,21 +172,21 @@
 {
     cap_t cap;
     const tc_time_t now = tc_time_now();
-    const cap_ask_t named = ask_of(instance, instance->limit.rate, &cap);
+    const cap_request_t named = ask_of(instance, instance->limit.rate, &cap);
     if (instance->limit.is_set)
-        cap_parts_note(f->owner->limits, &named, now);
-    const cap_ask_t cold = ask_of(instance, f->settings->cold_rate, &cap);
+        cap_shares_record(f->owner->limits, &named, now);
+    const cap_request_t cold = ask_of(instance, f->settings->cold_rate, &cap);
     if (is_cold(f, instance))
-        cap_parts_note(f->owner->cold, &cold, now);
+        cap_shares_record(f->owner->cold, &cold, now);
 }
 
-static bool take_part(forwarder_t *fw, cap_parts_t *parts, const instance_t *instance, double rate, tc_time_t *after)
+static bool take_part(forwarder_t *fw, cap_shares_t *parts, const instance_t *instance, double rate, tc_time_t *after)
 {
     cap_t cap;
-    cap_verdict_t verdict;
-    const cap_ask_t ask = ask_of(instance, rate, &cap);
+    cap_decision_t verdict;
+    const cap_request_t ask = ask_of(instance, rate, &cap);
     const bool taken =
-        cap_parts_take(parts, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict);
+        cap_shares_take(parts, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict);
     *after = verdict.after;
     return taken;
 }
--- a/tests/platform/test_workspaces.c
+++ b/tests/platform/test_workspaces.c
@@ -368,7 +368,7 @@
 {
     world_t *const w = arg;
     uint32_t n;
-    free(cap_parts_report(forwarder_caps(w->f.forwarder), &n, tc_time_now()));
+    free(cap_shares_report(forwarder_caps(w->f.forwarder), &n, tc_time_now()));
     return n == 0 && w->asked_n == 0; /* all that was let in has been told */
 }
 
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "cap/cap_ledger.h"
-#include "cap/cap_parts.h"
+#include "cap/cap_shares.h"
 #include "common/sharers.h"
 
 /* ===== World ===== */
@@ -37,7 +37,7 @@
 
 typedef struct {
     char name[CODEC_STR_SIZE];
-    cap_parts_t *parts;
+    cap_shares_t *parts;
     uint64_t incarnation;
     tc_time_t report_at, cut_until, down_until;
     tc_time_t closed_until[WORKSPACES]; /* of back ends: it was refused, and asks no more until then */
@@ -112,7 +112,7 @@
 
 static void start_box(world_t *w, box_t *b)
 {
-    b->parts = cap_parts_create(&w->rules);
+    b->parts = cap_shares_create(&w->rules);
     b->incarnation = (uint64_t)w->now + 1;
     b->told = false;
     b->report_at = w->now + g_rand_int_range(w->random, 0, REPORT_MS);
@@ -153,14 +153,15 @@
 {
     b->report_at = w->now + REPORT_MS;
     uint32_t n;
-    cap_use_t *const used = cap_parts_report(b->parts, &n, w->now);
+    cap_use_t *const used = cap_shares_report(b->parts, &n, w->now);
     if (w->ledger && !b->silent) {
         cap_ledger_apply_report(w->ledger, b->name, b->incarnation, used, n, w->now);
         uint32_t told;
         const cap_state_t *const states = cap_ledger_get_states(w->ledger, &told, w->now);
         if (g_rand_double(w->random) > 0.02) { /* an answer may be lost */
             b->told = true;
-            b->report_at = cap_parts_hear(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
+            b->report_at =
+                cap_shares_apply_reply(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
         }
     }
     free(used);
@@ -173,7 +174,7 @@
     for (unsigned i = 0; i < w->boxes_n; i++) {
         box_t *const b = &w->boxes[i];
         if (b->parts)
-            cap_parts_destroy(b->parts);
+            cap_shares_destroy(b->parts);
         b->parts = NULL;
         b->down_until = w->now + 1000;
     }
@@ -202,7 +203,7 @@
     if (what < 0.4) {
         lose_leader(w);
     } else if (what < 0.7 && b->parts) {
-        cap_parts_destroy(b->parts);
+        cap_shares_destroy(b->parts);
         b->parts = NULL;
         b->down_until = w->now + 800;
     } else {
@@ -220,7 +221,7 @@
 static bool is_let_in(world_t *w, box_t *b, unsigned i, bool placed, double units)
 {
     space_t *const s = &w->spaces[i];
-    const cap_ask_t ask = {.name = s->name, .cap = &s->cap, .units = units, .is_leaders = placed};
+    const cap_request_t ask = {.name = s->name, .cap = &s->cap, .units = units, .is_leaders = placed};
     if (placed && w->ledger && !b->silent) {
         tc_time_t after;
         if (!cap_ledger_take(w->ledger, s->name, units, w->now, &after)) {
@@ -228,12 +229,12 @@
             b->closed_until[i] = w->now + after;
             return false;
         }
-        cap_parts_note(b->parts, &ask, w->now);
+        cap_shares_record(b->parts, &ask, w->now);
         return true;
     }
-    cap_verdict_t verdict;
-    if (cap_parts_take(b->parts, &ask, b->told ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random), w->now,
-                       &verdict))
+    cap_decision_t verdict;
+    if (cap_shares_take(b->parts, &ask, b->told ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random), w->now,
+                        &verdict))
         return true;
     g_assert_cmpint(verdict.after, >, 0);
     b->closed_until[i] = w->now + verdict.after;
@@ -366,7 +367,7 @@
         outcome->takeable += w.settled_s * w.spaces[i].cap.rate;
     for (unsigned i = 0; i < w.boxes_n; i++)
         if (w.boxes[i].parts)
-            cap_parts_destroy(w.boxes[i].parts);
+            cap_shares_destroy(w.boxes[i].parts);
     for (unsigned i = 0; i < WORKSPACES; i++)
         g_array_free(w.let_in[i], TRUE);
     if (w.ledger)
