--- a/lib/forward/discover.c
+++ b/lib/forward/discover.c
@@ -51,7 +51,7 @@
         log_end(&line);
     }
     d->failing = false;
-    d->fn(d->arg, (const backend_t *)(const void *)list->data, list->len, paged_read_begun(d->read));
+    d->fn(d->arg, (const backend_t *)(const void *)list->data, list->len, paged_read_started_at(d->read));
 }
 
 /* ===== Pages ===== */
@@ -62,7 +62,7 @@
 {
     switch (outcome) {
     case PAGED_READ_MORE: go_on(d); break;
-    case PAGED_READ_WHOLE: note_whole(d); break;
+    case PAGED_READ_COMPLETE: note_whole(d); break;
     case PAGED_READ_FAILED: note_failed(d, err); break;
     }
 }
@@ -140,16 +140,16 @@
 {
     tc_time_t until = 0;
     switch (paged_read_next(d->read, tc_time_now(), &until)) {
-    case PAGED_READ_ASK: ask_page(d); break;
+    case PAGED_READ_REQUEST: ask_page(d); break;
     case PAGED_READ_WAIT: loop_arm(d->loop, &d->wait, until, on_wait_over, d); break;
-    case PAGED_READ_ASKED:
+    case PAGED_READ_PENDING:
     case PAGED_READ_IDLE: break;
     }
 }
 
 /* ===== Public functions ===== */
 
-void discover_read(discover_t *d)
+void discover_start(discover_t *d)
 {
     if (d->ask.call || d->wait.armed)
         return;
@@ -164,14 +164,14 @@
     paged_read_end(d->read);
 }
 
-void discover_share(discover_t *d, unsigned readers)
+void discover_set_readers(discover_t *d, unsigned readers)
 {
-    paged_read_share(d->read, readers);
+    paged_read_set_readers(d->read, readers);
 }
 
-tc_time_t discover_asked(const discover_t *d)
+tc_time_t discover_last_started(const discover_t *d)
 {
-    return paged_read_begun(d->read);
+    return paged_read_started_at(d->read);
 }
 
 tc_time_t discover_interval(const discover_t *d)
--- a/lib/forward/discover.h
+++ b/lib/forward/discover.h
@@ -36,13 +36,13 @@
 void discover_destroy(discover_t *discover);
 
 /** Read the list now, unless a reading is under way. */
-void discover_read(discover_t *discover);
+void discover_start(discover_t *discover);
 /** Drop the reading under way, if there is one. */
 void discover_stop(discover_t *discover);
 /** So many boxes read by themselves now, this one included. */
-void discover_share(discover_t *discover, unsigned readers);
+void discover_set_readers(discover_t *discover, unsigned readers);
 /** When the last reading was begun, 0 for never. */
-tc_time_t discover_asked(const discover_t *discover);
+tc_time_t discover_last_started(const discover_t *discover);
 /** As paged_read_interval and paged_read_calls. */
 tc_time_t discover_interval(const discover_t *discover);
 unsigned discover_calls(const discover_t *discover);
--- a/lib/forward/paged_read.c
+++ b/lib/forward/paged_read.c
@@ -69,7 +69,7 @@
     g_free(r);
 }
 
-void paged_read_share(paged_read_t *r, unsigned readers)
+void paged_read_set_readers(paged_read_t *r, unsigned readers)
 {
     r->readers = readers > 0 ? readers : 1;
 }
@@ -95,7 +95,7 @@
     return r->calls;
 }
 
-tc_time_t paged_read_begun(const paged_read_t *r)
+tc_time_t paged_read_started_at(const paged_read_t *r)
 {
     return r->begun;
 }
@@ -133,14 +133,14 @@
     if (!r->reading)
         return PAGED_READ_IDLE;
     if (r->asked)
-        return PAGED_READ_ASKED;
+        return PAGED_READ_PENDING;
     if ((double)now < r->next_at) {
         *until = (tc_time_t)ceil(r->next_at);
         return PAGED_READ_WAIT;
     }
     r->asked = true;
     r->next_at = MAX(r->next_at + MS_PER_S / part(r), (double)now);
-    return PAGED_READ_ASK;
+    return PAGED_READ_REQUEST;
 }
 
 const char *paged_read_token(const paged_read_t *r)
@@ -220,7 +220,7 @@
         g_array_append_vals(r->fresh, page->data, page->len);
     if (!next) {
         end_whole(r);
-        return PAGED_READ_WHOLE;
+        return PAGED_READ_COMPLETE;
     }
     if (r->pages >= PAGES_MAX)
         return fail(r, err, TC_E_INVALID, "more pages than a list can have");
--- a/lib/forward/paged_read.h
+++ b/lib/forward/paged_read.h
@@ -22,17 +22,17 @@
 
 /** What comes next. */
 typedef enum {
-    PAGED_READ_IDLE, /**< no reading is under way */
-    PAGED_READ_ASK,  /**< ask for paged_read_token now; it counts as asked */
-    PAGED_READ_WAIT, /**< not before a time */
-    PAGED_READ_ASKED /**< a page has been asked for and not been answered */
+    PAGED_READ_IDLE,    /**< no reading is under way */
+    PAGED_READ_REQUEST, /**< ask for paged_read_token now; it counts as asked */
+    PAGED_READ_WAIT,    /**< not before a time */
+    PAGED_READ_PENDING  /**< a page has been asked for and not been answered */
 } paged_read_step_t;
 
 /** What came of an answer. */
 typedef enum {
-    PAGED_READ_MORE,  /**< the reading goes on */
-    PAGED_READ_WHOLE, /**< the list is whole: see paged_read_list */
-    PAGED_READ_FAILED /**< the reading is over, and what was read is dropped */
+    PAGED_READ_MORE,     /**< the reading goes on */
+    PAGED_READ_COMPLETE, /**< the list is whole: see paged_read_list */
+    PAGED_READ_FAILED    /**< the reading is over, and what was read is dropped */
 } paged_read_outcome_t;
 
 /* ===== Public functions ===== */
@@ -42,7 +42,7 @@
 void paged_read_destroy(paged_read_t *read);
 
 /** So many boxes read by themselves now, this one included: each keeps to an equal part. */
-void paged_read_share(paged_read_t *read, unsigned readers);
+void paged_read_set_readers(paged_read_t *read, unsigned readers);
 /** Begin a reading, unless one is under way. */
 void paged_read_begin(paged_read_t *read, tc_time_t now);
 /** Drop the reading under way, if there is one. */
@@ -65,7 +65,7 @@
  *  @return backend_t */
 const GArray *paged_read_list(const paged_read_t *read);
 /** When the reading that is under way, or the last one, was begun; 0 for never. */
-tc_time_t paged_read_begun(const paged_read_t *read);
+tc_time_t paged_read_started_at(const paged_read_t *read);
 /** Calls that a reading takes, by the last whole one; 1 before that. */
 unsigned paged_read_calls(const paged_read_t *read);
 /** Least time between the beginnings of two readings by which this reader keeps to its part, ms. */
--- a/tests/platform/test_discover.c
+++ b/tests/platform/test_discover.c
@@ -36,7 +36,7 @@
 static void on_list(void *arg, const backend_t *list, uint32_t n, tc_time_t started)
 {
     fixture_t *const f = arg;
-    g_assert_cmpint(started, ==, discover_asked(f->discover));
+    g_assert_cmpint(started, ==, discover_last_started(f->discover));
     f->lists++;
     g_string_truncate(f->ids, 0);
     for (uint32_t i = 0; i < n; i++)
@@ -87,7 +87,7 @@
 static void read_list(fixture_t *f, unsigned calls)
 {
     calls_t wanted = {.f = f, .calls = f->calls + calls};
-    discover_read(f->discover);
+    discover_start(f->discover);
     lab_run_until(f->loop, were_made, &wanted);
     lab_run_for(f->loop, 20);
     g_assert_cmpuint(f->calls, ==, wanted.calls);
@@ -133,7 +133,7 @@
     static const char *const answers[] = {PAGE(READY("a"), "\"p1\""), PAGE(READY("b"), "null"), NULL};
     (void)data;
     f->answers = answers;
-    discover_read(f->discover);
+    discover_start(f->discover);
     read_list(f, 2);
     g_assert_cmpuint(f->lists, ==, 1);
     g_assert_cmpstr(f->ids->str, ==, "a b ");
--- a/tests/unit/test_paged_read.c
+++ b/tests/unit/test_paged_read.c
@@ -84,11 +84,11 @@
     unsigned whole = 0;
     for (tc_time_t now = from; now < from + span; now++) {
         tc_time_t until;
-        if (paged_read_begun(r) == 0 || now - paged_read_begun(r) >= paged_read_interval(r))
+        if (paged_read_started_at(r) == 0 || now - paged_read_started_at(r) >= paged_read_interval(r))
             paged_read_begin(r, now);
-        if (paged_read_next(r, now, &until) != PAGED_READ_ASK)
+        if (paged_read_next(r, now, &until) != PAGED_READ_REQUEST)
             continue;
-        whole += answer(p, r, now < from + span / 2 ? others_s : 0, now) == PAGED_READ_WHOLE;
+        whole += answer(p, r, now < from + span / 2 ? others_s : 0, now) == PAGED_READ_COMPLETE;
     }
     return whole;
 }
@@ -128,14 +128,14 @@
     unsigned whole = 0;
     for (int i = 0; i < READERS; i++) {
         readers[i] = paged_read_create(RATE);
-        paged_read_share(readers[i], READERS);
+        paged_read_set_readers(readers[i], READERS);
         paged_read_begin(readers[i], 100000);
     }
     for (tc_time_t now = 100000; now < 110000; now++) {
         tc_time_t until;
         for (int i = 0; i < READERS; i++)
-            if (paged_read_next(readers[i], now, &until) == PAGED_READ_ASK)
-                whole += answer(&p, readers[i], 0, now) == PAGED_READ_WHOLE;
+            if (paged_read_next(readers[i], now, &until) == PAGED_READ_REQUEST)
+                whole += answer(&p, readers[i], 0, now) == PAGED_READ_COMPLETE;
     }
     g_assert_cmpuint(whole, ==, READERS);
     g_assert_cmpuint(p.refused, ==, 0);
@@ -167,9 +167,9 @@
     for (tc_time_t now = 1000; now < 61000; now++) {
         tc_time_t until;
         tc_err_t err = {0};
-        if (paged_read_begun(r) == 0 || now - paged_read_begun(r) >= paged_read_interval(r))
+        if (paged_read_started_at(r) == 0 || now - paged_read_started_at(r) >= paged_read_interval(r))
             paged_read_begin(r, now);
-        if (paged_read_next(r, now, &until) != PAGED_READ_ASK)
+        if (paged_read_next(r, now, &until) != PAGED_READ_REQUEST)
             continue;
         calls++;
         failed += paged_read_refused(r, now, &err) == PAGED_READ_FAILED;
@@ -184,7 +184,7 @@
 static void ask_next(paged_read_t *r, tc_time_t *now)
 {
     tc_time_t until;
-    while (paged_read_next(r, *now, &until) != PAGED_READ_ASK)
+    while (paged_read_next(r, *now, &until) != PAGED_READ_REQUEST)
         ++*now;
 }
 
@@ -211,7 +211,7 @@
     static const char *const one[] = {"a", NULL}, *const none[] = {NULL};
     tc_time_t now = 1000;
     paged_read_begin(r, now);
-    g_assert_cmpint(give(r, one, NULL, &now), ==, PAGED_READ_WHOLE);
+    g_assert_cmpint(give(r, one, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
     g_assert_cmpint(give(r, one, "p1", &now), ==, PAGED_READ_MORE);
     g_assert_cmpint(give(r, one, "p2", &now), ==, PAGED_READ_MORE);
@@ -249,10 +249,10 @@
     tc_time_t now = 1000;
     paged_read_begin(r, now);
     (void)give(r, first, "2", &now);
-    g_assert_cmpint(give(r, second, NULL, &now), ==, PAGED_READ_WHOLE);
+    g_assert_cmpint(give(r, second, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
     (void)give(r, first, "2", &now); /* a is gone then, and c stands on this page */
-    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_WHOLE);
+    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
     g_assert_true(has(r, "c"));
     g_assert_cmpuint(paged_read_list(r)->len, ==, 4);
     for (int i = 0; i < 2; i++) {
@@ -263,9 +263,9 @@
     g_assert_false(has(r, "a"));
     g_assert_true(has(r, "c"));
     paged_read_begin(r, ++now);
-    g_assert_cmpint(give(r, all, NULL, &now), ==, PAGED_READ_WHOLE);
+    g_assert_cmpint(give(r, all, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
-    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_WHOLE);
+    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
     g_assert_false(has(r, "c"));
     paged_read_destroy(r);
 }
