--- a/lib/forward/read_turn.c
+++ b/lib/forward/read_schedule.c
@@ -1,4 +1,4 @@
-#include "forward/read_turn.h"
+#include "forward/read_schedule.h"
 
 /* ===== Constants ===== */
 
@@ -16,7 +16,7 @@
 /* ===== Public functions ===== */
 
 /** Time in which each of the boxes has one turn, in ms. */
-static tc_time_t round_of(const read_turn_load_t *load)
+static tc_time_t round_of(const read_schedule_load_t *load)
 {
     const double by_calls = TURNS_PART * load->rate / load->calls;
     const double reads_s = by_calls < READS_S ? by_calls : READS_S;
@@ -30,21 +30,22 @@
 }
 
 /** A few boxes read at once; of more, each waits for its turn in the round. */
-static tc_time_t first_pause(const read_turn_load_t *load, uint32_t draw)
+static tc_time_t first_pause(const read_schedule_load_t *load, uint32_t draw)
 {
     return part_of(round_of(load) - READ_EVERY_MS, draw);
 }
 
-static tc_time_t next_pause(const read_turn_load_t *load, uint32_t draw)
+static tc_time_t next_pause(const read_schedule_load_t *load, uint32_t draw)
 {
     const tc_time_t round = round_of(load);
     const tc_time_t least = round > READ_EVERY_MS ? round : READ_EVERY_MS;
     return least + part_of(least, draw);
 }
 
-bool read_turn_is_due(read_turn_t *turn, tc_time_t age, const read_turn_load_t *load, uint32_t draw, tc_time_t now)
+bool read_schedule_is_due(read_schedule_t *turn, tc_time_t age, const read_schedule_load_t *load, uint32_t draw,
+                          tc_time_t now)
 {
-    const bool stale = age >= READ_TURN_STALE_MS;
+    const bool stale = age >= READ_SCHEDULE_STALE_MS;
     if (stale && !turn->stale)
         turn->next = now + first_pause(load, draw);
     turn->stale = stale;
