--- a/lib/forward/account.c
+++ b/lib/forward/account.c
@@ -12,20 +12,20 @@
 /** A caller that comes back later than this asks for something new: as long as callers wait at most. */
 enum { TRIES_SPAN_MS = 15000 };
 
-const char *const account_cause_names[CAUSES] = {"served in time",
-                                                 "refused for want of room, late on return",
-                                                 "refused for want of room, not served",
-                                                 "refused for another reason, late on return",
-                                                 "refused for another reason, not served",
-                                                 "its box ended, late",
-                                                 "its box ended, not served",
-                                                 "its back end broke off or had no room, late",
-                                                 "its back end broke off or had no room, not served",
-                                                 "first event or answer late",
-                                                 "a pause between events too long",
-                                                 "failure of the back end",
-                                                 "the caller left",
-                                                 "other"};
+const char *const account_cause_names[CAUSE_COUNT] = {"served in time",
+                                                      "refused for want of room, late on return",
+                                                      "refused for want of room, not served",
+                                                      "refused for another reason, late on return",
+                                                      "refused for another reason, not served",
+                                                      "its box ended, late",
+                                                      "its box ended, not served",
+                                                      "its back end broke off or had no room, late",
+                                                      "its back end broke off or had no room, not served",
+                                                      "first event or answer late",
+                                                      "a pause between events too long",
+                                                      "failure of the back end",
+                                                      "the caller left",
+                                                      "other"};
 
 /* ===== Types ===== */
 
@@ -84,7 +84,7 @@
         t->full = t->full || (why && strcmp(why, full[i]) == 0);
 }
 
-void account_take_line(account_t *account, const char *text)
+void account_add_line(account_t *account, const char *text)
 {
     const char *const from = strchr(text, '{');
     json_t *const line = from ? json_loads(from, JSON_DISABLE_EOF_CHECK, NULL) : NULL;
@@ -147,7 +147,7 @@
     if (s->served)
         return s->first > aim ? CAUSE_FIRST_LATE : CAUSE_PAUSED;
     if (s->left)
-        return CAUSE_LEFT;
+        return CAUSE_CALLER_LEFT;
     return s->backend ? CAUSE_BACKEND : CAUSE_OTHER;
 }
 
@@ -187,7 +187,7 @@
     return &g_array_index(services, account_service_t, services->len - 1);
 }
 
-GArray *account_judge(account_t *account)
+GArray *account_classify(account_t *account)
 {
     GArray *const services = g_array_new(FALSE, TRUE, sizeof(account_service_t));
     GHashTable *const taken = g_hash_table_new(g_direct_hash, g_direct_equal);
--- a/lib/forward/account.h
+++ b/lib/forward/account.h
@@ -29,13 +29,13 @@
     CAUSE_FIRST_LATE,   /**< nothing of that, and its first event or answer was late */
     CAUSE_PAUSED,       /**< nothing of that, and a later event was late */
     CAUSE_BACKEND,      /**< the back end's own failure was delivered */
-    CAUSE_LEFT,         /**< the caller left */
+    CAUSE_CALLER_LEFT,  /**< the caller left */
     CAUSE_OTHER,
-    CAUSES
+    CAUSE_COUNT
 } cause_t;
 
 /** Names of the causes, for people. */
-extern const char *const account_cause_names[CAUSES];
+extern const char *const account_cause_names[CAUSE_COUNT];
 
 /** Requests shown as examples of each cause. */
 enum { ACCOUNT_EXAMPLES = 3 };
@@ -44,8 +44,8 @@
 typedef struct {
     const char *service;
     unsigned callers;
-    unsigned count[CAUSES];
-    const char *examples[CAUSES][ACCOUNT_EXAMPLES]; /**< ids of first requests; NULL for none */
+    unsigned count[CAUSE_COUNT];
+    const char *examples[CAUSE_COUNT][ACCOUNT_EXAMPLES]; /**< ids of first requests; NULL for none */
 } account_service_t;
 
 typedef struct account account_t;
@@ -57,11 +57,11 @@
 
 /** Take one line of a log, in any order of boxes but the order of one box's lines. What stands before the line's JSON,
  *  as a collector adds, is passed over, and so are lines of other kinds. */
-void account_take_line(account_t *account, const char *text);
+void account_add_line(account_t *account, const char *text);
 
 /** Put the tries of each caller together and count them by service and cause.
  * @return account_service_t in the order in which services were met first, for g_array_free; its texts stay the
  *         account's */
-GArray *account_judge(account_t *account);
+GArray *account_classify(account_t *account);
 
 #endif
--- a/programs/trackcove/account.c
+++ b/programs/trackcove/account.c
@@ -27,7 +27,7 @@
         const account_service_t *const s = &g_array_index(services, account_service_t, i);
         if (!options->json)
             printf("%s: %u callers\n", s->service, s->callers);
-        for (int cause = 0; cause < CAUSES; cause++)
+        for (int cause = 0; cause < CAUSE_COUNT; cause++)
             if (s->count[cause] > 0)
                 show_cause(options, s, (cause_t)cause);
     }
@@ -50,10 +50,10 @@
             return CLI_FAILED;
         }
         while (fgets(text, sizeof(text), in))
-            account_take_line(account, text);
+            account_add_line(account, text);
         fclose(in);
     }
-    GArray *const services = account_judge(account);
+    GArray *const services = account_classify(account);
     show(options, services);
     g_array_free(services, TRUE);
     account_destroy(account);
--- a/tests/unit/test_account.c
+++ b/tests/unit/test_account.c
@@ -17,8 +17,8 @@
 {
     account_t *const account = account_create();
     for (; *lines; lines++)
-        account_take_line(account, *lines);
-    GArray *const services = account_judge(account);
+        account_add_line(account, *lines);
+    GArray *const services = account_classify(account);
     g_assert_cmpuint(services->len, ==, 1);
     const account_service_t *const s = &g_array_index(services, account_service_t, 0);
     g_assert_cmpuint(s->callers, ==, 1);
@@ -44,7 +44,7 @@
     EXPECT(CAUSE_ENGINE, ROUTED("1", "a", PROMPT("p")), "{\"event\":\"answer_lost\",\"request\":\"a\"}",
            END("failed", "a", "502", "stream broke off", ""));
     EXPECT(CAUSE_BACKEND, ROUTED("1", "a", ""), END("done", "a", "500", "answered", ",\"took_ms\":50"));
-    EXPECT(CAUSE_LEFT, ROUTED("1", "a", ""), END("caller_gone", "a", "0", "connection closed", ""));
+    EXPECT(CAUSE_CALLER_LEFT, ROUTED("1", "a", ""), END("caller_gone", "a", "0", "connection closed", ""));
 }
 
 /** Tries of one caller count once, by what the first one met; what a collector writes before a line is passed over. */
