--- a/lib/cap/cap.c
+++ b/lib/cap/cap.c
@@ -4,7 +4,7 @@
 {
     switch (cap->unit) {
     case CAP_REQUESTS: return 1;
-    case CAP_TOKENS: return tokens > 0 ? (double)tokens : cap->flat;
+    case CAP_TOKENS: return tokens > 0 ? (double)tokens : cap->default_cost;
     }
     return 1;
 }
--- a/lib/cap/cap.h
+++ b/lib/cap/cap.h
@@ -23,9 +23,9 @@
 /** How much of a subject all boxes together may let in. */
 typedef struct {
     cap_unit_t unit;
-    double rate;  /**< units a second; 0: there is no limit */
-    double burst; /**< units beside that */
-    double flat;  /**< CAP_TOKENS: units of a request that says nothing of tokens */
+    double rate;         /**< units a second; 0: there is no limit */
+    double burst;        /**< units beside that */
+    double default_cost; /**< CAP_TOKENS: units of a request that says nothing of tokens */
 } cap_t;
 
 /** What settings allow: within each window no more than (rate x window + burst) x (1 + overrun) + slack is let in. */
@@ -39,8 +39,8 @@
 
 /** What settings allow of requests to back ends. */
 typedef struct {
-    cap_rules_t named; /**< beyond the limits that they name */
-    cap_rules_t cold;  /**< beyond what the configuration says that cold ones bear */
+    cap_rules_t advertised; /**< beyond the limits that they name */
+    cap_rules_t cold;       /**< beyond what the configuration says that cold ones bear */
 } limit_rules_t;
 
 /* ===== Public functions ===== */
--- a/lib/cap/cap_shares.c
+++ b/lib/cap/cap_shares.c
@@ -160,8 +160,8 @@
     else
         begin_part(c, p, ask, boxes, is_far, draw, now);
     p->level_at = now;
-    verdict->why = "this box's part of the cap";
-    verdict->part = rate;
+    verdict->reason = "this box's part of the cap";
+    verdict->share_rate = rate;
     verdict->level = p->level;
     if (p->level > 0) {
         p->level -= ask->units;
@@ -194,12 +194,12 @@
 {
     part_t *const p = part_get(c, ask->name);
     const cap_state_t *const state = g_hash_table_lookup(c->states, ask->name);
-    *verdict = (cap_decision_t){.told_age = c->told_at > 0 ? now - c->told_at : TC_TIME_NEVER};
+    *verdict = (cap_decision_t){.state_age = c->told_at > 0 ? now - c->told_at : TC_TIME_NEVER};
     const bool led = mechanism_is_on(MECHANISM_CAP_LEADER);
-    const bool in_touch = led && !ask->is_leaders && verdict->told_age <= TOLD_MS;
+    const bool in_touch = led && !ask->leader_decides && verdict->state_age <= TOLD_MS;
     if (!in_touch && (!led || state || !is_free(c, p, ask->units, draw, now)))
         return take_part(c, p, ask, boxes, draw, now, verdict);
-    verdict->why = state && state->over ? "over the cap, as the leader told" : "below the cap, as the leader told";
+    verdict->reason = state && state->over ? "over the cap, as the leader told" : "below the cap, as the leader told";
     if (state && state->over) {
         verdict->after = state->after_ms;
         return false;
--- a/lib/cap/cap_shares.h
+++ b/lib/cap/cap_shares.h
@@ -27,16 +27,16 @@
     const char *name;
     const cap_t *cap; /**< with a rate above 0 */
     double units;
-    bool is_leaders; /**< a leader decides on such ones, and does not answer: it was told of none of them */
+    bool leader_decides; /**< a leader decides on such ones, and does not answer: it was told of none of them */
 } cap_request_t;
 
 /** What a decision rests on, for logs. */
 typedef struct {
-    const char *why;    /**< a constant */
-    tc_time_t told_age; /**< since a leader told the state of the caps, TC_TIME_NEVER for never */
-    double part;        /**< units a second that this box may let in by itself; 0 while it goes by what it was told */
-    double level;       /**< of these, what is left now */
-    tc_time_t after;    /**< when a request that is refused would be let in, ms; 0 when it is not refused */
+    const char *reason;  /**< a constant */
+    tc_time_t state_age; /**< since a leader told the state of the caps, TC_TIME_NEVER for never */
+    double share_rate;   /**< units a second that this box may let in by itself; 0 while it goes by what it was told */
+    double level;        /**< of these, what is left now */
+    tc_time_t after;     /**< when a request that is refused would be let in, ms; 0 when it is not refused */
 } cap_decision_t;
 
 /* ===== Public functions ===== */
--- a/lib/cluster/limits.c
+++ b/lib/cluster/limits.c
@@ -202,7 +202,7 @@
 limits_t *limits_create(const limit_rules_t *rules)
 {
     limits_t *const l = g_new0(limits_t, 1);
-    l->ledger = cap_ledger_create(&rules->named);
+    l->ledger = cap_ledger_create(&rules->advertised);
     l->cold = cap_ledger_create(&rules->cold);
     l->colds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     l->known = limit_table_create();
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -489,7 +489,7 @@
     fw->budgets = retry_budgets_create();
     fw->quarantine = quarantine_create();
     fw->caps = cap_shares_create(&options->caps);
-    fw->limits = cap_shares_create(&options->limits.named);
+    fw->limits = cap_shares_create(&options->limits.advertised);
     fw->cold = cap_shares_create(&options->limits.cold);
     fw->limits_told = limit_table_create();
     fw->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -26,8 +26,10 @@
 
 static cap_request_t ask_of(const forward_t *f)
 {
-    return (cap_request_t){
-        .name = f->workspace->name, .cap = &f->workspace->cap, .units = cap_units(f), .is_leaders = f->placement.asked};
+    return (cap_request_t){.name = f->workspace->name,
+                           .cap = &f->workspace->cap,
+                           .units = cap_units(f),
+                           .leader_decides = f->placement.asked};
 }
 
 static void log_refused(const forward_t *f, const cap_decision_t *verdict)
@@ -36,13 +38,13 @@
     log_begin(&line, LOG_INFO, "cap_refused");
     log_str(&line, "request", f->facts.id);
     log_str(&line, "workspace", f->workspace->name);
-    log_str(&line, "why", verdict->why);
+    log_str(&line, "why", verdict->reason);
     log_num(&line, "units", cap_units(f));
     log_num(&line, "cap_units_s", f->workspace->cap.rate);
-    if (verdict->told_age != TC_TIME_NEVER)
-        log_int(&line, "told_age_ms", verdict->told_age);
-    if (verdict->part > 0) {
-        log_num(&line, "part_units_s", verdict->part);
+    if (verdict->state_age != TC_TIME_NEVER)
+        log_int(&line, "told_age_ms", verdict->state_age);
+    if (verdict->share_rate > 0) {
+        log_num(&line, "part_units_s", verdict->share_rate);
         log_num(&line, "part_level", verdict->level);
     }
     log_int(&line, "after_ms", verdict->after);
@@ -83,6 +85,6 @@
 
 void cap_refuse(forward_t *f, tc_time_t after)
 {
-    const cap_decision_t verdict = {.why = "the leader's count of all boxes", .told_age = 0, .after = after};
+    const cap_decision_t verdict = {.reason = "the leader's count of all boxes", .state_age = 0, .after = after};
     refuse(f, &verdict);
 }
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -164,7 +164,7 @@
 static cap_request_t ask_of(const instance_t *instance, double rate, cap_t *cap)
 {
     *cap = (cap_t){.unit = CAP_REQUESTS, .rate = MAX(rate, LIMIT_RATE_MIN)};
-    return (cap_request_t){.name = instance->listed.id, .cap = cap, .units = 1, .is_leaders = true};
+    return (cap_request_t){.name = instance->listed.id, .cap = cap, .units = 1, .leader_decides = true};
 }
 
 /** The leader has counted the request: the next one hears of it from this box. */
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -182,7 +182,7 @@
         .retries = {.ratio = 1, .allowance = 0, .window = 60000},
         .pause_limit = 60000,
         .caps = {.window = 8000},
-        .limits = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
+        .limits = {.advertised = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                    .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}}};
     e->forwarder = forwarder_create(w->f.loop, e->fleet, e->client, &options);
     forwarder_set_routes(e->forwarder, w->table);
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -120,7 +120,7 @@
     g_assert_cmpuint(a->priority, ==, 1);
     g_assert_cmpfloat(a->cap.rate, ==, 310.5);
     g_assert_cmpfloat(a->cap.burst, ==, 31);
-    g_assert_cmpfloat(a->cap.flat, ==, 200);
+    g_assert_cmpfloat(a->cap.default_cost, ==, 200);
     g_assert_cmpint(a->cap.unit, ==, CAP_TOKENS);
     const workspace_t *const b = workspaces_at(t->workspaces, 1);
     g_assert_false(b->has_priority);
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -138,7 +138,7 @@
         space_t *const s = &w->spaces[i];
         g_snprintf(s->name, sizeof(s->name), "space-%u", i);
         const double rate = 20000 * pow(12, g_rand_double(w->random)); /* 20,000 to 240,000 a second */
-        s->cap = (cap_t){.unit = CAP_TOKENS, .rate = rate, .burst = rate, .flat = 200};
+        s->cap = (cap_t){.unit = CAP_TOKENS, .rate = rate, .burst = rate, .default_cost = 200};
         s->usual = 0.1 + 0.7 * g_rand_double(w->random);
         s->stream = 0.3 + 0.4 * g_rand_double(w->random);
         s->hot_at = i < 2 ? g_rand_int_range(w->random, 2000, SPAN_MS) : TC_TIME_NEVER;
@@ -221,7 +221,7 @@
 static bool is_let_in(world_t *w, box_t *b, unsigned i, bool placed, double units)
 {
     space_t *const s = &w->spaces[i];
-    const cap_request_t ask = {.name = s->name, .cap = &s->cap, .units = units, .is_leaders = placed};
+    const cap_request_t ask = {.name = s->name, .cap = &s->cap, .units = units, .leader_decides = placed};
     if (placed && w->ledger && !b->silent) {
         tc_time_t after;
         if (!cap_ledger_take(w->ledger, s->name, units, w->now, &after)) {
@@ -246,7 +246,7 @@
     space_t *const s = &w->spaces[i];
     box_t *const b = &w->boxes[g_rand_int_range(w->random, 0, (gint32)w->boxes_n)];
     const bool placed = g_rand_double(w->random) < s->stream;
-    const double large = placed ? floor(1000 + 5000 * g_rand_double(w->random)) : s->cap.flat;
+    const double large = placed ? floor(1000 + 5000 * g_rand_double(w->random)) : s->cap.default_cost;
     const double units = is_on_backends(w) ? 1 : large;
     if (!b->parts || (is_on_backends(w) && w->now < b->closed_until[i]))
         return;
@@ -268,7 +268,7 @@
     for (unsigned i = 0; i < WORKSPACES; i++) {
         const space_t *const s = &w->spaces[i];
         const bool is_hot = w->now >= s->hot_at && w->now < s->hot_at + 10000;
-        const double mean = is_on_backends(w) ? 1 : s->stream * 3500 + (1 - s->stream) * s->cap.flat;
+        const double mean = is_on_backends(w) ? 1 : s->stream * 3500 + (1 - s->stream) * s->cap.default_cost;
         double due = s->usual * (is_hot ? s->hot : 1) * s->cap.rate / mean * STEP_MS / 1000;
         while (due > 0) {
             if (g_rand_double(w->random) < due)
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -53,7 +53,7 @@
         .seeds = f->seeds,
         .list_bytes_s = 6e6,
         .retries = {.ratio = 1, .allowance = 0, .window = 600000},
-        .limits = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
+        .limits = {.advertised = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                    .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}}};
     tc_err_t err = {0};
     f->replica[i] = replica_create(f->loop, &options, &err);
--- a/tests/unit/test_cold.c
+++ b/tests/unit/test_cold.c
@@ -38,7 +38,7 @@
 
 enum { RATE = 20, WINDOW_MS = 1000, ALLOWED = RATE + RATE / 2 + 5, SPAN_MS = 12000, STEP_MS = 10 };
 
-static const limit_rules_t rules = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
+static const limit_rules_t rules = {.advertised = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                                     .cold = {.window = WINDOW_MS, .overrun = 0.5, .slack = 5, .strict = true}};
 
 typedef struct {
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -146,7 +146,7 @@
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
     f->placing = placing_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
+                                &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
     const placing_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
     placing_set_services(f->placing, &service, 1);
     const backend_t engines[] = {{.id = "p1", .service = "lm", .addr = "1", .dc = "a", .stage = "prefill", .slots = 8},
--- a/tests/unit/test_limits_leader.c
+++ b/tests/unit/test_limits_leader.c
@@ -14,7 +14,7 @@
 static void set_up(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    const limit_rules_t rules = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
+    const limit_rules_t rules = {.advertised = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                                  .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}};
     f->limits = limits_create(&rules);
     f->now = 1000000;
--- a/tests/unit/test_workspace.c
+++ b/tests/unit/test_workspace.c
@@ -48,8 +48,8 @@
 
 static void test_costs(void)
 {
-    const cap_t tokens = {.unit = CAP_TOKENS, .flat = 200};
-    const cap_t requests = {.unit = CAP_REQUESTS, .flat = 200};
+    const cap_t tokens = {.unit = CAP_TOKENS, .default_cost = 200};
+    const cap_t requests = {.unit = CAP_REQUESTS, .default_cost = 200};
     g_assert_cmpfloat(cap_cost(&tokens, 3270), ==, 3270);
     g_assert_cmpfloat(cap_cost(&tokens, 0), ==, 200);
     g_assert_cmpfloat(cap_cost(&requests, 3270), ==, 1);
