--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -59,8 +59,8 @@
 {
     if (--instance->refs > 0)
         return;
-    if (instance->kept)
-        g_byte_array_unref(instance->kept);
+    if (instance->prefix_report)
+        g_byte_array_unref(instance->prefix_report);
     g_free(instance);
 }
 
@@ -85,7 +85,7 @@
     instance->running++;
     instance->tokens += tokens;
     instance->suspects += ends >= 1;
-    instance->twice += ends >= 2;
+    instance->repeat_suspects += ends >= 2;
 }
 
 void instance_end(instance_t *instance, uint64_t tokens, unsigned ends)
@@ -94,7 +94,7 @@
     instance->running--;
     instance->tokens -= tokens;
     instance->suspects -= ends >= 1;
-    instance->twice -= ends >= 2;
+    instance->repeat_suspects -= ends >= 2;
 }
 
 bool instance_update_limit(instance_t *instance, const instance_limit_t *limit)
@@ -316,15 +316,15 @@
         instance_t *const instance = g_ptr_array_index(f->instances, i);
         if (partial && instance->stage != STAGE_NONE)
             continue;
-        instance->others = 0;
-        instance->other_tokens = 0;
+        instance->remote_running = 0;
+        instance->remote_tokens = 0;
     }
     for (uint32_t i = 0; i < n; i++) {
         instance_t *const instance = fleet_find(f, loads[i].id);
         if (!instance)
             continue;
-        instance->others = loads[i].running;
-        instance->other_tokens = loads[i].tokens;
+        instance->remote_running = loads[i].running;
+        instance->remote_tokens = loads[i].tokens;
     }
 }
 
@@ -354,7 +354,7 @@
 {
     if (ends >= 2)
         return instance->suspects == 0;
-    return ends == 0 || instance->twice == 0;
+    return ends == 0 || instance->repeat_suspects == 0;
 }
 
 /** Whether it takes one more connection, each request being one: of all boxes, as far as they are known, and of this
@@ -364,7 +364,7 @@
     if (wish->connections == 0 || instance->stage != STAGE_NONE)
         return true;
     const unsigned part = MAX(wish->connections / wish->boxes, 1);
-    return instance->running < part && instance->running + instance->others < wish->connections;
+    return instance->running < part && instance->running + instance->remote_running < wish->connections;
 }
 
 /** Whether one of its kind is what is asked for, whatever it takes now. */
@@ -381,7 +381,7 @@
 
 static bool fits(const instance_t *instance, const fleet_query_t *wish)
 {
-    if (wish->now < instance->limited_until || (wish->unlimited && instance->limit.is_set))
+    if (wish->now < instance->limited_until || (wish->exclude_limited && instance->limit.is_set))
         return false;
     return suits(instance, wish) && instance_accepts_work(instance, wish->now) && !was_tried(instance, wish);
 }
@@ -429,7 +429,7 @@
 void fleet_each(fleet_t *f, const fleet_query_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg)
 {
     const pool_t pool = pool_of(f, wish);
-    const guint from = pool.n > 0 ? wish->draw % pool.n : 0;
+    const guint from = pool.n > 0 ? wish->random % pool.n : 0;
     for (guint i = 0; i < pool.n; i++) {
         instance_t *const instance = pool_at(f, &pool, from, i);
         if (fits(instance, wish))
@@ -477,9 +477,9 @@
 static double load_of(const instance_t *instance)
 {
     if (instance->stage == STAGE_PREFILL)
-        return (double)(instance->tokens + instance->other_tokens) / PROMPT_TOKENS;
+        return (double)(instance->tokens + instance->remote_tokens) / PROMPT_TOKENS;
     const unsigned slots = instance->listed.slots ? instance->listed.slots : SLOTS_DEFAULT;
-    return (double)(instance->running + instance->others) / slots;
+    return (double)(instance->running + instance->remote_running) / slots;
 }
 
 static double cost_of(const instance_t *instance, const fleet_query_t *wish)
@@ -518,7 +518,7 @@
 instance_t *fleet_choose(fleet_t *f, const fleet_query_t *wish)
 {
     const pool_t pool = pool_of(f, wish);
-    const guint from = pool.n > FITTING_ENOUGH ? wish->draw % pool.n : 0;
+    const guint from = pool.n > FITTING_ENOUGH ? wish->random % pool.n : 0;
     GPtrArray *const good = g_ptr_array_new(), *const near = g_ptr_array_new();
     instance_t *last_resort = NULL; /* the one that is to be avoided for the shortest time */
     for (guint i = 0; i < pool.n && good->len < FITTING_ENOUGH; i++) {
@@ -535,7 +535,7 @@
     }
     instance_t *best = last_resort;
     if (good->len > 0)
-        best = choose_by_lot(good, near, from > 0 ? wish->draw / pool.n : wish->draw, wish);
+        best = choose_by_lot(good, near, from > 0 ? wish->random / pool.n : wish->random, wish);
     g_ptr_array_free(good, TRUE);
     g_ptr_array_free(near, TRUE);
     return best ? instance_ref(best) : NULL;
--- a/lib/forward/fleet.h
+++ b/lib/forward/fleet.h
@@ -34,22 +34,22 @@
 
 /** One start of one back end. Counted references: a request keeps the ones it uses. */
 typedef struct {
-    backend_t listed;  /**< as discovery told */
-    uint64_t ring;     /**< place of its id */
-    stage_t stage;     /**< of listed.stage */
-    bool present;      /**< still listed */
-    bool evacuated;    /**< its data centre is: it gets nothing new */
-    bool cold;         /**< it has just started: see cluster/cold.h */
-    unsigned running;  /**< requests of this box that it works on */
-    uint64_t tokens;   /**< prompt tokens of this box that it is asked to read */
-    unsigned suspects; /**< of these requests, those under which back ends have ended, */
-    unsigned twice;    /**< and those under which two have */
-    unsigned others;   /**< requests of the other boxes, as last told */
-    uint64_t other_tokens;
+    backend_t listed;         /**< as discovery told */
+    uint64_t ring;            /**< place of its id */
+    stage_t stage;            /**< of listed.stage */
+    bool present;             /**< still listed */
+    bool evacuated;           /**< its data centre is: it gets nothing new */
+    bool cold;                /**< it has just started: see cluster/cold.h */
+    unsigned running;         /**< requests of this box that it works on */
+    uint64_t tokens;          /**< prompt tokens of this box that it is asked to read */
+    unsigned suspects;        /**< of these requests, those under which back ends have ended, */
+    unsigned repeat_suspects; /**< and those under which two have */
+    unsigned remote_running;  /**< requests of the other boxes, as last told */
+    uint64_t remote_tokens;
     unsigned failures;           /**< in a row */
     tc_time_t avoid_until;       /**< not chosen before, unless there is no other */
-    GByteArray *kept;            /**< what it last said of the prompts it keeps, or NULL; the adapter's to read */
-    tc_time_t kept_at;           /**< when it said that */
+    GByteArray *prefix_report;   /**< what it last said of the prompts it keeps, or NULL; the adapter's to read */
+    tc_time_t prefix_report_at;  /**< when it said that */
     availability_t availability; /**< as its answers to this box say */
     instance_limit_t limit;      /**< as the newest answer that this box has heard of says */
     tc_time_t limited_until;     /**< never chosen before: its limit is reached */
@@ -65,11 +65,11 @@
     const char *dc;         /**< preferred data centre */
     const GPtrArray *tried; /**< instance_t that are left out */
     unsigned ends;          /**< back ends that ended under the request */
-    bool unlimited;         /**< leave out those that name a limit */
+    bool exclude_limited;   /**< leave out those that name a limit */
     unsigned connections;   /**< that one back end of a plain service takes of all boxes together; 0: any number */
     unsigned boxes;         /**< that share them, at least 1 where connections is set */
     tc_time_t now;
-    uint32_t draw; /**< a random number, to break ties */
+    uint32_t random; /**< a random number, to break ties */
 } fleet_query_t;
 
 /* ===== Public functions ===== */
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -118,7 +118,7 @@
                            .connections = f->settings->max_connections,
                            .boxes = forward_boxes(f->owner),
                            .now = tc_time_now(),
-                           .draw = g_rand_int(f->owner->random)};
+                           .random = g_rand_int(f->owner->random)};
 }
 
 /** Other callers that were refused for the same reason come back beside this one: up to so much later. */
@@ -195,7 +195,7 @@
 bool forward_has_unlimited(forward_t *f, stage_t stage)
 {
     fleet_query_t wish = wish_of(f, stage);
-    wish.unlimited = true;
+    wish.exclude_limited = true;
     return drop_choice(fleet_choose(f->owner->fleet, &wish));
 }
 
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -50,16 +50,17 @@
 
 static void remember(instance_t *instance, GByteArray *answer)
 {
-    if (instance->kept)
-        g_byte_array_unref(instance->kept);
-    instance->kept = g_byte_array_ref(answer);
-    instance->kept_at = tc_time_now();
+    if (instance->prefix_report)
+        g_byte_array_unref(instance->prefix_report);
+    instance->prefix_report = g_byte_array_ref(answer);
+    instance->prefix_report_at = tc_time_now();
 }
 
 /** Take the instance when it keeps more of the prompt than the best so far, by what it told last. */
 static void compare(forward_t *f, instance_t *instance)
 {
-    const unsigned tokens = dialect_read_kept((const char *)instance->kept->data, instance->kept->len, &f->facts);
+    const unsigned tokens =
+        dialect_read_kept((const char *)instance->prefix_report->data, instance->prefix_report->len, &f->facts);
     if (tokens <= f->locate.tokens)
         return;
     if (f->locate.instance)
@@ -90,7 +91,7 @@
 {
     static const engine_ask_limits_t limits = {.connect_ms = LOCATE_MS, .answer_ms = LOCATE_MS};
     forward_t *const f = arg;
-    if (instance->kept && tc_time_now() - instance->kept_at < LOCATE_FRESH_MS) {
+    if (instance->prefix_report && tc_time_now() - instance->prefix_report_at < LOCATE_FRESH_MS) {
         compare(f, instance);
         return;
     }
--- a/lib/forward/forward_log.c
+++ b/lib/forward/forward_log.c
@@ -45,7 +45,7 @@
         log_str(&line, "backend", instance->listed.id);
         log_str(&line, "addr", instance->listed.addr);
         log_int(&line, "running", instance->running);
-        log_int(&line, "others", instance->others);
+        log_int(&line, "others", instance->remote_running);
         log_age(&line, "loads_age_ms", fleet_loads_age(f->owner->fleet, now));
         log_age(&line, "list_age_ms", fleet_list_age(f->owner->fleet, now));
         if (instance->limit.is_set)
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -144,8 +144,8 @@
     fleet_set_list(f, list, G_N_ELEMENTS(list), 50);
     GPtrArray *const tried = g_ptr_array_new();
     /* Of two drawn by lot the better is taken: draws 1 and 2 draw both. */
-    const fleet_query_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 1};
-    const fleet_query_t turned = {.service = "s", .dc = "a", .tried = tried, .now = 100, .draw = 2};
+    const fleet_query_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 1};
+    const fleet_query_t turned = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 2};
     instance_t *const near = fleet_choose(f, &wish);
     g_assert_cmpstr(near->listed.id, ==, "near");
     instance_t *const same = fleet_choose(f, &turned);
@@ -215,7 +215,7 @@
     instance_t *const one = fleet_find(f, "one");
     instance_failed(one, 1000);
     for (uint32_t draw = 0; draw < 8; draw++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 1100, .draw = draw};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 1100, .random = draw};
         instance_t *const chosen = fleet_choose(f, &wish);
         g_assert_cmpstr(chosen->listed.id, ==, "two");
         instance_unref(chosen);
@@ -243,7 +243,7 @@
     const backend_load_t busy = {.id = "3", .running = 4};
     fleet_set_remote_loads(f, &busy, 1, false, 90);
     for (uint32_t draw = 0; draw < 64; draw++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .draw = draw};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .random = draw};
         instance_t *const chosen = fleet_choose(f, &wish);
         taken[atoi(chosen->listed.id)]++;
         instance_unref(chosen);
@@ -283,7 +283,7 @@
     GRand *const random = g_rand_new_with_seed(3);
     unsigned near = 0, taken[DCS * EACH] = {0};
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_query_t wish = {.service = "s", .dc = "0", .now = 100, .draw = g_rand_int(random)};
+        const fleet_query_t wish = {.service = "s", .dc = "0", .now = 100, .random = g_rand_int(random)};
         instance_t *const chosen = fleet_choose(f, &wish);
         near += strcmp(chosen->listed.dc, "0") == 0;
         g_assert_cmpuint(++taken[atoi(chosen->listed.id)], <, CHOICES / EACH * 3); /* spread over all near ones */
@@ -324,7 +324,7 @@
                                     .stage = stage[0] ? STAGE_DECODE : STAGE_NONE,
                                     .dc = "a",
                                     .now = 100,
-                                    .draw = draw * 2654435761U};
+                                    .random = draw * 2654435761U};
         instance_unref(fleet_choose(f, &wish));
         g_assert_cmpint(fleet_next_available_at(f, &wish), ==, TC_TIME_NEVER);
     }
@@ -355,7 +355,7 @@
     GRand *const random = g_rand_new_with_seed(1);
     unsigned taken[MANY] = {0}, most = 0;
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .draw = g_rand_int(random)};
+        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .random = g_rand_int(random)};
         instance_t *const chosen = fleet_choose(f, &wish);
         const unsigned times = ++taken[atoi(chosen->listed.id)];
         most = MAX(most, times);
@@ -437,10 +437,10 @@
     fleet_set_remote_loads(f, all, 2, false, 60);
     const backend_load_t some = {.id = "1", .running = 1};
     fleet_set_remote_loads(f, &some, 1, true, 70);
-    g_assert_cmpuint(fleet_find(f, "1")->others, ==, 1);
-    g_assert_cmpuint(fleet_find(f, "2")->others, ==, 6);
+    g_assert_cmpuint(fleet_find(f, "1")->remote_running, ==, 1);
+    g_assert_cmpuint(fleet_find(f, "2")->remote_running, ==, 6);
     fleet_set_remote_loads(f, &some, 1, false, 80);
-    g_assert_cmpuint(fleet_find(f, "2")->others, ==, 0);
+    g_assert_cmpuint(fleet_find(f, "2")->remote_running, ==, 0);
     fleet_destroy(f);
 }
 
