--- a/bench/http_client.c
+++ b/bench/http_client.c
@@ -65,7 +65,7 @@
     char url[64];
     snprintf(url, sizeof(url), "http://127.0.0.1:%d/stream", PORT);
     const http_call_t call = {
-        .url = url, .method = "GET", .limit = 60000, .peer = "bench", .step = "read", .on_data = on_data, .arg = sse};
+        .url = url, .method = "GET", .timeout = 60000, .peer = "bench", .step = "read", .on_data = on_data, .arg = sse};
     http_result_t result;
     tc_err_t err;
     (void)http_call(&call, &result, &err);
--- a/lib/backend/engine.c
+++ b/lib/backend/engine.c
@@ -88,10 +88,10 @@
                               .method = "POST",
                               .body = body,
                               .body_size = size,
-                              .limit = limit,
+                              .timeout = limit,
                               .peer = request->name,
                               .step = "prefill",
-                              .once = true,
+                              .no_resend = true,
                               .on_idle = on_idle,
                               .arg = arg};
     http_result_t http;
@@ -120,7 +120,7 @@
 /** A place is what the whole id says; an id of another event says nothing of this one. @return 0 for none */
 static uint32_t read_place(const sse_event_t *event)
 {
-    if (!event->own_id || event->id[0] < '1' || event->id[0] > '9')
+    if (!event->has_id || event->id[0] < '1' || event->id[0] > '9')
         return 0;
     char *end;
     const unsigned long long place = strtoull(event->id, &end, 10);
@@ -171,7 +171,7 @@
 static bool on_stream_idle(void *arg)
 {
     stream_t *const s = arg;
-    const tc_time_t limit = s->any ? s->reader->next_limit : s->reader->first_limit;
+    const tc_time_t limit = s->any ? s->reader->next_token_timeout : s->reader->first_token_timeout;
     if (tc_time_now() - s->last > limit) {
         s->late = true;
         return false;
@@ -189,7 +189,7 @@
     stream_t stream = {.reader = reader, .place = from, .last = tc_time_now()};
     sse_init(&stream.sse, on_event, &stream);
     http_call_t call = *base;
-    call.limit = STREAM_LIMIT_MS;
+    call.timeout = STREAM_LIMIT_MS;
     call.peer = r->name;
     call.on_data = on_stream_data;
     call.on_idle = on_stream_idle;
@@ -217,7 +217,7 @@
     size_t size;
     char *const body = make_body(request, kv, true, request->max_tokens, &size);
     const http_call_t call = {
-        .url = url, .method = "POST", .body = body, .body_size = size, .step = "decode", .once = true};
+        .url = url, .method = "POST", .body = body, .body_size = size, .step = "decode", .no_resend = true};
     const int rc = read_stream(request, &call, 0, reader, err);
     free(body);
     return rc;
@@ -243,7 +243,7 @@
                               .method = method,
                               .body = text,
                               .body_size = text ? strlen(text) : 0,
-                              .limit = limit,
+                              .timeout = limit,
                               .peer = name,
                               .step = step};
     http_result_t http;
--- a/lib/backend/engine.h
+++ b/lib/backend/engine.h
@@ -45,8 +45,8 @@
     engine_token_fn_t on_token;
     http_idle_fn_t on_idle;
     void *arg;
-    tc_time_t first_limit; /**< ms until the first token; then TC_E_STALLED */
-    tc_time_t next_limit;  /**< ms between tokens; then TC_E_BROKEN */
+    tc_time_t first_token_timeout; /**< ms until the first token; then TC_E_STALLED */
+    tc_time_t next_token_timeout;  /**< ms between tokens; then TC_E_BROKEN */
 } engine_reader_t;
 
 typedef struct {
--- a/lib/backend/http_client.c
+++ b/lib/backend/http_client.c
@@ -127,11 +127,11 @@
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_write);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, running);
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_LIMIT_MS);
-    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)call->limit);
+    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)call->timeout);
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, call->once ? 1L : 0L);
+    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, call->no_resend ? 1L : 0L);
     return headers;
 }
 
@@ -166,7 +166,7 @@
         return tc_err_set(err, TC_E_UNREACHABLE, call->step, call->peer, "%s", curl_easy_strerror(code));
     if (code == CURLE_OPERATION_TIMEDOUT)
         return tc_err_set(err, TC_E_TIMEOUT, call->step, call->peer, "no answer within %lld ms",
-                          (long long)call->limit);
+                          (long long)call->timeout);
     if (code != CURLE_OK)
         return tc_err_set(err, TC_E_BROKEN, call->step, call->peer, "%s", curl_easy_strerror(code));
     if (result->status >= 400)
--- a/lib/backend/http_client.h
+++ b/lib/backend/http_client.h
@@ -32,11 +32,11 @@
     const char *body;   /**< may be NULL */
     size_t body_size;
     const char *const *headers; /**< NULL-ended "Name: value" strings, may be NULL */
-    tc_time_t limit;            /**< for the whole call, ms */
+    tc_time_t timeout;          /**< for the whole call, ms */
     const char *peer;           /**< name of the backend server, for errors */
     const char *step;           /**< for errors; a static string */
-    bool once;              /**< never sent twice: libcurl resends by itself what it sent over a kept connection that
-                                 turns out to be closed, so such a call gets a connection of its own */
+    bool no_resend;         /**< never sent twice: libcurl resends by itself what it sent over a kept connection that
+                            turns out to be closed, so such a call gets a connection of its own */
     http_data_fn_t on_data; /**< may be NULL: the body is collected */
     http_idle_fn_t on_idle; /**< may be NULL */
     void *arg;
--- a/lib/backend/sse.c
+++ b/lib/backend/sse.c
@@ -61,7 +61,7 @@
 /** An event is whole with its blank line, wherever in it its fields stand; none of them reaches the next event. */
 static bool end_event(sse_t *sse)
 {
-    const sse_event_t event = {.id = sse->id, .own_id = sse->own_id, .name = sse->name, .data = sse->data};
+    const sse_event_t event = {.id = sse->id, .has_id = sse->own_id, .name = sse->name, .data = sse->data};
     const bool go_on = !sse->has_data || sse->on_event(sse->arg, &event);
     sse->name[0] = '\0';
     sse->own_id = false;
--- a/lib/backend/sse.h
+++ b/lib/backend/sse.h
@@ -15,7 +15,7 @@
 /** One event; strings are borrowed for the call. */
 typedef struct {
     const char *id;   /**< last id seen, "" for none */
-    bool own_id;      /**< that id stands in this event */
+    bool has_id;      /**< that id stands in this event */
     const char *name; /**< "event:" field, "" for none */
     const char *data; /**< lines of data with '\n' between them */
 } sse_event_t;
--- a/lib/request/completion.c
+++ b/lib/request/completion.c
@@ -196,8 +196,8 @@
     return (engine_reader_t){.on_token = on_tokens,
                              .on_idle = on_reading_idle,
                              .arg = reading,
-                             .first_limit = first_limit,
-                             .next_limit = TOKEN_GAP_MS};
+                             .first_token_timeout = first_limit,
+                             .next_token_timeout = TOKEN_GAP_MS};
 }
 
 /** Connections break and the engine keeps the stream: the rest is fetched from it, behind what this run brought, which
--- a/lib/request/reports.c
+++ b/lib/request/reports.c
@@ -54,7 +54,7 @@
 static void ask_platform(reports_t *r, const char *url)
 {
     const http_call_t call = {
-        .url = url, .method = "GET", .limit = CALL_LIMIT_MS, .peer = "platform", .step = "platform list"};
+        .url = url, .method = "GET", .timeout = CALL_LIMIT_MS, .peer = "platform", .step = "platform list"};
     http_result_t result;
     tc_err_t err = {0};
     json_t *body = NULL;
--- a/lib/request/service.c
+++ b/lib/request/service.c
@@ -151,10 +151,10 @@
                               .body = call->body_size ? call->body : NULL,
                               .body_size = call->body_size,
                               .headers = headers,
-                              .limit = call->service->timeout_ms,
+                              .timeout = call->service->timeout_ms,
                               .peer = worker->name,
                               .step = "service call",
-                              .once = true};
+                              .no_resend = true};
     log_choice(call, worker->name);
     const tc_time_t begin = tc_time_now();
     const int rc = http_call(&http, &call->result, &call->err);
--- a/programs/load/caller.c
+++ b/programs/load/caller.c
@@ -24,7 +24,7 @@
     char url[256];
     snprintf(url, sizeof(url), "http://%s/v1/entries?caller=%s", addr, c->name);
     const http_call_t call = {
-        .url = url, .method = "GET", .limit = ENTRIES_LIMIT_MS, .peer = addr, .step = "ask entries"};
+        .url = url, .method = "GET", .timeout = ENTRIES_LIMIT_MS, .peer = addr, .step = "ask entries"};
     http_result_t result;
     tc_err_t err = {0};
     json_t *const body =
@@ -172,10 +172,10 @@
                               .body = body,
                               .body_size = strlen(body),
                               .headers = headers,
-                              .limit = REQUEST_LIMIT_MS,
+                              .timeout = REQUEST_LIMIT_MS,
                               .peer = addr,
                               .step = "complete",
-                              .once = true,
+                              .no_resend = true,
                               .on_data = on_data,
                               .on_idle = on_idle,
                               .arg = r};
@@ -239,10 +239,10 @@
                               .body = "{}",
                               .body_size = 2,
                               .headers = headers,
-                              .limit = REQUEST_LIMIT_MS,
+                              .timeout = REQUEST_LIMIT_MS,
                               .peer = addr,
                               .step = "call",
-                              .once = q->once};
+                              .no_resend = q->once};
     http_result_t result;
     tc_err_t err = {0};
     const int rc = http_call(&call, &result, &err);
--- a/programs/load/main.c
+++ b/programs/load/main.c
@@ -135,7 +135,7 @@
 {
     char url[128];
     snprintf(url, sizeof(url), "http://%s/admin/stats", opt_admin);
-    const http_call_t call = {.url = url, .method = "GET", .limit = 5000, .peer = opt_admin, .step = "stats"};
+    const http_call_t call = {.url = url, .method = "GET", .timeout = 5000, .peer = opt_admin, .step = "stats"};
     http_result_t result;
     tc_err_t err = {0};
     json_t *const body =
--- a/programs/load/tally.c
+++ b/programs/load/tally.c
@@ -66,7 +66,7 @@
                               .method = "POST",
                               .body = text,
                               .body_size = strlen(text),
-                              .limit = 10000,
+                              .timeout = 10000,
                               .peer = "stand-in",
                               .step = "count runs"};
     http_result_t result;
--- a/programs/trackcove/remote.c
+++ b/programs/trackcove/remote.c
@@ -22,7 +22,7 @@
                               .body = body,
                               .body_size = body ? strlen(body) : 0,
                               .headers = headers,
-                              .limit = CALL_LIMIT_MS,
+                              .timeout = CALL_LIMIT_MS,
                               .peer = addr,
                               .step = "call"};
     http_result_t result;
--- a/tests/fault/test_callers.c
+++ b/tests/fault/test_callers.c
@@ -25,7 +25,7 @@
                               .body = body,
                               .body_size = strlen(body),
                               .headers = headers,
-                              .limit = 20000,
+                              .timeout = 20000,
                               .peer = "entry-1",
                               .step = "post"};
     http_result_t result;
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -94,10 +94,10 @@
                               .body = body,
                               .body_size = strlen(body),
                               .headers = headers,
-                              .limit = 120000,
+                              .timeout = 120000,
                               .peer = c->addr,
                               .step = "test",
-                              .once = true,
+                              .no_resend = true,
                               .on_data = on_data,
                               .on_idle = on_idle,
                               .arg = &reading};
@@ -171,7 +171,7 @@
 long long client_metric(cluster_t *cluster, const char *name, const char *metric)
 {
     char *const url = g_strdup_printf("http://%s/metrics", cluster_addr(cluster, name));
-    const http_call_t call = {.url = url, .method = "GET", .limit = 3000, .peer = name, .step = "metrics"};
+    const http_call_t call = {.url = url, .method = "GET", .timeout = 3000, .peer = name, .step = "metrics"};
     http_result_t result;
     tc_err_t err;
     (void)http_call(&call, &result, &err);
@@ -208,7 +208,7 @@
                               .body = "{}",
                               .body_size = 2,
                               .headers = headers,
-                              .limit = 20000,
+                              .timeout = 20000,
                               .peer = entry,
                               .step = "service"};
     http_result_t result;
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -313,7 +313,7 @@
                               .body = text,
                               .body_size = text ? strlen(text) : 0,
                               .headers = headers,
-                              .limit = 8000,
+                              .timeout = 8000,
                               .peer = name,
                               .step = path};
     http_result_t result;
@@ -369,7 +369,7 @@
             char *const url = g_strdup_printf("http://%s/v1/status", p->addr);
             const char *const headers[] = {OPERATOR_HEADER, NULL};
             const http_call_t call = {
-                .url = url, .method = "GET", .headers = headers, .limit = 500, .peer = p->name, .step = "status"};
+                .url = url, .method = "GET", .headers = headers, .timeout = 500, .peer = p->name, .step = "status"};
             http_result_t result;
             tc_err_t err;
             (void)http_call(&call, &result, &err);
--- a/tests/unit/test_backend.c
+++ b/tests/unit/test_backend.c
@@ -151,7 +151,7 @@
 {
     const engine_request_t request = {.name = "e", .url = server_url, .engine_id = id, .model = "m"};
     const engine_reader_t reader = {
-        .on_token = on_token, .arg = taker, .first_limit = 3000, .next_limit = TOKEN_GAP_MS};
+        .on_token = on_token, .arg = taker, .first_token_timeout = 3000, .next_token_timeout = TOKEN_GAP_MS};
     taker->seen = g_string_new(NULL);
     return engine_resume(&request, from, &reader, err);
 }
@@ -262,10 +262,10 @@
                               .method = "POST",
                               .body = "{}",
                               .body_size = 2,
-                              .limit = 3000,
+                              .timeout = 3000,
                               .peer = "test",
                               .step = "test",
-                              .once = true};
+                              .no_resend = true};
     tc_err_t err;
     const int rc = http_call(&http, result, &err);
     free(result->body);
