--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -108,17 +108,17 @@
     fail(f, why, FULL_AFTER_MS + g_rand_int_range(f->owner->random, 0, FULL_SPREAD_MS));
 }
 
-static fleet_wish_t wish_of(const forward_t *f, stage_t stage)
+static fleet_query_t wish_of(const forward_t *f, stage_t stage)
 {
-    return (fleet_wish_t){.service = f->service,
-                          .stage = stage,
-                          .dc = f->owner->options.dc,
-                          .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
-                          .ends = forward_ends(f),
-                          .connections = f->settings->max_connections,
-                          .boxes = forward_boxes(f->owner),
-                          .now = tc_time_now(),
-                          .draw = g_rand_int(f->owner->random)};
+    return (fleet_query_t){.service = f->service,
+                           .stage = stage,
+                           .dc = f->owner->options.dc,
+                           .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
+                           .ends = forward_ends(f),
+                           .connections = f->settings->max_connections,
+                           .boxes = forward_boxes(f->owner),
+                           .now = tc_time_now(),
+                           .random = g_rand_int(f->owner->random)};
 }
 
 /** Other callers that were refused for the same reason come back beside this one: up to so much later. */
@@ -127,8 +127,8 @@
 /** No back end is left, or those that are take no work for a while: then its caller is told when one does. */
 static void fail_without_backend(forward_t *f, stage_t stage)
 {
-    const fleet_wish_t wish = wish_of(f, stage);
-    const tc_time_t until = fleet_opens_at(f->owner->fleet, &wish);
+    const fleet_query_t wish = wish_of(f, stage);
+    const tc_time_t until = fleet_next_available_at(f->owner->fleet, &wish);
     if (until == TC_TIME_NEVER) {
         forward_fail(f, fleet_is_evacuated(f->owner->fleet, &wish) ? REASON_EVACUATED : "no back end is left");
         return;
@@ -175,7 +175,7 @@
 
 instance_t *forward_choose(forward_t *f, stage_t stage)
 {
-    const fleet_wish_t wish = wish_of(f, stage);
+    const fleet_query_t wish = wish_of(f, stage);
     return fleet_choose(f->owner->fleet, &wish);
 }
 
@@ -194,8 +194,8 @@
 
 bool forward_has_unlimited(forward_t *f, stage_t stage)
 {
-    fleet_wish_t wish = wish_of(f, stage);
-    wish.unlimited = true;
+    fleet_query_t wish = wish_of(f, stage);
+    wish.exclude_limited = true;
     return drop_choice(fleet_choose(f->owner->fleet, &wish));
 }
 
@@ -249,7 +249,7 @@
 
 void forward_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
-    if (!instance_takes_work(instance, tc_time_now())) { /* since it was chosen */
+    if (!instance_accepts_work(instance, tc_time_now())) { /* since it was chosen */
         f->asked_again = false;
         instance_unref(instance);
         forward_go_on(f);
@@ -269,7 +269,7 @@
     if (!keeper)
         return false;
     f->locate.instance = NULL; /* once: when it can't, the stream is placed like any other */
-    if (!instance_takes_work(keeper, tc_time_now())) {
+    if (!instance_accepts_work(keeper, tc_time_now())) {
         instance_unref(keeper);
         return false;
     }
@@ -322,7 +322,7 @@
  *  be served. */
 static bool is_shut_out(const forward_t *f)
 {
-    const fleet_wish_t wish = wish_of(f, STAGE_DECODE);
+    const fleet_query_t wish = wish_of(f, STAGE_DECODE);
     return fleet_is_evacuated(f->owner->fleet, &wish) || fleet_closed_until(f->owner->fleet, &wish) >= place_until(f);
 }
 
@@ -488,9 +488,9 @@
     fw->options = *options;
     fw->budgets = retry_budgets_create();
     fw->quarantine = quarantine_create();
-    fw->caps = cap_parts_create(&options->caps);
-    fw->limits = cap_parts_create(&options->limits.named);
-    fw->cold = cap_parts_create(&options->limits.cold);
+    fw->caps = cap_shares_create(&options->caps);
+    fw->limits = cap_shares_create(&options->limits.advertised);
+    fw->cold = cap_shares_create(&options->limits.cold);
     fw->limits_told = limit_table_create();
     fw->service_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     fw->random = g_rand_new();
@@ -511,9 +511,9 @@
     route_table_unref(fw->table);
     g_hash_table_destroy(fw->budgets);
     quarantine_destroy(fw->quarantine);
-    cap_parts_destroy(fw->caps);
-    cap_parts_destroy(fw->limits);
-    cap_parts_destroy(fw->cold);
+    cap_shares_destroy(fw->caps);
+    cap_shares_destroy(fw->limits);
+    cap_shares_destroy(fw->cold);
     limit_table_destroy(fw->limits_told);
     g_hash_table_destroy(fw->service_times);
     g_rand_free(fw->random);
@@ -547,7 +547,7 @@
     return fw->quarantine;
 }
 
-cap_parts_t *forwarder_caps(forwarder_t *fw)
+cap_shares_t *forwarder_caps(forwarder_t *fw)
 {
     return fw->caps;
 }
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -50,17 +50,17 @@
 
 static void remember(instance_t *instance, GByteArray *answer)
 {
-    if (instance->kept)
-        g_byte_array_unref(instance->kept);
-    instance->kept = g_byte_array_ref(answer);
-    instance->kept_at = tc_time_now();
+    if (instance->prefix_report)
+        g_byte_array_unref(instance->prefix_report);
+    instance->prefix_report = g_byte_array_ref(answer);
+    instance->prefix_report_at = tc_time_now();
 }
 
 /** Take the instance when it keeps more of the prompt than the best so far, by what it told last. */
 static void compare(forward_t *f, instance_t *instance)
 {
-    const unsigned tokens =
-        dialect_read_cached_tokens((const char *)instance->kept->data, instance->kept->len, &f->facts);
+    const unsigned tokens = dialect_read_cached_tokens((const char *)instance->prefix_report->data,
+                                                       instance->prefix_report->len, &f->facts);
     if (tokens <= f->locate.tokens)
         return;
     if (f->locate.instance)
@@ -91,7 +91,7 @@
 {
     static const engine_ask_limits_t limits = {.connect_ms = LOCATE_MS, .answer_ms = LOCATE_MS};
     forward_t *const f = arg;
-    if (instance->kept && tc_time_now() - instance->kept_at < LOCATE_FRESH_MS) {
+    if (instance->prefix_report && tc_time_now() - instance->prefix_report_at < LOCATE_FRESH_MS) {
         compare(f, instance);
         return;
     }
@@ -115,7 +115,7 @@
 
 /** Of a few engines all are asked, of more those behind the place where the scheduler begins its choice. Beyond them
  *  one that was placed by a box alone is found by luck. */
-static unsigned most_asked(const forward_t *f, const fleet_wish_t *wish)
+static unsigned most_asked(const forward_t *f, const fleet_query_t *wish)
 {
     return fleet_count(f->owner->fleet, wish) > LOCATE_LUCK * LOCATE_MOST ? LOCATE_NEAREST : LOCATE_MOST;
 }
@@ -127,8 +127,8 @@
     if (forward_ends(f) > 0)
         return false; /* the engine that kept it has ended, and another is chosen with regard to who runs there */
     f->locate.asked = true;
-    const fleet_wish_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
-    fleet_each_behind(f->owner->fleet, &wish, f->fingerprint, most_asked(f, &wish), ask, f);
+    const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
+    fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, most_asked(f, &wish), ask, f);
     if (f->locate.waiting > 0)
         return true;
     settle(f);
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -182,11 +182,11 @@
         .retries = {.ratio = 1, .allowance = 0, .window = 60000},
         .silence_timeout_ms = 60000,
         .caps = {.window = 8000},
-        .limits = {.named = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
+        .limits = {.advertised = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                    .cold = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}}};
     e->forwarder = forwarder_create(w->f.loop, e->fleet, e->client, &options);
     forwarder_set_routes(e->forwarder, w->table);
-    fleet_list(e->fleet, w->list, w->backends_n, tc_time_now());
+    fleet_set_list(e->fleet, w->list, w->backends_n, tc_time_now());
     tc_err_t err = {0};
     const reporter_options_t reports = {.peer_listen = e->self.peer_addr,
                                         .controls = w->f.seeds,
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "cap/cap_ledger.h"
-#include "cap/cap_parts.h"
+#include "cap/cap_shares.h"
 #include "common/sharers.h"
 
 /* ===== World ===== */
@@ -37,7 +37,7 @@
 
 typedef struct {
     char name[CODEC_STR_SIZE];
-    cap_parts_t *parts;
+    cap_shares_t *parts;
     uint64_t incarnation;
     tc_time_t report_at, cut_until, down_until;
     tc_time_t closed_until[WORKSPACES]; /* of back ends: it was refused, and asks no more until then */
@@ -97,7 +97,7 @@
     w->ledger = cap_ledger_create(&w->rules);
     w->term++;
     configure(w);
-    cap_ledger_begin(w->ledger, w->now);
+    cap_ledger_start_term(w->ledger, w->now);
 }
 
 static void lose_leader(world_t *w)
@@ -112,7 +112,7 @@
 
 static void start_box(world_t *w, box_t *b)
 {
-    b->parts = cap_parts_create(&w->rules);
+    b->parts = cap_shares_create(&w->rules);
     b->incarnation = (uint64_t)w->now + 1;
     b->told = false;
     b->report_at = w->now + g_rand_int_range(w->random, 0, REPORT_MS);
@@ -138,7 +138,7 @@
         space_t *const s = &w->spaces[i];
         g_snprintf(s->name, sizeof(s->name), "space-%u", i);
         const double rate = 20000 * pow(12, g_rand_double(w->random)); /* 20,000 to 240,000 a second */
-        s->cap = (cap_t){.unit = CAP_TOKENS, .rate = rate, .burst = rate, .flat = 200};
+        s->cap = (cap_t){.unit = CAP_TOKENS, .rate = rate, .burst = rate, .default_cost = 200};
         s->usual = 0.1 + 0.7 * g_rand_double(w->random);
         s->stream = 0.3 + 0.4 * g_rand_double(w->random);
         s->hot_at = i < 2 ? g_rand_int_range(w->random, 2000, SPAN_MS) : TC_TIME_NEVER;
@@ -153,14 +153,15 @@
 {
     b->report_at = w->now + REPORT_MS;
     uint32_t n;
-    cap_use_t *const used = cap_parts_report(b->parts, &n, w->now);
+    cap_use_t *const used = cap_shares_report(b->parts, &n, w->now);
     if (w->ledger && !b->silent) {
-        cap_ledger_hear(w->ledger, b->name, b->incarnation, used, n, w->now);
+        cap_ledger_apply_report(w->ledger, b->name, b->incarnation, used, n, w->now);
         uint32_t told;
-        const cap_state_t *const states = cap_ledger_tell(w->ledger, &told, w->now);
+        const cap_state_t *const states = cap_ledger_get_states(w->ledger, &told, w->now);
         if (g_rand_double(w->random) > 0.02) { /* an answer may be lost */
             b->told = true;
-            b->report_at = cap_parts_hear(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
+            b->report_at =
+                cap_shares_apply_reply(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
         }
     }
     free(used);
@@ -173,7 +174,7 @@
     for (unsigned i = 0; i < w->boxes_n; i++) {
         box_t *const b = &w->boxes[i];
         if (b->parts)
-            cap_parts_destroy(b->parts);
+            cap_shares_destroy(b->parts);
         b->parts = NULL;
         b->down_until = w->now + 1000;
     }
@@ -202,7 +203,7 @@
     if (what < 0.4) {
         lose_leader(w);
     } else if (what < 0.7 && b->parts) {
-        cap_parts_destroy(b->parts);
+        cap_shares_destroy(b->parts);
         b->parts = NULL;
         b->down_until = w->now + 800;
     } else {
@@ -220,7 +221,7 @@
 static bool is_let_in(world_t *w, box_t *b, unsigned i, bool placed, double units)
 {
     space_t *const s = &w->spaces[i];
-    const cap_ask_t ask = {.name = s->name, .cap = &s->cap, .units = units, .is_leaders = placed};
+    const cap_request_t ask = {.name = s->name, .cap = &s->cap, .units = units, .leader_decides = placed};
     if (placed && w->ledger && !b->silent) {
         tc_time_t after;
         if (!cap_ledger_take(w->ledger, s->name, units, w->now, &after)) {
@@ -228,12 +229,12 @@
             b->closed_until[i] = w->now + after;
             return false;
         }
-        cap_parts_note(b->parts, &ask, w->now);
+        cap_shares_record(b->parts, &ask, w->now);
         return true;
     }
-    cap_verdict_t verdict;
-    if (cap_parts_take(b->parts, &ask, b->told ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random), w->now,
-                       &verdict))
+    cap_decision_t verdict;
+    if (cap_shares_take(b->parts, &ask, b->told ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random), w->now,
+                        &verdict))
         return true;
     g_assert_cmpint(verdict.after, >, 0);
     b->closed_until[i] = w->now + verdict.after;
@@ -245,7 +246,7 @@
     space_t *const s = &w->spaces[i];
     box_t *const b = &w->boxes[g_rand_int_range(w->random, 0, (gint32)w->boxes_n)];
     const bool placed = g_rand_double(w->random) < s->stream;
-    const double large = placed ? floor(1000 + 5000 * g_rand_double(w->random)) : s->cap.flat;
+    const double large = placed ? floor(1000 + 5000 * g_rand_double(w->random)) : s->cap.default_cost;
     const double units = is_on_backends(w) ? 1 : large;
     if (!b->parts || (is_on_backends(w) && w->now < b->closed_until[i]))
         return;
@@ -267,7 +268,7 @@
     for (unsigned i = 0; i < WORKSPACES; i++) {
         const space_t *const s = &w->spaces[i];
         const bool is_hot = w->now >= s->hot_at && w->now < s->hot_at + 10000;
-        const double mean = is_on_backends(w) ? 1 : s->stream * 3500 + (1 - s->stream) * s->cap.flat;
+        const double mean = is_on_backends(w) ? 1 : s->stream * 3500 + (1 - s->stream) * s->cap.default_cost;
         double due = s->usual * (is_hot ? s->hot : 1) * s->cap.rate / mean * STEP_MS / 1000;
         while (due > 0) {
             if (g_rand_double(w->random) < due)
@@ -366,7 +367,7 @@
         outcome->takeable += w.settled_s * w.spaces[i].cap.rate;
     for (unsigned i = 0; i < w.boxes_n; i++)
         if (w.boxes[i].parts)
-            cap_parts_destroy(w.boxes[i].parts);
+            cap_shares_destroy(w.boxes[i].parts);
     for (unsigned i = 0; i < WORKSPACES; i++)
         g_array_free(w.let_in[i], TRUE);
     if (w.ledger)
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -89,11 +89,11 @@
 {
     unsigned n = 0;
     for (uint32_t draw = 0; draw < 50; draw++) {
-        const fleet_wish_t wish = {.service = "app", .dc = "b", .now = now, .draw = draw * 7919};
+        const fleet_query_t wish = {.service = "app", .dc = "b", .now = now, .random = draw * 7919};
         instance_t *const chosen = fleet_choose(fleet, &wish);
         if (!chosen)
             continue;
-        g_assert_true(instance_takes_work(chosen, now));
+        g_assert_true(instance_accepts_work(chosen, now));
         n += strcmp(chosen->listed.dc, dc) == 0;
         instance_unref(chosen);
     }
@@ -105,15 +105,15 @@
     fleet_t *const fleet = fleet_create();
     evacuations_t held = {0};
     const tc_time_t now = 1000;
-    fleet_list(fleet, backends, G_N_ELEMENTS(backends), now);
+    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now);
     g_assert_cmpuint(count_chosen(fleet, "b", now), >, 0);
     order(&held, "b", true, 1);
     fleet_set_evacuations(fleet, &held, now);
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     g_assert_cmpuint(count_chosen(fleet, "a", now), >, 0);
-    g_assert_false(instance_takes_work(fleet_find(fleet, "b1"), now));
-    g_assert_true(instance_takes_upkeep(fleet_find(fleet, "b1"), now));
-    fleet_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
+    g_assert_false(instance_accepts_work(fleet_find(fleet, "b1"), now));
+    g_assert_true(instance_accepts_maintenance(fleet_find(fleet, "b1"), now));
+    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     order(&held, "a", true, 2);
     fleet_set_evacuations(fleet, &held, now);
@@ -146,7 +146,7 @@
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
     f->placing = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                     &(limit_rules_t){.named = {.window = 4000}, .cold = {.window = 1000}});
+                                     &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
     const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
     leader_sched_set_services(f->placing, &service, 1);
     const backend_t engines[] = {{.id = "p1", .service = "lm", .addr = "1", .dc = "a", .stage = "prefill", .slots = 8},
