--- a/lib/roles/balance.h
+++ b/lib/roles/balance.h
@@ -34,6 +34,6 @@
 
 /** Engines that should compute prompts: the present number, one more or one fewer. Never takes an engine from a pool
  *  that would then not bear a loss. */
-uint32_t balance_target_prefills(const role_pools_t *balance);
+uint32_t balance_target_prefills(const role_pools_t *pools);
 
 #endif
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -16,18 +16,18 @@
 /* ===== Constants ===== */
 
 enum {
-    CONNECT_MS = 250,  /* an engine in reach takes a few ms */
-    ORDER_MS = 1000,   /* for one answer of an engine; with this past, an order arrives no more */
-    SUSTAIN_MS = 700,  /* a wish must last: work is a moving average over 2 s */
-    FORGET_MS = 20000, /* an order whose effect the list does not show by then had none: engines drain what they run, a
-                          few seconds, change in some more, and may carry an order out up to 12 s late */
-    STALE_MS = 500,    /* this box stood still for longer than that since its last look: its term may be over */
-    PAUSE_MS = 3000,   /* an engine that refused an order is left alone for so long */
-    MOVING_SHARE = 10  /* one in so many engines may change at a time, and one always */
+    CONNECT_TIMEOUT_MS = 250, /* an engine in reach takes a few ms */
+    ORDER_TIMEOUT_MS = 1000,  /* for one answer of an engine; with this past, an order arrives no more */
+    SUSTAIN_MS = 700,         /* a wish must last: work is a moving average over 2 s */
+    MOVE_TIMEOUT_MS = 20000,  /* an order whose effect the list does not show by then had none: engines drain what they
+                           run, a  few seconds, change in some more, and may carry an order out up to 12 s late */
+    STALL_MS = 500,           /* this box stood still for longer than that since its last look: its term may be over */
+    COOLDOWN_MS = 3000,       /* an engine that refused an order is left alone for so long */
+    ENGINES_PER_MOVE = 10     /* one in so many engines may change at a time, and one always */
 };
 
 /** Of engines' answers. */
-enum { STATUS_OK = 200, STATUS_TAKEN = 202, STATUS_FENCED = 412 };
+enum { STATUS_OK = 200, STATUS_ACCEPTED = 202, STATUS_FENCED = 412 };
 
 /** Stages, as backend_t names them. */
 static const char PREFILL[] = "prefill";
@@ -36,17 +36,17 @@
 /* ===== Types ===== */
 
 typedef enum {
-    MOVE_LOOKING,  /* the engine is asked what it is */
+    MOVE_QUERYING, /* the engine is asked what it is */
     MOVE_ORDERING, /* the order is on its way */
     MOVE_ORDERED,  /* taken, or perhaps taken: the list will show it */
-    MOVE_PAUSED    /* refused: not again for a while */
+    MOVE_COOLDOWN  /* refused: not again for a while */
 } move_state_t;
 
 /** One engine that changes its role, or was to. */
 typedef struct {
     struct cds_list_head node;
     backend_t engine;
-    char to[CODEC_STR_SIZE]; /* stage that it is to have */
+    char target_stage[CODEC_STR_SIZE]; /* stage that it is to have */
     move_state_t state;
     tc_time_t until; /* the move is forgotten then, whatever came of it */
 } move_t;
@@ -56,8 +56,8 @@
     web_client_t *client;
     call_gate_t *gate;
     char box[CODEC_STR_SIZE];
-    tc_time_t turn; /* as rebalancer_create says */
-    uint64_t term;  /* of the leadership, 0 for none */
+    tc_time_t order_delay_ms; /* as rebalancer_create says */
+    uint64_t term;            /* of the leadership, 0 for none */
     tc_time_t term_since;
     tc_time_t ticked_at;        /* time of the last look */
     bool fenced;                /* somebody with a higher fence orders: no more in this term */
@@ -65,26 +65,26 @@
     tc_time_t wanted_since;     /* without a change */
     struct cds_list_head moves; /* all move_t */
     web_ask_t ask;
-    move_t *asked; /* the move that the call under way is for, or NULL */
+    move_t *calling; /* the move that the call under way is for, or NULL */
 };
 
 /* ===== Log ===== */
 
-static void log_move(const rebalancer_t *m, const move_t *move, const char *what, int status)
+static void log_move(const rebalancer_t *r, const move_t *move, const char *what, int status)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "role_move");
     log_str(&line, "what", what);
     log_str(&line, "backend", move->engine.id);
     log_str(&line, "addr", move->engine.addr);
-    log_str(&line, "to", move->to);
-    log_int(&line, "term", (int64_t)m->term);
+    log_str(&line, "to", move->target_stage);
+    log_int(&line, "term", (int64_t)r->term);
     if (status)
         log_int(&line, "status", status);
     log_end(&line);
 }
 
-static void log_wish(const role_pools_t *b, uint32_t wanted)
+static void log_target(const role_pools_t *b, uint32_t wanted)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "role_wish");
@@ -99,50 +99,50 @@
 
 /* ===== Moves ===== */
 
-static move_t *find_move(const rebalancer_t *m, const char *id)
+static move_t *find_move(const rebalancer_t *r, const char *id)
 {
     move_t *move;
-    cds_list_for_each_entry(move, &m->moves, node)
+    cds_list_for_each_entry(move, &r->moves, node)
         if (strcmp(move->engine.id, id) == 0)
             return move;
     return NULL;
 }
 
-static void end_move(rebalancer_t *m, move_t *move)
+static void end_move(rebalancer_t *r, move_t *move)
 {
-    if (m->asked == move) {
-        web_ask_cancel(&m->ask);
-        m->asked = NULL;
+    if (r->calling == move) {
+        web_ask_cancel(&r->ask);
+        r->calling = NULL;
     }
     cds_list_del(&move->node);
     g_free(move);
 }
 
-static void end_moves(rebalancer_t *m)
+static void end_moves(rebalancer_t *r)
 {
     move_t *move, *next;
-    cds_list_for_each_entry_safe(move, next, &m->moves, node)
-        end_move(m, move);
+    cds_list_for_each_entry_safe(move, next, &r->moves, node)
+        end_move(r, move);
 }
 
 /** Leave the engine alone for a while. */
-static void pause_move(const rebalancer_t *m, move_t *move)
+static void cool_down(const rebalancer_t *r, move_t *move)
 {
-    move->state = MOVE_PAUSED;
-    move->until = m->ticked_at + PAUSE_MS;
+    move->state = MOVE_COOLDOWN;
+    move->until = r->ticked_at + COOLDOWN_MS;
 }
 
 static bool is_moving(const move_t *move)
 {
-    return move->state != MOVE_PAUSED;
+    return move->state != MOVE_COOLDOWN;
 }
 
-uint32_t rebalancer_list_moving(const rebalancer_t *m, leaving_cfg_t *list, uint32_t room)
+uint32_t rebalancer_list_moving(const rebalancer_t *r, leaving_cfg_t *list, uint32_t room)
 {
     uint32_t n = 0;
     const move_t *move;
     memset(list, 0, room * sizeof(*list)); /* lists are compared by their bytes */
-    cds_list_for_each_entry(move, &m->moves, node) {
+    cds_list_for_each_entry(move, &r->moves, node) {
         if (!is_moving(move) || n == room)
             continue;
         codec_copy_string(list[n++].name, sizeof(list->name), move->engine.id);
@@ -150,40 +150,40 @@
     return n;
 }
 
-static uint32_t count_moving(const rebalancer_t *m)
+static uint32_t count_moving(const rebalancer_t *r)
 {
     uint32_t n = 0;
     const move_t *move;
-    cds_list_for_each_entry(move, &m->moves, node)
+    cds_list_for_each_entry(move, &r->moves, node)
         n += is_moving(move);
     return n;
 }
 
 /* ===== Moves and the list ===== */
 
-static const backend_t *find_listed(const rebalancer_input_t *view, const char *id)
+static const backend_t *find_listed(const rebalancer_input_t *input, const char *id)
 {
-    for (uint32_t i = 0; i < view->backends_n; i++)
-        if (strcmp(view->backends[i].id, id) == 0)
-            return &view->backends[i];
+    for (uint32_t i = 0; i < input->backends_n; i++)
+        if (strcmp(input->backends[i].id, id) == 0)
+            return &input->backends[i];
     return NULL;
 }
 
 /** End the moves that are over: the engine is what it was to become, is gone, or was ordered long ago. */
-static void sweep_moves(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
+static void end_finished_moves(rebalancer_t *r, const rebalancer_input_t *input, tc_time_t now)
 {
     move_t *move, *next;
-    cds_list_for_each_entry_safe(move, next, &m->moves, node) {
-        const backend_t *const engine = find_listed(view, move->engine.id);
-        if (move == m->asked)
+    cds_list_for_each_entry_safe(move, next, &r->moves, node) {
+        const backend_t *const engine = find_listed(input, move->engine.id);
+        if (move == r->calling)
             continue; /* its answer comes first */
-        if (engine && strcmp(engine->stage, move->to) == 0) {
-            log_move(m, move, "done", 0);
-            end_move(m, move);
+        if (engine && strcmp(engine->stage, move->target_stage) == 0) {
+            log_move(r, move, "done", 0);
+            end_move(r, move);
         } else if (!engine || now >= move->until) {
             if (is_moving(move))
-                log_move(m, move, engine ? "given up" : "gone", 0);
-            end_move(m, move);
+                log_move(r, move, engine ? "given up" : "gone", 0);
+            end_move(r, move);
         }
     }
 }
@@ -192,113 +192,113 @@
 
 static void on_head(void *arg, const web_head_t *head)
 {
-    const rebalancer_t *const m = arg;
+    const rebalancer_t *const r = arg;
     const availability_notice_t notice = dialect_read_notice(head);
-    call_gate_update(m->gate, m->asked->engine.id, &notice, tc_time_now());
+    call_gate_update(r->gate, r->calling->engine.id, &notice, tc_time_now());
 }
 
-static void call_engine(rebalancer_t *m, move_t *move, GByteArray *request, web_ask_fn_t fn)
+static void call_engine(rebalancer_t *r, move_t *move, GByteArray *request, web_ask_fn_t fn)
 {
-    const web_ask_where_t where = {.loop = m->loop,
-                                   .client = m->client,
+    const web_ask_where_t where = {.loop = r->loop,
+                                   .client = r->client,
                                    .addr = move->engine.addr,
                                    .is_ours = dialect_is_query_answer,
                                    .on_head = on_head,
-                                   .connect_ms = CONNECT_MS,
-                                   .limit_ms = ORDER_MS};
-    m->asked = move;
-    web_ask(&m->ask, &where, request, fn, m);
+                                   .connect_ms = CONNECT_TIMEOUT_MS,
+                                   .limit_ms = ORDER_TIMEOUT_MS};
+    r->calling = move;
+    web_ask(&r->ask, &where, request, fn, r);
 }
 
 /** The engine's answer to the order. */
 static void on_ordered(void *arg, web_ask_end_t how)
 {
-    rebalancer_t *const m = arg;
-    move_t *const move = m->asked;
-    m->asked = NULL;
+    rebalancer_t *const r = arg;
+    move_t *const move = r->calling;
+    r->calling = NULL;
     if (how != WEB_ASK_WHOLE) {
         counter_add(&c_unknown, 1);
         move->state = MOVE_ORDERED; /* it may have been taken, or be carried out later */
-        log_move(m, move, "no answer", 0);
+        log_move(r, move, "no answer", 0);
         return;
     }
-    if (m->ask.status == STATUS_OK || m->ask.status == STATUS_TAKEN) {
+    if (r->ask.status == STATUS_OK || r->ask.status == STATUS_ACCEPTED) {
         move->state = MOVE_ORDERED;
-        log_move(m, move, "taken", m->ask.status);
+        log_move(r, move, "taken", r->ask.status);
         return;
     }
     counter_add(&c_refused, 1);
-    m->fenced = m->fenced || m->ask.status == STATUS_FENCED;
-    log_move(m, move, "refused", m->ask.status);
-    pause_move(m, move);
+    r->fenced = r->fenced || r->ask.status == STATUS_FENCED;
+    log_move(r, move, "refused", r->ask.status);
+    cool_down(r, move);
 }
 
-static void send_order(rebalancer_t *m, move_t *move, uint64_t taken)
+static void send_order(rebalancer_t *r, move_t *move, uint64_t taken)
 {
     const dialect_order_t order = {
-        .instance = move->engine.id, .stage = move->to, .holder = m->box, .fence = m->term, .taken = taken};
+        .instance = move->engine.id, .stage = move->target_stage, .holder = r->box, .fence = r->term, .taken = taken};
     counter_add(&c_orders, 1);
     move->state = MOVE_ORDERING;
-    log_move(m, move, "ordered", 0);
-    call_engine(m, move, dialect_write_order(move->engine.addr, &order), on_ordered);
+    log_move(r, move, "ordered", 0);
+    call_engine(r, move, dialect_write_order(move->engine.addr, &order), on_ordered);
 }
 
 /** Whether the engine takes new work of this box: an order is some. */
-static bool takes_orders(const rebalancer_t *m, const char *engine)
+static bool accepts_orders(const rebalancer_t *r, const char *engine)
 {
-    return call_gate_accepts(m->gate, engine, CALL_NEW_WORK, tc_time_now());
+    return call_gate_accepts(r->gate, engine, CALL_NEW_WORK, tc_time_now());
 }
 
 /** What the engine says it is: the order rests on it. */
-static void on_looked(void *arg, web_ask_end_t how)
+static void on_engine_report(void *arg, web_ask_end_t how)
 {
-    rebalancer_t *const m = arg;
-    move_t *const move = m->asked;
+    rebalancer_t *const r = arg;
+    move_t *const move = r->calling;
     dialect_engine_t engine;
-    m->asked = NULL;
-    const bool known = how == WEB_ASK_WHOLE && m->ask.status == STATUS_OK &&
-                       dialect_read_engine((const char *)m->ask.body->data, m->ask.body->len, &engine);
-    if (tc_time_now() - m->ticked_at > STALE_MS) {
-        log_move(m, move, "this box stood still", 0);
-        pause_move(m, move);
+    r->calling = NULL;
+    const bool known = how == WEB_ASK_WHOLE && r->ask.status == STATUS_OK &&
+                       dialect_read_engine((const char *)r->ask.body->data, r->ask.body->len, &engine);
+    if (tc_time_now() - r->ticked_at > STALL_MS) {
+        log_move(r, move, "this box stood still", 0);
+        cool_down(r, move);
         return;
     }
-    if (!known || engine.busy || strcmp(engine.stage, move->to) == 0) {
-        log_move(m, move, known ? "busy or right already" : "does not tell what it is", m->ask.status);
-        pause_move(m, move);
+    if (!known || engine.busy || strcmp(engine.stage, move->target_stage) == 0) {
+        log_move(r, move, known ? "busy or right already" : "does not tell what it is", r->ask.status);
+        cool_down(r, move);
         return;
     }
-    if (!takes_orders(m, move->engine.id)) {
-        log_move(m, move, "leaves, or asked for no calls", 0);
-        pause_move(m, move);
+    if (!accepts_orders(r, move->engine.id)) {
+        log_move(r, move, "leaves, or asked for no calls", 0);
+        cool_down(r, move);
         return;
     }
-    send_order(m, move, engine.orders);
+    send_order(r, move, engine.orders);
 }
 
 /* ===== Deciding ===== */
 
-static bool takes_part(const backend_t *b, const rebalancer_input_t *view)
+static bool is_eligible(const backend_t *b, const rebalancer_input_t *input)
 {
-    const bool evacuated = view->evacuations && evacuations_has(view->evacuations, b->dc);
-    return strcmp(b->service, view->service) == 0 && !b->draining && !evacuated && b->stage[0];
+    const bool evacuated = input->evacuations && evacuations_has(input->evacuations, b->dc);
+    return strcmp(b->service, input->service) == 0 && !b->draining && !evacuated && b->stage[0];
 }
 
 /** The stage that an engine has, or goes to. */
-static const char *stage_of(const rebalancer_t *m, const backend_t *b)
+static const char *stage_of(const rebalancer_t *r, const backend_t *b)
 {
-    const move_t *const move = find_move(m, b->id);
-    return move && is_moving(move) ? move->to : b->stage;
+    const move_t *const move = find_move(r, b->id);
+    return move && is_moving(move) ? move->target_stage : b->stage;
 }
 
-static void count_pools(const rebalancer_t *m, const rebalancer_input_t *view, role_pools_t *b)
+static void count_pools(const rebalancer_t *r, const rebalancer_input_t *input, role_pools_t *b)
 {
-    *b = (role_pools_t){.load = view->load};
-    for (uint32_t i = 0; i < view->backends_n; i++) {
-        const backend_t *const engine = &view->backends[i];
-        if (!takes_part(engine, view))
+    *b = (role_pools_t){.load = input->load};
+    for (uint32_t i = 0; i < input->backends_n; i++) {
+        const backend_t *const engine = &input->backends[i];
+        if (!is_eligible(engine, input))
             continue;
-        if (strcmp(stage_of(m, engine), PREFILL) == 0)
+        if (strcmp(stage_of(r, engine), PREFILL) == 0)
             b->prefills++;
         else
             b->decodes++;
@@ -306,26 +306,26 @@
 }
 
 /** How many engines of a role a data centre has. */
-static uint32_t count_in_dc(const rebalancer_t *m, const rebalancer_input_t *view, const char *dc, const char *stage)
+static uint32_t count_in_dc(const rebalancer_t *r, const rebalancer_input_t *input, const char *dc, const char *stage)
 {
     uint32_t n = 0;
-    for (uint32_t i = 0; i < view->backends_n; i++) {
-        const backend_t *const b = &view->backends[i];
-        n += takes_part(b, view) && strcmp(b->dc, dc) == 0 && strcmp(stage_of(m, b), stage) == 0;
+    for (uint32_t i = 0; i < input->backends_n; i++) {
+        const backend_t *const b = &input->backends[i];
+        n += is_eligible(b, input) && strcmp(b->dc, dc) == 0 && strcmp(stage_of(r, b), stage) == 0;
     }
     return n;
 }
 
 /** An engine of the role, from the data centre that has most of them. */
-static const backend_t *choose_engine(const rebalancer_t *m, const rebalancer_input_t *view, const char *from)
+static const backend_t *choose_engine(const rebalancer_t *r, const rebalancer_input_t *input, const char *from)
 {
     const backend_t *best = NULL;
     uint32_t most = 0;
-    for (uint32_t i = 0; i < view->backends_n; i++) {
-        const backend_t *const b = &view->backends[i];
-        if (!takes_part(b, view) || strcmp(b->stage, from) != 0 || find_move(m, b->id) || !takes_orders(m, b->id))
+    for (uint32_t i = 0; i < input->backends_n; i++) {
+        const backend_t *const b = &input->backends[i];
+        if (!is_eligible(b, input) || strcmp(b->stage, from) != 0 || find_move(r, b->id) || !accepts_orders(r, b->id))
             continue;
-        const uint32_t n = count_in_dc(m, view, b->dc, from);
+        const uint32_t n = count_in_dc(r, input, b->dc, from);
         if (n <= most)
             continue;
         most = n;
@@ -335,89 +335,90 @@
 }
 
 /** Begin a move: look at the engine first. */
-static void begin_move(rebalancer_t *m, const backend_t *engine, const char *to, tc_time_t now)
+static void begin_move(rebalancer_t *r, const backend_t *engine, const char *to, tc_time_t now)
 {
     move_t *const move = g_new0(move_t, 1);
     move->engine = *engine;
-    codec_copy_string(move->to, sizeof(move->to), to);
-    move->until = now + FORGET_MS;
-    cds_list_add_tail(&move->node, &m->moves);
-    log_move(m, move, "look", 0);
-    call_engine(m, move, dialect_write_engine_query(engine->addr), on_looked);
+    codec_copy_string(move->target_stage, sizeof(move->target_stage), to);
+    move->until = now + MOVE_TIMEOUT_MS;
+    cds_list_add_tail(&move->node, &r->moves);
+    log_move(r, move, "look", 0);
+    call_engine(r, move, dialect_write_engine_query(engine->addr), on_engine_report);
 }
 
-/** Whether the same has been wanted for long enough. @param other it is not what there is: a wish at all */
-static bool is_sustained(rebalancer_t *m, uint32_t wanted, bool other, tc_time_t now)
+/** Whether the same has been wanted for long enough. @param changed it is not what there is: a wish at all */
+static bool is_sustained(rebalancer_t *r, uint32_t wanted, bool changed, tc_time_t now)
 {
-    if (wanted != m->wanted || !other) {
-        m->wanted = wanted;
-        m->wanted_since = now;
+    if (wanted != r->wanted || !changed) {
+        r->wanted = wanted;
+        r->wanted_since = now;
     }
-    return other && now - m->wanted_since >= SUSTAIN_MS;
+    return changed && now - r->wanted_since >= SUSTAIN_MS;
 }
 
-static void decide(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
+static void decide(rebalancer_t *r, const rebalancer_input_t *input, tc_time_t now)
 {
     role_pools_t pools;
-    count_pools(m, view, &pools);
+    count_pools(r, input, &pools);
     const uint32_t wanted = balance_target_prefills(&pools);
     const bool fewer = wanted < pools.prefills;
     /* A wish for fewer is one wish, whatever the number: it lasts while one engine after the other goes. */
-    if (!is_sustained(m, fewer ? 0 : wanted, wanted != pools.prefills, now))
+    if (!is_sustained(r, fewer ? 0 : wanted, wanted != pools.prefills, now))
         return;
-    const uint32_t room = (pools.prefills + pools.decodes) / MOVING_SHARE;
-    if (count_moving(m) > room)
+    const uint32_t room = (pools.prefills + pools.decodes) / ENGINES_PER_MOVE;
+    if (count_moving(r) > room)
         return; /* one more than the share, so that small services change too */
-    const backend_t *const engine = choose_engine(m, view, fewer ? PREFILL : DECODE);
+    const backend_t *const engine = choose_engine(r, input, fewer ? PREFILL : DECODE);
     if (!engine)
         return;
-    log_wish(&pools, wanted);
-    begin_move(m, engine, fewer ? DECODE : PREFILL, now);
+    log_target(&pools, wanted);
+    begin_move(r, engine, fewer ? DECODE : PREFILL, now);
 }
 
 /* ===== Life ===== */
 
-static void take_term(rebalancer_t *m, uint64_t term, tc_time_t now)
+static void update_term(rebalancer_t *r, uint64_t term, tc_time_t now)
 {
-    if (term == m->term)
+    if (term == r->term)
         return;
-    end_moves(m); /* what was ordered shows in the list; what was not is for the next leader */
-    m->term = term;
-    m->term_since = now;
-    m->wanted_since = now;
-    m->fenced = false;
+    end_moves(r); /* what was ordered shows in the list; what was not is for the next leader */
+    r->term = term;
+    r->term_since = now;
+    r->wanted_since = now;
+    r->fenced = false;
 }
 
-void rebalancer_tick(rebalancer_t *m, const rebalancer_input_t *view, tc_time_t now)
+void rebalancer_tick(rebalancer_t *r, const rebalancer_input_t *input, tc_time_t now)
 {
-    m->ticked_at = now;
-    take_term(m, view->term, now);
-    counter_set(&c_moving, count_moving(m));
-    if (m->term == 0)
+    r->ticked_at = now;
+    update_term(r, input->term, now);
+    counter_set(&c_moving, count_moving(r));
+    if (r->term == 0)
         return;
-    sweep_moves(m, view, now);
+    end_finished_moves(r, input, now);
     /* An older leader's order may be under way until its lease and the time of an order are over. */
-    const bool our_turn = now - m->term_since >= m->turn + ORDER_MS;
-    if (our_turn && !m->fenced && !m->asked && view->service[0])
-        decide(m, view, now);
+    const bool may_order = now - r->term_since >= r->order_delay_ms + ORDER_TIMEOUT_MS;
+    if (may_order && !r->fenced && !r->calling && input->service[0])
+        decide(r, input, now);
 }
 
-rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn)
+rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box,
+                                tc_time_t order_delay_ms)
 {
-    rebalancer_t *const m = g_new0(rebalancer_t, 1);
-    m->loop = loop;
-    m->client = client;
-    m->gate = gate;
-    m->turn = turn;
-    codec_copy_string(m->box, sizeof(m->box), box);
-    CDS_INIT_LIST_HEAD(&m->moves);
-    m->ask.body = g_byte_array_new();
-    return m;
+    rebalancer_t *const r = g_new0(rebalancer_t, 1);
+    r->loop = loop;
+    r->client = client;
+    r->gate = gate;
+    r->order_delay_ms = order_delay_ms;
+    codec_copy_string(r->box, sizeof(r->box), box);
+    CDS_INIT_LIST_HEAD(&r->moves);
+    r->ask.body = g_byte_array_new();
+    return r;
 }
 
-void rebalancer_destroy(rebalancer_t *m)
+void rebalancer_destroy(rebalancer_t *r)
 {
-    end_moves(m);
-    g_byte_array_free(m->ask.body, TRUE);
-    g_free(m);
+    end_moves(r);
+    g_byte_array_free(r->ask.body, TRUE);
+    g_free(r);
 }
--- a/lib/roles/rebalancer.h
+++ b/lib/roles/rebalancer.h
@@ -43,15 +43,17 @@
 /** @param loop borrowed @param client borrowed, for calls to engines
  *  @param gate borrowed: which engines take orders, and what their answers say of that
  *  @param box names this box as the one that orders; copied
- *  @param turn ms after which orders of another leader can't arrive any more, beside the time of an order itself
+ *  @param order_delay_ms ms after which orders of another leader can't arrive any more, beside the time of an order
+ * itself
  *  @return never NULL */
-rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box, tc_time_t turn);
+rebalancer_t *rebalancer_create(loop_t *loop, web_client_t *client, call_gate_t *gate, const char *box,
+                                tc_time_t order_delay_ms);
 /** After loop_run returned; orders under way are dropped. */
 void rebalancer_destroy(rebalancer_t *rebalancer);
 
 /** Look, and begin the next step if there is one. Call every 50 to 250 ms, with tc_time_now: a box that finds on an
  *  engine's answer that it has not looked for longer does not order. */
-void rebalancer_tick(rebalancer_t *rebalancer, const rebalancer_input_t *view, tc_time_t now);
+void rebalancer_tick(rebalancer_t *rebalancer, const rebalancer_input_t *input, tc_time_t now);
 
 /** Engines that are changing their role, or are about to be asked to: they should get nothing new.
  *  @param list filled in with their ids, zeroed behind them @return how many, @p room at most */
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -46,9 +46,9 @@
 /* ===== Time ===== */
 
 enum { FREE_RATE_WINDOW_MS = 250 };
-static const double FREE_RATE_LEARN = 0.2;
+static const double FREE_RATE_WEIGHT = 0.2;
 
-static void learn_free_rate(sched_t *s, tc_time_t now)
+static void update_free_rate(sched_t *s, tc_time_t now)
 {
     const tc_time_t span = now - s->freed_at;
     if (span < FREE_RATE_WINDOW_MS)
@@ -56,7 +56,7 @@
     const double rate = (s->freed_pieces > 0 ? s->freed_pieces : 0) / (double)span;
     /* Before the first request finishes nothing is known: an idle cell must not look like a full one. */
     if (s->free_rate > 0 || rate > 0)
-        s->free_rate += FREE_RATE_LEARN * (rate - s->free_rate);
+        s->free_rate += FREE_RATE_WEIGHT * (rate - s->free_rate);
     s->freed_pieces = 0;
     s->freed_at = now;
 }
@@ -71,10 +71,10 @@
 }
 
 /** Time constant of the averages that planner and mover decide on. */
-static const double BUSY_MS = 2000;
+static const double LOAD_AVERAGE_MS = 2000;
 /** The same of prompts that are read, where they are compared with the memory that decode engines hold: that follows by
  *  as long as streams last, some seconds. */
-static const double SETTLE_MS = 6000;
+static const double LOAD_SLOW_AVERAGE_MS = 6000;
 
 /** Engines that can be used, and what they have to do, at one moment. */
 typedef struct {
@@ -82,11 +82,11 @@
     double working;  /* those of them that do */
     double decodes;  /* engines that decode */
     double taken;    /* of them, by memory or places, whichever is more: in engines */
-} use_t;
+} pool_use_t;
 
-static use_t count_use(const sched_t *s, tc_time_t now)
+static pool_use_t measure_pool_use(const sched_t *s, tc_time_t now)
 {
-    use_t use = {0};
+    pool_use_t use = {0};
     for (guint i = 0; i < s->engine_list->len; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (!engine_usable(e, now))
@@ -104,43 +104,44 @@
     return use;
 }
 
-static void learn_busy(sched_t *s, tc_time_t now)
+static void update_load_averages(sched_t *s, tc_time_t now)
 {
-    const double span = (double)(now - s->busy_at);
+    const double span = (double)(now - s->load_updated_at);
     if (span <= 0)
         return;
-    const use_t use = count_use(s, now);
-    const double weight = span < BUSY_MS ? span / BUSY_MS : 1;
-    s->busy_at = now;
+    const pool_use_t use = measure_pool_use(s, now);
+    const double weight = span < LOAD_AVERAGE_MS ? span / LOAD_AVERAGE_MS : 1;
+    s->load_updated_at = now;
     s->stats.decode_load += weight * (use.taken - s->stats.decode_load);
-    const double prompts = s->granted_ms / span;
+    const double prompts = s->granted_prefill_ms / span;
     s->stats.prefill_load += weight * (prompts - s->stats.prefill_load);
-    s->stats.prefill_load_slow += (span < SETTLE_MS ? span / SETTLE_MS : 1) * (prompts - s->stats.prefill_load_slow);
-    s->granted_ms = 0;
+    s->stats.prefill_load_slow +=
+        (span < LOAD_SLOW_AVERAGE_MS ? span / LOAD_SLOW_AVERAGE_MS : 1) * (prompts - s->stats.prefill_load_slow);
+    s->granted_prefill_ms = 0;
     if (use.prefills > 0)
         s->stats.prefill_busy += weight * (use.working / use.prefills - s->stats.prefill_busy);
     if (use.decodes > 0)
         s->stats.decode_busy += weight * (use.taken / use.decodes - s->stats.decode_busy);
 }
 
-/** Engines looked at for a ms of time: a tick of few of them counts all, of many some counts go by without. */
-enum { COUNTED_A_MS = 40 };
+/** Engines scanned at for a ms of time: a tick of few of them counts all, of many some counts go by without. */
+enum { ENGINES_COUNTED_PER_MS = 40 };
 
 void sched_tick(sched_t *s, tc_time_t now)
 {
-    const bool counts = now >= s->count_at;
-    learn_free_rate(s, now);
+    const bool counts = now >= s->next_count_at;
+    update_free_rate(s, now);
     if (counts)
-        learn_busy(s, now);
+        update_load_averages(s, now);
     if (now >= s->admit_from)
-        lapse(s, now);
+        expire_leases(s, now);
     refuse_overdue(s, now);
     dispatch(s, now);
-    ask_cancels(s, now);
+    send_cancels(s, now);
     if (!counts)
         return;
     sched_check(s);
-    s->count_at = now + s->engine_list->len / COUNTED_A_MS;
+    s->next_count_at = now + s->engine_list->len / ENGINES_COUNTED_PER_MS;
 }
 
 /* ===== Configuration ===== */
@@ -169,12 +170,12 @@
 static void configure_engine(sched_t *s, const engine_cfg_t *cfg)
 {
     model_t *const model = model_get(s, cfg->model);
-    model_begin_rate(model, cfg->prefill_rate / 1000.0 / s->share_count);
+    model_init_rate(model, cfg->prefill_rate / 1000.0 / s->share_count);
     engine_t *e = engine_find(s, cfg->name);
     if (!e) {
         e = g_new0(engine_t, 1);
         codec_copy_string(e->name, sizeof(e->name), cfg->name);
-        e->ring = ring_place(e->name);
+        e->ring_position = ring_place(e->name);
         e->rate = model->rate;
         e->grants_left = SCHED_NO_LIMIT;
         g_hash_table_insert(s->engines, e->name, e);
@@ -188,7 +189,7 @@
         e->leaving_self = true; /* until its state page shows that it has become what it is to be */
     }
     codec_copy_string(e->version, sizeof(e->version), cfg->version);
-    e->dc = dc_place(s, cfg->dc);
+    e->dc = dc_get_or_add(s, cfg->dc);
     e->model = model;
     e->role = cfg->role;
     e->pieces = cfg->pieces / s->share_count;
@@ -197,9 +198,9 @@
     e->leaving_config = false;
 }
 
-static gint compare_rings(gconstpointer a, gconstpointer b)
+static gint compare_ring_positions(gconstpointer a, gconstpointer b)
 {
-    const uint64_t one = (*(engine_t *const *)a)->ring, two = (*(engine_t *const *)b)->ring;
+    const uint64_t one = (*(engine_t *const *)a)->ring_position, two = (*(engine_t *const *)b)->ring_position;
     return one < two ? -1 : one > two;
 }
 
@@ -249,10 +250,10 @@
         if (strcmp(config->engines[i].cell, s->cell) == 0)
             configure_engine(s, &config->engines[i]);
     if (s->engine_list->len > before)
-        g_ptr_array_sort(s->by_ring, compare_rings);
+        g_ptr_array_sort(s->by_ring, compare_ring_positions);
     fill_pools(s);
     configure_links(s, config);
-    links_index(s);
+    links_rebuild_index(s);
     request_t *r;
     cds_list_for_each_entry(r, &s->queue, node)
         r->model = model_find(s, r->model_name);
@@ -281,7 +282,7 @@
     s->adopt_unknown = options->adopt_unknown;
     s->rebuild_from = now;
     s->admit_from = options->rebuild ? now + SCHED_REBUILD_MS : now;
-    s->doubt_until = now + DOUBT_MS;
+    s->reconcile_until = now + RECONCILE_MS;
     s->requests = g_hash_table_new(g_str_hash, g_str_equal);
     s->engines = g_hash_table_new(g_str_hash, g_str_equal);
     s->engine_list = g_ptr_array_new_with_free_func(g_free);
@@ -289,17 +290,17 @@
     s->links = g_ptr_array_new_with_free_func(g_free);
     s->dcs = g_ptr_array_new_with_free_func(g_free);
     s->models = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, model_free);
-    links_index(s);
+    links_rebuild_index(s);
     s->owners = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, owner_free);
     s->weights = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     CDS_INIT_LIST_HEAD(&s->queue);
     CDS_INIT_LIST_HEAD(&s->placed);
     CDS_INIT_LIST_HEAD(&s->finished);
     CDS_INIT_LIST_HEAD(&s->cancelling);
-    CDS_INIT_LIST_HEAD(&s->strangers);
+    CDS_INIT_LIST_HEAD(&s->orphans);
     CDS_INIT_LIST_HEAD(&s->actions);
     s->freed_at = now;
-    s->busy_at = now;
+    s->load_updated_at = now;
     /* Attempts of different epochs differ, whatever a box that held the lease before may still send. */
     s->next_attempt = (uint32_t)((options->epoch % 4000) * 1000000);
     s->targets.max_queue = 512;
@@ -326,8 +327,8 @@
     cancelling_t *c, *c_next;
     cds_list_for_each_entry_safe(c, c_next, &s->cancelling, node)
         g_free(c);
-    stranger_t *x, *x_next;
-    cds_list_for_each_entry_safe(x, x_next, &s->strangers, node)
+    orphan_t *x, *x_next;
+    cds_list_for_each_entry_safe(x, x_next, &s->orphans, node)
         g_free(x);
     g_hash_table_destroy(s->requests);
     g_hash_table_destroy(s->engines);
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -105,7 +105,7 @@
     uint64_t cache_predicted,
         cache_actual; /**< prompt tokens taken for cached at the grant, and cached as engines said */
     uint64_t granted, refused, resumed, replanned, lapsed, orphans, adopted;
-    uint64_t engines_scanned; /**< engines looked at to choose, or to judge how long a request would wait */
+    uint64_t engines_scanned; /**< engines scanned at to choose, or to judge how long a request would wait */
 } sched_stats_t;
 
 /** What the scheduler takes all engines that can be used for, at one moment. */
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -13,7 +13,7 @@
 static void clear_counts(const sched_t *s)
 {
     for (guint i = 0; i < s->engine_list->len; i++)
-        ((engine_t *)g_ptr_array_index(s->engine_list, i))->counted = (tally_t){0};
+        ((engine_t *)g_ptr_array_index(s->engine_list, i))->counted = (engine_counts_t){0};
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, s->owners);
@@ -39,12 +39,12 @@
             r->decode->counted.batch++;
             r->decode->counted.local_prefills += r->local_prefill;
             r->decode->counted.suspects += r->ends >= 1;
-            r->decode->counted.twice += r->ends >= 2;
+            r->decode->counted.suspects_twice += r->ends >= 2;
         }
         if (r->prefilling) {
             r->prefill->counted.prefills++;
-            r->prefill->counted.suspects += r->read_ends >= 1;
-            r->prefill->counted.twice += r->read_ends >= 2;
+            r->prefill->counted.suspects += r->prefill_ends >= 1;
+            r->prefill->counted.suspects_twice += r->prefill_ends >= 2;
         }
     }
     assert(n == s->n_placed); /* the count shown is the count kept */
@@ -76,7 +76,7 @@
         assert(e->counted.batch == e->batch);
         assert(e->counted.local_prefills == e->local_prefills && e->local_prefills <= 1);
         assert(e->counted.prefills == e->prefills);
-        assert(e->counted.suspects == e->suspects && e->counted.twice == e->twice);
+        assert(e->counted.suspects == e->suspects && e->counted.suspects_twice == e->suspects_twice);
     }
 }
 
--- a/lib/sched/sched_choose.c
+++ b/lib/sched/sched_choose.c
@@ -14,12 +14,12 @@
 static const double SUSPECT_COST_MS = 1000.0;
 /** Another data centre than the box's is farther for each event of the answer: as much as one request more in the
  * batch. */
-static const double FAR_BOX_COST_MS = 3.0;
+static const double REMOTE_DC_COST_MS = 3.0;
 /** Part of the time to the first token that estimates may fill; the rest covers their error. */
 static const double DUE_MARGIN = 0.85;
 /** Engines of each role that could be taken, after which a choice looks at no more: a placement costs the same however
  *  many engines there are. */
-enum { CANDIDATES_ENOUGH = 512 };
+enum { CANDIDATES_LIMIT = 512 };
 
 /* ===== Choice ===== */
 
@@ -32,34 +32,34 @@
 /** What it costs to run there, in ms of first token. */
 static double decode_cost(const engine_t *e, const request_t *r)
 {
-    const double apart = r->ends >= 1 ? SUSPECT_COST_MS * e->suspects : 0;
-    return BATCH_COST_MS * e->batch + apart;
+    const double suspect_cost = r->ends >= 1 ? SUSPECT_COST_MS * e->suspects : 0;
+    return BATCH_COST_MS * e->batch + suspect_cost;
 }
 
 /** A request under which two back ends have ended runs beside no other one under which one has: the third one that ends
  *  then has it alone, and nobody is taken for the cause who was only beside it. */
-static bool keeps_apart(const engine_t *e, const request_t *r)
+static bool may_share_engine(const engine_t *e, const request_t *r)
 {
     if (r->ends >= 2)
         return e->suspects == 0;
-    return r->ends == 0 || e->twice == 0;
+    return r->ends == 0 || e->suspects_twice == 0;
 }
 
 static bool decode_candidate(const sched_t *s, const engine_t *e, const request_t *r, tc_time_t now)
 {
-    return e->role == ROLE_DECODE && engine_grantable(e, now) && now >= e->stalled_until && keeps_apart(e, r) &&
+    return e->role == ROLE_DECODE && engine_grantable(e, now) && now >= e->stalled_until && may_share_engine(e, r) &&
            decode_fits(s, e, r, now);
 }
 
-static bool link_takes(const link_t *link, const request_t *r)
+static bool link_has_room(const link_t *link, const request_t *r)
 {
-    return !link || !link_is_long(link, r->prompt_tokens) || link->long_transfers < LONG_TRANSFERS_A_LINK;
+    return !link || !link_is_long(link, r->prompt_tokens) || link->long_transfers < LONG_TRANSFERS_PER_LINK;
 }
 
-static void offer_prefill(sched_t *s, engine_t *e, const request_t *r, choice_t *choice, tc_time_t now)
+static void consider_prefill(sched_t *s, engine_t *e, const request_t *r, choice_t *choice, tc_time_t now)
 {
     const double backlog = engine_backlog(e, now);
-    if (!engine_grantable(e, now) || backlog > DISPATCH_WINDOW_MS || !keeps_apart(e, r))
+    if (!engine_grantable(e, now) || backlog > DISPATCH_WINDOW_MS || !may_share_engine(e, r))
         return;
     choice->prefills++;
     const double alone = engine_prefill_ms(e, r);
@@ -71,7 +71,7 @@
     best->prefill_cost = backlog + alone;
 }
 
-static void offer_decode(sched_t *s, engine_t *e, const request_t *r, choice_t *choice, tc_time_t now)
+static void consider_decode(sched_t *s, engine_t *e, const request_t *r, choice_t *choice, tc_time_t now)
 {
     if (!decode_candidate(s, e, r, now))
         return;
@@ -91,7 +91,7 @@
     while (low < high) {
         const guint middle = (low + high) / 2;
         const engine_t *const e = g_ptr_array_index(pool->engines, middle);
-        if (e->ring < r->fingerprint)
+        if (e->ring_position < r->fingerprint)
             low = middle + 1;
         else
             high = middle;
@@ -100,52 +100,53 @@
 }
 
 /** Offer engines of one role; without a fingerprint from where the last choice ended, so that all come in turn. */
-static void look_at_pool(sched_t *s, role_t role, const request_t *r, choice_t *choice, tc_time_t now)
+static void scan_pool(sched_t *s, role_t role, const request_t *r, choice_t *choice, tc_time_t now)
 {
     const engine_t *const avoid = r->avoid[0] ? engine_find(s, r->avoid) : NULL;
     const uint32_t *const found = role == ROLE_DECODE ? &choice->decodes : &choice->prefills;
     pool_t *const pool = &r->model->pools[role];
     const guint n = pool->engines->len;
     const guint from = first_in_pool(pool, r);
-    guint looked = 0;
-    for (; looked < n && *found < CANDIDATES_ENOUGH; looked++) {
-        engine_t *const e = g_ptr_array_index(pool->engines, (from + looked) % n);
+    guint scanned = 0;
+    for (; scanned < n && *found < CANDIDATES_LIMIT; scanned++) {
+        engine_t *const e = g_ptr_array_index(pool->engines, (from + scanned) % n);
         if (e == avoid || owner_is_closed(r->owner, e, now))
             continue;
         if (role == ROLE_DECODE)
-            offer_decode(s, e, r, choice, now);
+            consider_decode(s, e, r, choice, now);
         else
-            offer_prefill(s, e, r, choice, now);
+            consider_prefill(s, e, r, choice, now);
     }
-    pool->from = n > 0 ? (from + looked) % n : 0;
-    s->stats.engines_scanned += looked;
+    pool->from = n > 0 ? (from + scanned) % n : 0;
+    s->stats.engines_scanned += scanned;
 }
 
 /** Find the best engines of each data centre, and count those that could be taken. */
-static void look_at_engines(sched_t *s, const request_t *r, bool keep_prefill, choice_t *choice, tc_time_t now)
+static void scan_engines(sched_t *s, const request_t *r, bool keep_prefill, choice_t *choice, tc_time_t now)
 {
     memset(s->best, 0, s->dcs->len * sizeof(*s->best));
-    look_at_pool(s, ROLE_DECODE, r, choice, now);
+    scan_pool(s, ROLE_DECODE, r, choice, now);
     if (!keep_prefill)
-        look_at_pool(s, ROLE_PREFILL, r, choice, now);
+        scan_pool(s, ROLE_PREFILL, r, choice, now);
 }
 
 /** What it costs that the answer comes from data centre @p dc. */
 static double box_cost(const request_t *r, uint32_t dc)
 {
-    return r->dc == DC_UNKNOWN || r->dc == dc ? 0 : FAR_BOX_COST_MS;
+    return r->dc == DC_UNKNOWN || r->dc == dc ? 0 : REMOTE_DC_COST_MS;
 }
 
 /** Weigh a prefill engine with the best decode engines of all data centres. */
-static void weigh(const sched_t *s, const request_t *r, engine_t *prefill, const dc_best_t *from, choice_t *choice)
+static void evaluate_decodes(const sched_t *s, const request_t *r, engine_t *prefill, const dc_best_t *from,
+                             choice_t *choice)
 {
     for (guint i = 0; i < s->dcs->len; i++) {
         engine_t *const decode = s->best[i].decode;
         link_t *const link = decode ? link_of(s, prefill->dc, i) : NULL;
-        if (!decode || !link_takes(link, r))
+        if (!decode || !link_has_room(link, r))
             continue;
         const double before_ms = from ? from->prefill_cost : 0;
-        const double total = before_ms + link_ms(s, link, r->prompt_tokens) + TPOT_MS;
+        const double total = before_ms + link_transfer_ms(s, link, r->prompt_tokens) + TPOT_MS;
         const double cost = total + decode_cost(decode, r) + box_cost(r, i);
         if (cost >= choice->cost)
             continue;
@@ -161,16 +162,16 @@
 choice_t choose_pair(sched_t *s, const request_t *r, bool keep_prefill, tc_time_t now)
 {
     choice_t choice = {.cost = INFINITY};
-    look_at_engines(s, r, keep_prefill, &choice, now);
+    scan_engines(s, r, keep_prefill, &choice, now);
     if (keep_prefill) {
         choice.reason = "no other decode engine has room";
-        weigh(s, r, r->prefill, NULL, &choice);
+        evaluate_decodes(s, r, r->prefill, NULL, &choice);
         return choice;
     }
     choice.reason = choice.prefills > 0 ? "no decode engine has room" : "no prefill engine is free";
     for (guint i = 0; i < s->dcs->len; i++)
         if (s->best[i].prefill)
-            weigh(s, r, s->best[i].prefill, &s->best[i], &choice);
+            evaluate_decodes(s, r, s->best[i].prefill, &s->best[i], &choice);
     return choice;
 }
 
@@ -182,11 +183,11 @@
 /** So many decode engines a prefill engine, or more: prompts wait for prefill engines while memory is free. Where the
  *  pools are in proportion, a burst runs out of both, and reading prompts on decode engines only slows their streams.
  */
-enum { SHORT_OF_PREFILL = 3 };
+enum { DECODES_PER_PREFILL_MIN = 3 };
 
 static bool is_short_of_prefill(uint32_t prefills, uint32_t decodes)
 {
-    return decodes >= SHORT_OF_PREFILL * prefills;
+    return decodes >= DECODES_PER_PREFILL_MIN * prefills;
 }
 
 choice_t choose_local_prefill(sched_t *s, const request_t *r, tc_time_t now)
@@ -222,7 +223,7 @@
 }
 
 /** What this pass has found out about a model: nothing yet, when it is the first request of that model. */
-static void begin_findings(const sched_t *s, model_t *model)
+static void reset_pass_findings(const sched_t *s, model_t *model)
 {
     if (model->pass == s->pass)
         return;
@@ -234,7 +235,7 @@
 
 /** Whether what one request does not get, no later one of its model and size gets either: it shuns no engine, none is
  *  closed to its box, no link keeps it from one, and it need not be kept apart from others. */
-static bool speaks_for_others(const request_t *r)
+static bool is_representative(const request_t *r)
 {
     return !r->avoid[0] && r->owner->closed_n == 0 && r->ends == 0 && r->prompt_tokens < LONG_TRANSFER_TOKENS;
 }
@@ -244,7 +245,7 @@
     if (model->no_prefill || r->pieces >= model->no_decode_from)
         return (choice_t){.reason = model->no_prefill ? "no prefill engine is free" : "no decode engine has room"};
     const choice_t choice = choose_pair(s, r, false, now);
-    if (choice.decode || !speaks_for_others(r))
+    if (choice.decode || !is_representative(r))
         return choice;
     model->no_prefill = choice.prefills == 0;
     if (choice.decodes == 0)
@@ -271,13 +272,13 @@
         return (choice_t){.reason = "no prefill engine is free"};
     if (runs_already(s, r))
         return (choice_t){.reason = "the same runs already, and a back end has ended under it"};
-    begin_findings(s, model);
+    reset_pass_findings(s, model);
     const choice_t pair = choose_pair_in_pass(s, r, model, now);
     if (pair.decode || s->local_prefill_after_ms == 0 || now - r->queued_at < s->local_prefill_after_ms ||
         r->pieces >= model->no_local_prefill_from)
         return pair;
     const choice_t local = choose_local_prefill(s, r, now);
-    if (!local.decode && speaks_for_others(r))
+    if (!local.decode && is_representative(r))
         model->no_local_prefill_from = r->pieces;
     return local;
 }
--- a/lib/sched/sched_engine.c
+++ b/lib/sched/sched_engine.c
@@ -45,16 +45,16 @@
 
 uint32_t engine_taken(const sched_t *s, const engine_t *e, tc_time_t now)
 {
-    const double age = (double)(now - e->unseen_at);
-    const double left = s->held_ms > 0 && age < s->held_ms ? 1 - age / s->held_ms : 0;
-    const uint32_t unseen = (uint32_t)(left * e->unseen);
-    return e->reserved + (unseen > e->foreign ? unseen : e->foreign);
+    const double age = (double)(now - e->hidden_at);
+    const double left = s->request_held_ms > 0 && age < s->request_held_ms ? 1 - age / s->request_held_ms : 0;
+    const uint32_t hidden = (uint32_t)(left * e->hidden_pieces);
+    return e->reserved + (hidden > e->unknown_pieces ? hidden : e->unknown_pieces);
 }
 
-void engine_is_full(engine_t *e, tc_time_t now)
+void engine_mark_full(engine_t *e, tc_time_t now)
 {
-    e->unseen = e->reserved <= e->pieces ? e->pieces - e->reserved + 1 : 0;
-    e->unseen_at = now;
+    e->hidden_pieces = e->reserved <= e->pieces ? e->pieces - e->reserved + 1 : 0;
+    e->hidden_at = now;
 }
 
 double engine_backlog(const engine_t *e, tc_time_t now)
@@ -79,7 +79,7 @@
     return found;
 }
 
-void engine_remember(engine_t *e, const uint64_t *chain, uint32_t n, tc_time_t now)
+void engine_cache_add(engine_t *e, const uint64_t *chain, uint32_t n, tc_time_t now)
 {
     for (uint32_t k = 0; k < n && k < CACHE_SLOTS; k++) {
         cache_slot_t *slot = &e->cache[0];
@@ -105,55 +105,55 @@
 /* ===== How fast engines read prompts ===== */
 
 enum {
-    ENGINE_KEPT_MS = 2000, /* of reading, over which an engine's pace is taken */
-    MODEL_KEPT_MS = 20000, /* the same of all engines of a model together */
+    ENGINE_RATE_WINDOW_MS = 2000, /* of reading, over which an engine's pace is taken */
+    MODEL_RATE_WINDOW_MS = 20000, /* the same of all engines of a model together */
     ENGINE_PRIOR_MS =
         300,              /* of reading at the model's pace that an engine's own pace begins with: some three prompts */
     MODEL_PRIOR_MS = 1000 /* the same of a model, at the pace of its settings */
 };
 
-static void pace_add(pace_sum_t *sum, double tokens, double ms, double kept_ms)
+static void rate_sum_add(rate_sum_t *sum, double tokens, double ms, double window_ms)
 {
     sum->tokens += tokens;
     sum->ms += ms;
-    if (sum->ms <= kept_ms)
+    if (sum->ms <= window_ms)
         return;
-    sum->tokens *= kept_ms / sum->ms;
-    sum->ms = kept_ms;
+    sum->tokens *= window_ms / sum->ms;
+    sum->ms = window_ms;
 }
 
 /** What the sum says, the more so the longer it is, and before that a first guess. */
-static double pace_of(const pace_sum_t *sum, double guess, double prior_ms)
+static double rate_sum_estimate(const rate_sum_t *sum, double guess, double prior_ms)
 {
     return (sum->tokens + guess * prior_ms) / (sum->ms + prior_ms);
 }
 
-void model_begin_rate(model_t *m, double guess)
+void model_init_rate(model_t *m, double guess)
 {
     if (m->rate > 0)
         return;
     m->rate = guess;
-    m->read = (pace_sum_t){.tokens = guess * MODEL_PRIOR_MS, .ms = MODEL_PRIOR_MS};
+    m->rate_sum = (rate_sum_t){.tokens = guess * MODEL_PRIOR_MS, .ms = MODEL_PRIOR_MS};
 }
 
 /** A prompt that had others before it took the time since the last of them was done: that counts while an engine has
  *  work all the time. Learnt from idle moments alone, an engine that came in the middle of a burst was taken to be as
  *  fast as the settings say: of 7 that came at two thirds of that pace each had a second of work before it after 4 s,
  *  while others were idle. */
-void engine_learn_rate(engine_t *e, const msg_progress_t *progress, tc_time_t now)
+void engine_update_rate(engine_t *e, const msg_progress_t *progress, tc_time_t now)
 {
     const double alone_ms = (double)progress->took_ms - PREFILL_BASE_MS;
-    const double since_ms = e->read_at > 0 ? (double)(now - e->read_at) : INFINITY;
-    e->read_at = now;
+    const double since_ms = e->last_prefill_at > 0 ? (double)(now - e->last_prefill_at) : INFINITY;
+    e->last_prefill_at = now;
     const bool queued = since_ms < alone_ms;
     /* Of a prompt that was alone, so short a one says nothing: the fixed part drowns it. */
     if (!queued && (progress->computed_tokens < SCHED_PIECE_TOKENS / 2 || alone_ms < 1))
         return;
     const double ms = queued ? since_ms : alone_ms;
-    pace_add(&e->read, progress->computed_tokens, ms, ENGINE_KEPT_MS);
-    pace_add(&e->model->read, progress->computed_tokens, ms, MODEL_KEPT_MS);
-    e->model->rate = e->model->read.tokens / e->model->read.ms;
-    e->rate = pace_of(&e->read, e->model->rate, ENGINE_PRIOR_MS);
+    rate_sum_add(&e->rate_sum, progress->computed_tokens, ms, ENGINE_RATE_WINDOW_MS);
+    rate_sum_add(&e->model->rate_sum, progress->computed_tokens, ms, MODEL_RATE_WINDOW_MS);
+    e->model->rate = e->model->rate_sum.tokens / e->model->rate_sum.ms;
+    e->rate = rate_sum_estimate(&e->rate_sum, e->model->rate, ENGINE_PRIOR_MS);
 }
 
 /* ===== Models ===== */
@@ -173,7 +173,7 @@
     return DC_UNKNOWN;
 }
 
-uint32_t dc_place(sched_t *s, const char *name)
+uint32_t dc_get_or_add(sched_t *s, const char *name)
 {
     const uint32_t known = dc_find(s, name);
     if (known != DC_UNKNOWN)
@@ -182,7 +182,7 @@
     return s->dcs->len - 1;
 }
 
-void links_index(sched_t *s)
+void links_rebuild_index(sched_t *s)
 {
     const guint n = s->dcs->len;
     g_free(s->best);
@@ -196,7 +196,7 @@
 
 link_t *link_of(const sched_t *s, uint32_t a, uint32_t b)
 {
-    assert(a < s->dcs->len && b < s->dcs->len); /* places that dc_place gave */
+    assert(a < s->dcs->len && b < s->dcs->len); /* places that dc_get_or_add gave */
     return s->link_of[a * s->dcs->len + b];
 }
 
@@ -216,7 +216,7 @@
     return tokens >= LONG_TRANSFER_TOKENS && tokens / link->rate >= LONG_TRANSFER_MS;
 }
 
-double link_ms(const sched_t *s, const link_t *link, double tokens)
+double link_transfer_ms(const sched_t *s, const link_t *link, double tokens)
 {
     if (!link)
         return tokens * 1000.0 / FALLBACK_LINK_RATE;
--- a/lib/sched/sched_lease.c
+++ b/lib/sched/sched_lease.c
@@ -31,13 +31,13 @@
     r->prefill = engine_find(s, held->prefill);
     decode->reserved += r->pieces;
     count_decode(r);
-    to_placed(s, r);
+    placed_add(s, r);
     s->stats.adopted++;
 }
 
 /** Whether a request that nobody here knows may be another's: else its lease has lapsed, and its engines were told to
  *  let go of it. */
-static bool is_news(const sched_t *s, tc_time_t now)
+static bool may_adopt(const sched_t *s, tc_time_t now)
 {
     return s->adopt_unknown || (s->rebuilding && now < s->admit_from + SCHED_LEASE_MS);
 }
@@ -59,10 +59,10 @@
         request_t *r = g_hash_table_lookup(s->requests, held->id);
         if (r && s->adopt_unknown && has_moved(r, owner, held)) {
             withdraw(s, r, false, now);
-            request_forget(s, r);
+            request_free(s, r);
             r = NULL;
         }
-        if (!r && held->attempt > 0 && is_news(s, now)) {
+        if (!r && held->attempt > 0 && may_adopt(s, now)) {
             adopt(s, renew, held, now);
             continue;
         }
@@ -92,7 +92,7 @@
 }
 
 /** A box has renewed; when all that are live have, there is nothing more to wait for. */
-static void note_report(sched_t *s, owner_t *owner, tc_time_t now)
+static void record_report(sched_t *s, owner_t *owner, tc_time_t now)
 {
     if (owner->reported)
         return;
@@ -118,8 +118,8 @@
     else if (same)
         owner->lease_until = now + SCHED_LEASE_MS;
     if (!*want_list)
-        note_report(s, owner, now);
-    owner->heard = now;
+        record_report(s, owner, now);
+    owner->renewed_at = now;
     return n_lost;
 }
 
@@ -153,31 +153,31 @@
     r->waiting = false;
     queue_remove(s, r);
     CDS_INIT_LIST_HEAD(&r->node);
-    request_forget(s, r);
+    request_free(s, r);
     return true;
 }
 
-void lapse(sched_t *s, tc_time_t now)
+void expire_leases(sched_t *s, tc_time_t now)
 {
     request_t *r, *next;
     cds_list_for_each_entry_safe(r, next, &s->placed, node) {
         if (now < r->lease_until || now < r->owner->lease_until)
             continue;
         if (r->waiting) {
-            refuse_token(s, r->id, r->token, "lease lapsed", 0);
+            refuse_call(s, r->id, r->token, "lease lapsed", 0);
             r->waiting = false;
         }
         withdraw(s, r, true, now);
-        request_forget(s, r);
+        request_free(s, r);
         s->stats.lapsed++;
     }
     cds_list_for_each_entry_safe(r, next, &s->queue, node) {
-        if (now >= r->lease_until && now >= r->owner->heard + SCHED_LEASE_MS)
+        if (now >= r->lease_until && now >= r->owner->renewed_at + SCHED_LEASE_MS)
             refuse_queued(s, r, "its entry box is gone", 0);
     }
     cds_list_for_each_entry_safe(r, next, &s->finished, node) {
         if (now - r->phase_at < SCHED_FINISHED_MS)
             break; /* the list is in order of time */
-        request_forget(s, r);
+        request_free(s, r);
     }
 }
--- a/lib/sched/sched_place.c
+++ b/lib/sched/sched_place.c
@@ -16,18 +16,18 @@
     /* Promise: a box is sent to no engine that wants no calls of it. */
     assert(!owner_is_closed(r->owner, choice->decode, now));
     assert(replan || !choice->prefill || !owner_is_closed(r->owner, choice->prefill, now));
-    s->granted_ms += choice->prefill ? choice->prefill_ms : 0;
+    s->granted_prefill_ms += choice->prefill ? choice->prefill_ms : 0;
     reserve(s, r, choice, now);
     if (replan)
         r->state = REQ_PLACED;
     else
-        to_placed(s, r);
+        placed_add(s, r);
     r->phase = replan ? PHASE_TRANSFER : PHASE_PREFILL;
     r->phase_at = now;
     r->granted_at = replan ? r->granted_at : now;
     r->lease_until = now + SCHED_LEASE_MS;
     r->avoid[0] = '\0';
-    msg_placed_t *const placed = answer(s, r);
+    msg_placed_t *const placed = answer_call(s, r);
     placed->granted = true;
     codec_copy_string(placed->prefill, sizeof(placed->prefill), r->prefill ? r->prefill->name : "");
     codec_copy_string(placed->decode, sizeof(placed->decode), r->decode->name);
@@ -69,7 +69,7 @@
 }
 
 /** Prompt tokens a workspace has waiting, by its weight. */
-static double waiting_share(const sched_t *s, const char *workspace)
+static double queued_tokens_per_weight(const sched_t *s, const char *workspace)
 {
     double tokens = 0;
     const request_t *q;
@@ -88,7 +88,7 @@
     cds_list_for_each_entry_reverse(q, &s->queue, node) {
         if (q == r || q->priority < r->priority || strcmp(q->workspace, r->workspace) == 0)
             continue;
-        const double share = waiting_share(s, q->workspace);
+        const double share = queued_tokens_per_weight(s, q->workspace);
         if (share <= most)
             continue;
         most = share;
@@ -106,7 +106,7 @@
             mechanism_is_on(MECHANISM_EARLY_REFUSAL) && now >= s->admit_from && (double)now + wait > (double)r->due;
         if (!late && s->n_queue <= s->targets.max_queue)
             return;
-        request_t *const victim = shed_victim(s, r, waiting_share(s, r->workspace));
+        request_t *const victim = shed_victim(s, r, queued_tokens_per_weight(s, r->workspace));
         if (victim && !isinf(wait)) {
             refuse_queued(s, victim, "shed: its workspace waits with most", wait);
             continue;
@@ -117,13 +117,13 @@
 }
 
 /** The same id again: hand over a running answer, or begin anew with what has not begun to answer. */
-static bool take_over(sched_t *s, request_t *old, const msg_place_t *place, sched_token_t token, tc_time_t now)
+static bool resume_or_replace(sched_t *s, request_t *old, const msg_place_t *place, sched_token_t token, tc_time_t now)
 {
     if (old->state == REQ_FINISHED) {
         const engine_t *const engine = engine_find(s, old->avoid);
         const bool known = engine && engine->configured && strcmp(place->avoid, old->avoid) != 0;
         if (!known) {
-            request_forget(s, old);
+            request_free(s, old);
             return false;
         }
         sched_action_t *const action = add_action(s, SCHED_ACT_ANSWER);
@@ -137,7 +137,7 @@
         return true;
     }
     if (old->waiting) {
-        refuse_token(s, old->id, old->token, "superseded by the same request elsewhere", 0);
+        refuse_call(s, old->id, old->token, "superseded by the same request elsewhere", 0);
         old->waiting = false;
     }
     if (old->state == REQ_PLACED && old->phase == PHASE_DECODE && strcmp(place->avoid, old->decode->name) != 0) {
@@ -145,7 +145,7 @@
         old->lease_until = now + SCHED_LEASE_MS;
         old->token = token;
         old->waiting = true;
-        msg_placed_t *const placed = answer(s, old);
+        msg_placed_t *const placed = answer_call(s, old);
         placed->granted = true;
         placed->resume = true;
         codec_copy_string(placed->decode, sizeof(placed->decode), old->decode->name);
@@ -160,21 +160,21 @@
     } else {
         withdraw(s, old, true, now);
     }
-    request_forget(s, old);
+    request_free(s, old);
     return false;
 }
 
 /** Whether the box of a request that waits asks on, since it has had no answer for a while: nothing has changed. */
-static bool asks_on(const request_t *old, const msg_place_t *place)
+static bool is_repeated_call(const request_t *old, const msg_place_t *place)
 {
     return old->state == REQ_QUEUED && strcmp(old->owner->name, place->box) == 0 &&
            strcmp(old->avoid, place->avoid) == 0;
 }
 
 /** The request keeps its place, and is not judged again: in a burst hundreds wait, and each asks on every 220 ms. */
-static void keep_place(sched_t *s, request_t *r, sched_token_t token, tc_time_t now)
+static void keep_queued(sched_t *s, request_t *r, sched_token_t token, tc_time_t now)
 {
-    refuse_token(s, r->id, r->token, "asked on", 0)->repeated = true;
+    refuse_call(s, r->id, r->token, "asked on", 0)->repeated = true;
     r->token = token;
     r->lease_until = now + SCHED_LEASE_MS;
 }
@@ -189,14 +189,14 @@
 {
     request_t *const old = g_hash_table_lookup(s->requests, place->id);
     if (old && old->content != place->content) { /* promise: nobody gets the answer to somebody else's request */
-        refuse_token(s, place->id, token, "the id belongs to another request", 0);
+        refuse_call(s, place->id, token, "the id belongs to another request", 0);
         return;
     }
-    if (old && asks_on(old, place)) {
-        keep_place(s, old, token, now);
+    if (old && is_repeated_call(old, place)) {
+        keep_queued(s, old, token, now);
         return;
     }
-    if (old && take_over(s, old, place, token, now))
+    if (old && resume_or_replace(s, old, place, token, now))
         return;
     request_t *const r = request_create(s, place->id);
     set_owner(s, r, place->box, 0);
@@ -228,11 +228,11 @@
     }
     if (is_queued(s, place->id) && now >= s->admit_from && !mechanism_is_on(MECHANISM_QUEUE))
         refuse_queued(s, r, "no room at once", 0);
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
 
 /** What a refusal tells of its engine. Call while the request is still counted there. */
-static void note_trouble(sched_t *s, const msg_replan_t *replan, tc_time_t now)
+static void record_refusal(sched_t *s, const msg_replan_t *replan, tc_time_t now)
 {
     engine_t *const bad = engine_find(s, replan->bad);
     if (!bad)
@@ -240,10 +240,10 @@
     switch (replan->trouble) {
     case TROUBLE_FULL:
         if (mechanism_is_on(MECHANISM_CORRECTION))
-            engine_is_full(bad, now);
+            engine_mark_full(bad, now);
         else
             bad->stalled_until = now + STALL_AVOID_MS;
-        s->doubt_until = now + DOUBT_MS;
+        s->reconcile_until = now + RECONCILE_MS;
         break;
     case TROUBLE_OUTDATED: bad->outdated_until = now + OUTDATED_AVOID_MS; break;
     case TROUBLE_STALLED:
@@ -256,10 +256,10 @@
     request_t *const r = g_hash_table_lookup(s->requests, replan->id);
     const bool current = r && r->state == REQ_PLACED && r->attempt == replan->attempt && r->prefill && !r->waiting;
     if (!current) {
-        refuse_token(s, replan->id, token, "no such attempt", 0);
+        refuse_call(s, replan->id, token, "no such attempt", 0);
         return;
     }
-    note_trouble(s, replan, now);
+    record_refusal(s, replan, now);
     cancel_decode(s, r, now);
     r->ends = MAX(r->ends, replan->ends); /* counted nowhere now */
     codec_copy_string(r->avoid, sizeof(r->avoid), replan->bad);
@@ -277,11 +277,11 @@
     } else {
         /* Nowhere to go: the attempt ends here, and what the prefill engine keeps for it may go too. */
         r->waiting = false;
-        refuse_token(s, r->id, token, choice.reason, 0);
+        refuse_call(s, r->id, token, choice.reason, 0);
         withdraw(s, r, true, now);
-        request_forget(s, r);
+        request_free(s, r);
     }
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
 
 /* ===== Progress ===== */
@@ -292,13 +292,13 @@
     if (!e)
         return;
     e->suspect_until = now + ((tc_time_t)SUSPECT_MS << e->failures);
-    if (e->failures < SUSPECT_DOUBLINGS)
+    if (e->failures < SUSPECT_DOUBLINGS_MAX)
         e->failures++;
 }
 
 /** Whether its box gave the request up before the grant reached it: the grant would hold its engines until its lease
  *  ran out. */
-static bool was_given_up(const request_t *r, const msg_progress_t *p)
+static bool was_abandoned(const request_t *r, const msg_progress_t *p)
 {
     return p->phase == PHASE_FAILED && p->attempt == 0 && p->box[0] && strcmp(r->owner->name, p->box) == 0;
 }
@@ -312,14 +312,14 @@
         refuse_queued(s, r, "the caller is gone", 0);
         return;
     }
-    if (!r || r->state != REQ_PLACED || (r->attempt != p->attempt && !was_given_up(r, p)))
+    if (!r || r->state != REQ_PLACED || (r->attempt != p->attempt && !was_abandoned(r, p)))
         return; /* late news of an attempt that is over */
     r->lease_until = now + SCHED_LEASE_MS;
     switch (p->phase) {
     case PHASE_TRANSFER:
         if (r->prefilling) {
             r->prefill->failures = 0;
-            engine_learn_rate(r->prefill, p, now);
+            engine_update_rate(r->prefill, p, now);
             s->stats.cache_predicted += r->predicted_cached;
             s->stats.cache_actual += p->cached_tokens;
             end_prefill_work(r, now);
@@ -334,13 +334,13 @@
         if (r->decode)
             r->decode->failures = 0;
         break;
-    case PHASE_FINISHED: finish(s, r, now); break;
+    case PHASE_FINISHED: finish_request(s, r, now); break;
     case PHASE_FAILED:
         withdraw(s, r, p->held, now);
-        request_forget(s, r);
+        request_free(s, r);
         break;
     default: break;
     }
     dispatch(s, now);
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
--- a/lib/sched/sched_reconcile.c
+++ b/lib/sched/sched_reconcile.c
@@ -15,21 +15,21 @@
     cancelling_t *c, *next;
     cds_list_for_each_entry_safe(c, next, &s->cancelling, node)
         if (c->engine == e)
-            drop_cancelling(s, c);
+            remove_cancelling(s, c);
     memset(e->cache, 0, sizeof(e->cache));
     e->suspect_until = 0;
 }
 
-static stranger_t *stranger_find(const sched_t *s, const engine_t *e, const char *engine_id)
+static orphan_t *orphan_find(const sched_t *s, const engine_t *e, const char *engine_id)
 {
-    stranger_t *x;
-    cds_list_for_each_entry(x, &s->strangers, node)
+    orphan_t *x;
+    cds_list_for_each_entry(x, &s->orphans, node)
         if (x->engine == e && strcmp(x->engine_id, engine_id) == 0)
             return x;
     return NULL;
 }
 
-static bool accounted_for(const sched_t *s, const engine_t *e, const char *engine_id)
+static bool is_accounted(const sched_t *s, const engine_t *e, const char *engine_id)
 {
     const cancelling_t *c;
     cds_list_for_each_entry(c, &s->cancelling, node)
@@ -48,19 +48,19 @@
 /** Look for ids on the engine that no live caller stands behind, and have them cancelled after a grace. */
 static void reconcile(sched_t *s, engine_t *e, const sched_engine_request_t *held, uint32_t n, tc_time_t now)
 {
-    stranger_t *x, *next;
-    cds_list_for_each_entry(x, &s->strangers, node)
+    orphan_t *x, *next;
+    cds_list_for_each_entry(x, &s->orphans, node)
         x->seen_now = false;
     for (uint32_t i = 0; i < n; i++) {
-        if (accounted_for(s, e, held[i].engine_id))
+        if (is_accounted(s, e, held[i].engine_id))
             continue;
-        x = stranger_find(s, e, held[i].engine_id);
+        x = orphan_find(s, e, held[i].engine_id);
         if (!x) {
-            x = g_new0(stranger_t, 1);
+            x = g_new0(orphan_t, 1);
             x->engine = e;
             codec_copy_string(x->engine_id, sizeof(x->engine_id), held[i].engine_id);
             x->first_seen = now;
-            cds_list_add_tail(&x->node, &s->strangers);
+            cds_list_add_tail(&x->node, &s->orphans);
         }
         x->seen_now = true;
         x->pieces = e->role == ROLE_DECODE ? held[i].pieces : 0;
@@ -70,12 +70,12 @@
         add_cancelling(s, e, held[i].engine_id, e->role == ROLE_DECODE ? held[i].pieces : 0, now);
         s->stats.orphans++;
     }
-    e->foreign = 0;
-    cds_list_for_each_entry_safe(x, next, &s->strangers, node) {
+    e->unknown_pieces = 0;
+    cds_list_for_each_entry_safe(x, next, &s->orphans, node) {
         if (x->engine != e)
             continue;
         if (x->seen_now) {
-            e->foreign += x->pieces;
+            e->unknown_pieces += x->pieces;
             continue;
         }
         cds_list_del(&x->node);
@@ -101,13 +101,13 @@
 
 bool sched_needs_reconcile(const sched_t *s, tc_time_t now)
 {
-    if (now < s->doubt_until)
+    if (now < s->reconcile_until)
         return true;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, s->owners);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const tc_time_t silent = now - ((const owner_t *)value)->heard;
+        const tc_time_t silent = now - ((const owner_t *)value)->renewed_at;
         if (silent > BOX_SILENT_MS && silent < BOX_GONE_MS)
             return true;
     }
@@ -120,15 +120,15 @@
     engine_t *const e = engine_find(s, name);
     if (!e)
         return;
-    e->foreign = 0;
+    e->unknown_pieces = 0;
     for (uint32_t i = 0; i < n; i++)
         if (!is_counted(s, e, held[i].engine_id))
-            e->foreign += held[i].pieces;
+            e->unknown_pieces += held[i].pieces;
     dispatch(s, now);
 }
 
 /** The engine is there: what was held against it is past, unless it was asked before that came up. */
-static void note_seen(sched_t *s, engine_t *e, uint64_t incarnation, bool leaving, tc_time_t asked, tc_time_t now)
+static void engine_mark_up(sched_t *s, engine_t *e, uint64_t incarnation, bool leaving, tc_time_t asked, tc_time_t now)
 {
     if (e->incarnation != 0 && e->incarnation != incarnation)
         engine_restarted(s, e, now);
@@ -147,12 +147,12 @@
     engine_t *const e = engine_find(s, name);
     if (!e)
         return;
-    note_seen(s, e, incarnation, leaving, asked, now);
+    engine_mark_up(s, e, incarnation, leaving, asked, now);
     if (!s->adopt_unknown) /* else sched_set_engine_requests tells */
         reconcile(s, e, held, n_held, now);
     end_rebuild_early(s, now);
     dispatch(s, now);
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
 
 void sched_on_engine_list(sched_t *s, tc_time_t now)
@@ -162,19 +162,19 @@
         engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (!e->configured)
             continue;
-        note_seen(s, e, LISTED, false, now, now);
+        engine_mark_up(s, e, LISTED, false, now, now);
         if (!s->adopt_unknown)
             reconcile(s, e, NULL, 0, now);
     }
     end_rebuild_early(s, now);
     dispatch(s, now);
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
 
 void sched_on_engine_timeout(sched_t *s, const char *name, tc_time_t now)
 {
     engine_t *const e = engine_find(s, name);
-    if (e && ++e->misses >= MISSES_DOWN)
+    if (e && ++e->misses >= DOWN_AFTER_MISSES)
         e->down = true;
 }
 
@@ -192,7 +192,7 @@
         if (strcmp(c->engine->name, engine) != 0 || strcmp(c->engine_id, engine_id) != 0)
             continue;
         if (confirmed) {
-            drop_cancelling(s, c);
+            remove_cancelling(s, c);
         } else {
             c->asked = false;
             c->next_try = now + CANCEL_RETRY_MS;
@@ -200,5 +200,5 @@
         break;
     }
     dispatch(s, now);
-    ask_cancels(s, now);
+    send_cancels(s, now);
 }
--- a/lib/sched/sched_request.c
+++ b/lib/sched/sched_request.c
@@ -7,7 +7,7 @@
 
 #include "sched/sched_internal.h"
 
-msg_placed_t *answer(sched_t *s, request_t *r)
+msg_placed_t *answer_call(sched_t *s, request_t *r)
 {
     assert(r->waiting); /* every waiting call is answered exactly once */
     r->waiting = false;
@@ -18,7 +18,7 @@
     return &action->u.answer.placed;
 }
 
-sched_answer_t *refuse_token(sched_t *s, const char *id, sched_token_t token, const char *reason, double retry_ms)
+sched_answer_t *refuse_call(sched_t *s, const char *id, sched_token_t token, const char *reason, double retry_ms)
 {
     sched_action_t *const action = add_action(s, SCHED_ACT_ANSWER);
     action->u.answer.token = token;
@@ -41,7 +41,7 @@
     return r;
 }
 
-void request_forget(sched_t *s, request_t *r)
+void request_free(sched_t *s, request_t *r)
 {
     assert(!r->decode && !r->link && !r->prefilling && !r->waiting); /* nothing may be left behind */
     g_hash_table_remove(s->requests, r->id);
@@ -96,12 +96,12 @@
     if (!owner)
         return;
     g_free(owner->closed);
-    owner->closed = n > 0 ? g_new0(closed_t, n) : NULL;
+    owner->closed = n > 0 ? g_new0(closed_engine_t, n) : NULL;
     owner->closed_n = 0;
     for (uint32_t i = 0; i < n; i++) {
         const engine_t *const e = list[i].closed_ms > 0 ? engine_find(s, list[i].backend) : NULL;
         if (e)
-            owner->closed[owner->closed_n++] = (closed_t){e, now + (tc_time_t)list[i].closed_ms};
+            owner->closed[owner->closed_n++] = (closed_engine_t){e, now + (tc_time_t)list[i].closed_ms};
     }
 }
 
@@ -141,7 +141,7 @@
 
 /* ===== Lists ===== */
 
-void to_placed(sched_t *s, request_t *r)
+void placed_add(sched_t *s, request_t *r)
 {
     cds_list_add_tail(&r->node, &s->placed);
     r->state = REQ_PLACED;
@@ -149,7 +149,7 @@
     s->n_placed++;
 }
 
-static void leave_placed(sched_t *s, request_t *r)
+static void placed_remove(sched_t *s, request_t *r)
 {
     cds_list_del(&r->node);
     assert(s->n_placed > 0); /* it was counted when it was placed */
@@ -160,23 +160,24 @@
 void refuse_queued(sched_t *s, request_t *r, const char *reason, double retry_ms)
 {
     queue_remove(s, r);
-    refuse_token(s, r->id, r->token, reason, retry_ms);
+    refuse_call(s, r->id, r->token, reason, retry_ms);
     r->waiting = false;
     CDS_INIT_LIST_HEAD(&r->node);
-    request_forget(s, r);
+    request_free(s, r);
 }
 
 /** Weight of one request in the average of how long they are held. */
-static const double HELD_LEARN = 0.05;
+static const double HELD_WEIGHT = 0.05;
 
 /** The request ended by itself: its engines hold nothing more. */
-void finish(sched_t *s, request_t *r, tc_time_t now)
+void finish_request(sched_t *s, request_t *r, tc_time_t now)
 {
-    leave_placed(s, r);
+    placed_remove(s, r);
     /* Its engine keeps a finished stream for a while: remember where. */
     engine_t *const decode = r->decode;
     if (r->granted_at > 0)
-        s->held_ms += (s->held_ms > 0 ? HELD_LEARN : 1) * ((double)(now - r->granted_at) - s->held_ms);
+        s->request_held_ms +=
+            (s->request_held_ms > 0 ? HELD_WEIGHT : 1) * ((double)(now - r->granted_at) - s->request_held_ms);
     end_prefill_work(r, now);
     release_decode(s, r, now);
     r->state = REQ_FINISHED;
@@ -190,7 +191,7 @@
 /** Take a placed request off its engines; they are told to cancel. */
 void withdraw(sched_t *s, request_t *r, bool engines_may_hold, tc_time_t now)
 {
-    leave_placed(s, r);
+    placed_remove(s, r);
     if (engines_may_hold) {
         cancel_decode(s, r, now);
         cancel_prefill(s, r, now);
--- a/lib/sched/sched_reserve.c
+++ b/lib/sched/sched_reserve.c
@@ -7,7 +7,7 @@
 
 /* ===== Taking ===== */
 
-static void take_link(request_t *r, link_t *link)
+static void reserve_link(request_t *r, link_t *link)
 {
     r->link = link;
     r->link_tokens = r->prompt_tokens;
@@ -22,14 +22,14 @@
 static void count_suspect(engine_t *e, uint32_t ends)
 {
     e->suspects += ends >= 1;
-    e->twice += ends >= 2;
+    e->suspects_twice += ends >= 2;
 }
 
 static void uncount_suspect(engine_t *e, uint32_t ends)
 {
-    assert(e->suspects >= (ends >= 1) && e->twice >= (ends >= 2)); /* as counted */
+    assert(e->suspects >= (ends >= 1) && e->suspects_twice >= (ends >= 2)); /* as counted */
     e->suspects -= ends >= 1;
-    e->twice -= ends >= 2;
+    e->suspects_twice -= ends >= 2;
 }
 
 void count_decode(request_t *r)
@@ -54,7 +54,7 @@
     d->reserved += r->pieces;
     r->decode = d;
     count_decode(r);
-    take_link(r, choice->link);
+    reserve_link(r, choice->link);
     engine_t *const p = choice->prefill;
     if (!p) {                                          /* the decode engine reads the prompt itself */
         assert(!r->prefill && d->local_prefills == 0); /* one at a time, and only where no prefill engine has begun */
@@ -74,10 +74,10 @@
     p->prefills++;
     r->prefill = p;
     r->prefilling = true;
-    r->read_ends = r->ends;
-    count_suspect(p, r->read_ends);
+    r->prefill_ends = r->ends;
+    count_suspect(p, r->prefill_ends);
     r->predicted_cached = engine_cached_pieces(p, r->chain, r->n_chain) * s->piece_tokens;
-    engine_remember(p, r->chain, r->n_chain, now);
+    engine_cache_add(p, r->chain, r->n_chain, now);
 }
 
 /* ===== Giving back ===== */
@@ -90,7 +90,7 @@
     engine_t *const p = r->prefill;
     r->prefilling = false;
     p->prefills--;
-    uncount_suspect(p, r->read_ends);
+    uncount_suspect(p, r->prefill_ends);
     p->pending_ms = p->prefills > 0 ? MAX(p->pending_ms - r->pending_ms, 0) : 0;
     p->backlog_ms = p->pending_ms; /* what is left begins now, whatever was expected */
     p->backlog_at = now;
@@ -173,7 +173,7 @@
     r->prefill = NULL;
 }
 
-void drop_cancelling(sched_t *s, cancelling_t *c)
+void remove_cancelling(sched_t *s, cancelling_t *c)
 {
     free_pieces(c->engine, c->pieces);
     s->freed_pieces += c->pieces;
@@ -182,7 +182,7 @@
     s->n_cancelling--;
 }
 
-void ask_cancels(sched_t *s, tc_time_t now)
+void send_cancels(sched_t *s, tc_time_t now)
 {
     cancelling_t *c;
     cds_list_for_each_entry(c, &s->cancelling, node) {
--- a/tests/harness/sched_sim.c
+++ b/tests/harness/sched_sim.c
@@ -48,31 +48,31 @@
     fake_engine_t engines[ENGINES];
     bool entry_dead[ENTRIES];
     tc_time_t frozen_until[ENTRIES];
-    tc_time_t closed_until[ENTRIES][ENGINES]; /* the engine wants no calls of the entry box, */
-    tc_time_t told_until[ENTRIES][ENGINES];   /* as that has told this scheduler */
-    tc_time_t suspended_until;                /* the scheduler's lease ran out: it hears and does nothing */
+    tc_time_t closed_until[ENTRIES][ENGINES];   /* the engine wants no calls of the entry box, */
+    tc_time_t notified_until[ENTRIES][ENGINES]; /* as that has told this scheduler */
+    tc_time_t suspended_until;                  /* the scheduler's lease ran out: it hears and does nothing */
     GPtrArray *callers;
     sched_sim_result_t result;
-} world_t;
+} sim_t;
 
-static void broken(world_t *w, const char *promise)
+static void report_violation(sim_t *sim, const char *promise)
 {
-    if (!w->result.broken)
-        w->result.broken = promise;
+    if (!sim->result.broken)
+        sim->result.broken = promise;
 }
 
-static bool entry_acts(const world_t *w, unsigned entry)
+static bool entry_is_live(const sim_t *sim, unsigned entry)
 {
-    return !w->entry_dead[entry] && w->now >= w->frozen_until[entry];
+    return !sim->entry_dead[entry] && sim->now >= sim->frozen_until[entry];
 }
 
 /* ===== Fake engines ===== */
 
-static fake_engine_t *engine_of(world_t *w, const char *name)
+static fake_engine_t *engine_of(sim_t *sim, const char *name)
 {
     for (unsigned i = 0; i < ENGINES; i++)
-        if (strcmp(w->engines[i].name, name) == 0)
-            return &w->engines[i];
+        if (strcmp(sim->engines[i].name, name) == 0)
+            return &sim->engines[i];
     return NULL;
 }
 
@@ -94,7 +94,7 @@
     g_hash_table_remove(e->held, id);
 }
 
-static void engine_poll(world_t *w, fake_engine_t *e)
+static void engine_poll(sim_t *sim, fake_engine_t *e)
 {
     sched_engine_request_t held[128];
     uint32_t n = 0;
@@ -105,7 +105,7 @@
         codec_copy_string(held[n].engine_id, sizeof(held[n].engine_id), id);
         held[n++].pieces = GPOINTER_TO_UINT(pieces);
     }
-    sched_on_engine_state(w->sched, e->name, e->incarnation, false, held, n, w->now, w->now);
+    sched_on_engine_state(sim->sched, e->name, e->incarnation, false, held, n, sim->now, sim->now);
 }
 
 /* ===== Callers ===== */
@@ -115,166 +115,166 @@
     sched_engine_id(id, CODEC_STR_SIZE + 16, c->place.id, c->placed.attempt);
 }
 
-static caller_t *caller_by_id(world_t *w, const char *id)
+static caller_t *caller_by_id(sim_t *sim, const char *id)
 {
     const unsigned number = (unsigned)strtoul(id + 1, NULL, 10);
-    return number < w->callers->len ? g_ptr_array_index(w->callers, number) : NULL;
+    return number < sim->callers->len ? g_ptr_array_index(sim->callers, number) : NULL;
 }
 
-static void tell(world_t *w, const caller_t *c, phase_t phase, bool held)
+static void send_progress(sim_t *sim, const caller_t *c, phase_t phase, bool held)
 {
     msg_progress_t p = {
         .attempt = c->placed.attempt, .phase = phase, .took_ms = 100, .computed_tokens = 1500, .held = held};
     codec_copy_string(p.id, sizeof(p.id), c->place.id);
-    if (!once_in(w->chooser, 20) && w->now >= w->suspended_until) /* some news is lost */
-        sched_progress(w->sched, &p, w->now);
+    if (!once_in(sim->chooser, 20) && sim->now >= sim->suspended_until) /* some news is lost */
+        sched_progress(sim->sched, &p, sim->now);
 }
 
-static void quit(world_t *w, caller_t *c)
+static void quit_caller(sim_t *sim, caller_t *c)
 {
-    tell(w, c, PHASE_FAILED, true);
+    send_progress(sim, c, PHASE_FAILED, true);
     c->quit = true;
     c->state = CALLER_GONE;
 }
 
-static void ask(world_t *w, caller_t *c)
+static void call_place(sim_t *sim, caller_t *c)
 {
     c->asked++;
     const sched_token_t token = {.a = c->number, .b = c->asked};
-    sched_place(w->sched, &c->place, token, w->now);
+    sched_place(sim->sched, &c->place, token, sim->now);
 }
 
-static void new_caller(world_t *w)
+static void new_caller(sim_t *sim)
 {
     caller_t *const c = g_new0(caller_t, 1);
-    c->number = w->callers->len;
-    c->entry = choose(w->chooser, ENTRIES);
-    if (!entry_acts(w, c->entry)) {
+    c->number = sim->callers->len;
+    c->entry = choose(sim->chooser, ENTRIES);
+    if (!entry_is_live(sim, c->entry)) {
         g_free(c);
         return;
     }
-    g_ptr_array_add(w->callers, c);
+    g_ptr_array_add(sim->callers, c);
     snprintf(c->place.id, sizeof(c->place.id), "r%u", c->number);
     snprintf(c->place.box, sizeof(c->place.box), "entry-%u", c->entry);
-    snprintf(c->place.workspace, sizeof(c->place.workspace), "ws-%u", choose(w->chooser, 3));
+    snprintf(c->place.workspace, sizeof(c->place.workspace), "ws-%u", choose(sim->chooser, 3));
     codec_copy_string(c->place.model, sizeof(c->place.model), "m");
-    c->place.prompt_tokens = 100 + choose(w->chooser, 9000);
-    c->place.max_tokens = 1 + choose(w->chooser, 3000);
-    c->place.priority = choose(w->chooser, 4);
-    c->place.wait_ms = 200 + choose(w->chooser, 3000);
+    c->place.prompt_tokens = 100 + choose(sim->chooser, 9000);
+    c->place.max_tokens = 1 + choose(sim->chooser, 3000);
+    c->place.priority = choose(sim->chooser, 4);
+    c->place.wait_ms = 200 + choose(sim->chooser, 3000);
     c->place.repeatable = true;
-    ask(w, c);
+    call_place(sim, c);
 }
 
 /** The caller comes again through another entry, with the same id. */
-static void reconnect(world_t *w, caller_t *c)
+static void reconnect(sim_t *sim, caller_t *c)
 {
-    const unsigned entry = choose(w->chooser, ENTRIES);
-    if (!entry_acts(w, entry) || c->state == CALLER_WAITING)
+    const unsigned entry = choose(sim->chooser, ENTRIES);
+    if (!entry_is_live(sim, entry) || c->state == CALLER_WAITING)
         return;
     c->entry = entry;
     c->state = CALLER_WAITING;
     snprintf(c->place.box, sizeof(c->place.box), "entry-%u", entry);
     c->quit = false;
     c->unsure = true;
-    ask(w, c);
+    call_place(sim, c);
 }
 
-static void transfer(world_t *w, caller_t *c)
+static void transfer(sim_t *sim, caller_t *c)
 {
     char id[CODEC_STR_SIZE + 16];
     engine_id_of(c, id);
-    engine_drop(engine_of(w, c->placed.prefill), id);
-    w->result.checks++;
-    if (!engine_take(engine_of(w, c->placed.decode), id, c->placed.pieces)) {
-        if (!w->options.freezes && !c->unsure)
-            broken(w, "two requests were given the same piece");
-        quit(w, c);
+    engine_drop(engine_of(sim, c->placed.prefill), id);
+    sim->result.checks++;
+    if (!engine_take(engine_of(sim, c->placed.decode), id, c->placed.pieces)) {
+        if (!sim->options.freezes && !c->unsure)
+            report_violation(sim, "two requests were given the same piece");
+        quit_caller(sim, c);
         return;
     }
     c->state = CALLER_DECODE;
-    tell(w, c, PHASE_DECODE, false);
+    send_progress(sim, c, PHASE_DECODE, false);
 }
 
-static void advance(world_t *w, caller_t *c)
+static void advance(sim_t *sim, caller_t *c)
 {
     char id[CODEC_STR_SIZE + 16];
-    if (!entry_acts(w, c->entry) || c->state == CALLER_WAITING || c->state == CALLER_GONE)
+    if (!entry_is_live(sim, c->entry) || c->state == CALLER_WAITING || c->state == CALLER_GONE)
         return;
-    if (once_in(w->chooser, 25)) { /* leaves in the middle */
-        quit(w, c);
+    if (once_in(sim->chooser, 25)) { /* leaves in the middle */
+        quit_caller(sim, c);
         return;
     }
     engine_id_of(c, id);
     if (c->state == CALLER_PREFILL) {
-        engine_take(engine_of(w, c->placed.prefill), id, 0);
-        tell(w, c, PHASE_TRANSFER, false);
+        engine_take(engine_of(sim, c->placed.prefill), id, 0);
+        send_progress(sim, c, PHASE_TRANSFER, false);
         c->state = CALLER_TRANSFER;
     } else if (c->state == CALLER_TRANSFER) {
-        transfer(w, c);
+        transfer(sim, c);
     } else {
-        fake_engine_t *const e = engine_of(w, c->placed.decode);
+        fake_engine_t *const e = engine_of(sim, c->placed.decode);
         if (!g_hash_table_contains(e->held, id)) { /* the engine restarted, or cancelled it */
-            quit(w, c);
+            quit_caller(sim, c);
             return;
         }
         engine_drop(e, id);
-        tell(w, c, PHASE_FINISHED, false);
+        send_progress(sim, c, PHASE_FINISHED, false);
         c->state = CALLER_GONE;
         c->quit = true;
-        w->result.finished++;
+        sim->result.finished++;
     }
 }
 
-static void replan(world_t *w, caller_t *c)
+static void replan(sim_t *sim, caller_t *c)
 {
-    if (c->state != CALLER_TRANSFER || !entry_acts(w, c->entry))
+    if (c->state != CALLER_TRANSFER || !entry_is_live(sim, c->entry))
         return;
     msg_replan_t r = {.attempt = c->placed.attempt};
     codec_copy_string(r.id, sizeof(r.id), c->place.id);
     codec_copy_string(r.bad, sizeof(r.bad), c->placed.decode);
     char id[CODEC_STR_SIZE + 16];
     engine_id_of(c, id);
-    engine_drop(engine_of(w, c->placed.prefill), id);
+    engine_drop(engine_of(sim, c->placed.prefill), id);
     c->asked++;
     const sched_token_t token = {.a = c->number, .b = c->asked};
     c->quit = true; /* the first decode engine may be cancelled from here on */
-    sched_replan(w->sched, &r, token, w->now);
+    sched_replan(sim->sched, &r, token, sim->now);
 }
 
 /* ===== The scheduler's actions ===== */
 
-static bool is_closed(const world_t *w, const caller_t *c, const char *engine)
+static bool is_closed(const sim_t *sim, const caller_t *c, const char *engine)
 {
     for (unsigned i = 0; i < ENGINES; i++)
-        if (strcmp(w->engines[i].name, engine) == 0)
-            return w->now < w->told_until[c->entry][i];
+        if (strcmp(sim->engines[i].name, engine) == 0)
+            return sim->now < sim->notified_until[c->entry][i];
     return false;
 }
 
-static void take_answer(world_t *w, const sched_action_t *action)
+static void handle_answer(sim_t *sim, const sched_action_t *action)
 {
-    caller_t *const c = g_ptr_array_index(w->callers, action->u.answer.token.a);
+    caller_t *const c = g_ptr_array_index(sim->callers, action->u.answer.token.a);
     const msg_placed_t *const placed = &action->u.answer.placed;
     c->answered++;
-    w->result.checks++;
+    sim->result.checks++;
     if (c->answered > c->asked)
-        broken(w, "a call was answered twice");
+        report_violation(sim, "a call was answered twice");
     const bool latest = action->u.answer.token.b == c->asked;
     if (!latest)
         return; /* an older call of a caller who came again */
     if (!placed->granted) {
-        w->result.refused++;
+        sim->result.refused++;
         if (c->state == CALLER_TRANSFER)
-            quit(w, c); /* no other decode engine */
+            quit_caller(sim, c); /* no other decode engine */
         else
             c->state = CALLER_GONE;
         return;
     }
-    w->result.granted++;
+    sim->result.granted++;
     if (!placed->resume &&
-        (is_closed(w, c, placed->decode) || (c->state == CALLER_WAITING && is_closed(w, c, placed->prefill))))
-        broken(w, "an engine that wants no calls of a box is granted to it");
+        (is_closed(sim, c, placed->decode) || (c->state == CALLER_WAITING && is_closed(sim, c, placed->prefill))))
+        report_violation(sim, "an engine that wants no calls of a box is granted to it");
     if (c->state == CALLER_GONE) { /* died, or left, while it waited: the lease lapses */
         c->placed = *placed;
         return;
@@ -285,65 +285,65 @@
     c->state = placed->resume ? CALLER_DECODE : (replanned ? CALLER_TRANSFER : CALLER_PREFILL);
 }
 
-static void take_cancel(world_t *w, const sched_action_t *action)
+static void handle_cancel(sim_t *sim, const sched_action_t *action)
 {
     const char *const engine = action->u.cancel.engine, *const engine_id = action->u.cancel.engine_id;
     char id[CODEC_STR_SIZE + 16];
     codec_copy_string(id, sizeof(id), engine_id);
     char *const dot = strrchr(id, '.');
     *dot = '\0';
-    const caller_t *const c = caller_by_id(w, id);
+    const caller_t *const c = caller_by_id(sim, id);
     const bool current =
         c && strtoul(dot + 1, NULL, 10) == c->placed.attempt && c->state >= CALLER_PREFILL && c->state <= CALLER_DECODE;
-    w->result.checks++;
-    w->result.cancels++;
+    sim->result.checks++;
+    sim->result.cancels++;
     /* Promise: nothing that a live caller uses is freed. */
-    if (current && !c->quit && !c->unsure && !w->options.freezes && entry_acts(w, c->entry))
-        broken(w, "memory in use by a live caller was cancelled");
-    const bool confirmed = !once_in(w->chooser, 5);
+    if (current && !c->quit && !c->unsure && !sim->options.freezes && entry_is_live(sim, c->entry))
+        report_violation(sim, "memory in use by a live caller was cancelled");
+    const bool confirmed = !once_in(sim->chooser, 5);
     if (confirmed)
-        engine_drop(engine_of(w, engine), engine_id);
-    sched_cancelled(w->sched, engine, engine_id, confirmed, w->now);
+        engine_drop(engine_of(sim, engine), engine_id);
+    sched_cancelled(sim->sched, engine, engine_id, confirmed, sim->now);
 }
 
-static void drain(world_t *w)
+static void take_actions(sim_t *sim)
 {
     sched_action_t action;
-    while (sched_next_action(w->sched, &action)) {
+    while (sched_next_action(sim->sched, &action)) {
         if (action.kind == SCHED_ACT_ANSWER)
-            take_answer(w, &action);
+            handle_answer(sim, &action);
         else
-            take_cancel(w, &action);
+            handle_cancel(sim, &action);
     }
 }
 
 /* ===== Renewals, faults ===== */
 
 /** The entry box tells which engines want no calls of it. */
-static void tell_closed(world_t *w, unsigned entry)
+static void send_notices(sim_t *sim, unsigned entry)
 {
     backend_notice_t list[ENGINES];
     char box[16];
     memset(list, 0, sizeof(list));
     snprintf(box, sizeof(box), "entry-%u", entry);
-    drain(w); /* what was granted before rests on what was told before */
+    take_actions(sim); /* what was granted before rests on what was told before */
     for (unsigned i = 0; i < ENGINES; i++) {
-        const tc_time_t left = w->closed_until[entry][i] - w->now;
-        codec_copy_string(list[i].backend, sizeof(list[i].backend), w->engines[i].name);
+        const tc_time_t left = sim->closed_until[entry][i] - sim->now;
+        codec_copy_string(list[i].backend, sizeof(list[i].backend), sim->engines[i].name);
         list[i].closed_ms = left > 0 ? (uint64_t)left : 0;
-        w->told_until[entry][i] = w->closed_until[entry][i];
+        sim->notified_until[entry][i] = sim->closed_until[entry][i];
     }
-    sched_set_notices(w->sched, box, list, ENGINES, w->now);
+    sched_set_notices(sim->sched, box, list, ENGINES, sim->now);
 }
 
-static void renew(world_t *w, unsigned entry)
+static void renew(sim_t *sim, unsigned entry)
 {
     held_t held[256], lost[256];
-    msg_renew_t message = {.epoch = w->epoch, .held = held};
+    msg_renew_t message = {.epoch = sim->epoch, .held = held};
     bool want_list = false;
     snprintf(message.box, sizeof(message.box), "entry-%u", entry);
-    for (guint i = 0; i < w->callers->len && message.held_n < 256; i++) {
-        const caller_t *const c = g_ptr_array_index(w->callers, i);
+    for (guint i = 0; i < sim->callers->len && message.held_n < 256; i++) {
+        const caller_t *const c = g_ptr_array_index(sim->callers, i);
         if (c->entry != entry || c->state == CALLER_GONE)
             continue;
         held_t *const h = &held[message.held_n++];
@@ -361,13 +361,13 @@
             message.digest ^= sched_digest(h->id, h->attempt);
         }
     }
-    (void)sched_renew(w->sched, &message, lost, 256, &want_list, w->now);
+    (void)sched_renew(sim->sched, &message, lost, 256, &want_list, sim->now);
     if (!want_list)
         return;
     message.listed = true;
-    const uint32_t n = sched_renew(w->sched, &message, lost, 256, &want_list, w->now);
+    const uint32_t n = sched_renew(sim->sched, &message, lost, 256, &want_list, sim->now);
     for (uint32_t i = 0; i < n; i++) {
-        caller_t *const c = caller_by_id(w, lost[i].id);
+        caller_t *const c = caller_by_id(sim, lost[i].id);
         if (c && c->placed.attempt == lost[i].attempt && c->state != CALLER_WAITING) {
             c->quit = true;
             c->state = CALLER_GONE;
@@ -375,65 +375,66 @@
     }
 }
 
-static sched_t *make_sched(world_t *w)
+static sched_t *make_sched(sim_t *sim)
 {
-    const sched_options_t options = {.cell = "main", .epoch = ++w->epoch, .share_count = 1, .rebuild = w->epoch > 1};
-    sched_t *const s = sched_create(&options, w->now);
+    const sched_options_t options = {
+        .cell = "main", .epoch = ++sim->epoch, .share_count = 1, .rebuild = sim->epoch > 1};
+    sched_t *const s = sched_create(&options, sim->now);
     sched_expect_reports(s, ENTRIES);
-    sched_configure(s, &w->config, w->now);
+    sched_configure(s, &sim->config, sim->now);
     return s;
 }
 
-static void restart_scheduler(world_t *w)
+static void restart_scheduler(sim_t *sim)
 {
-    sched_destroy(w->sched);
-    w->sched = make_sched(w);
-    memset(w->told_until, 0, sizeof(w->told_until));
-    w->result.restarts++;
+    sched_destroy(sim->sched);
+    sim->sched = make_sched(sim);
+    memset(sim->notified_until, 0, sizeof(sim->notified_until));
+    sim->result.restarts++;
     for (unsigned i = 0; i < ENGINES; i++)
-        engine_poll(w, &w->engines[i]);
+        engine_poll(sim, &sim->engines[i]);
     for (unsigned i = 0; i < ENTRIES; i++)
-        if (entry_acts(w, i))
-            renew(w, i);
-    for (guint i = 0; i < w->callers->len; i++) {
-        caller_t *const c = g_ptr_array_index(w->callers, i);
+        if (entry_is_live(sim, i))
+            renew(sim, i);
+    for (guint i = 0; i < sim->callers->len; i++) {
+        caller_t *const c = g_ptr_array_index(sim->callers, i);
         c->answered = c->asked; /* calls to the old one are over */
-        if (c->state == CALLER_WAITING && entry_acts(w, c->entry))
-            ask(w, c);
+        if (c->state == CALLER_WAITING && entry_is_live(sim, c->entry))
+            call_place(sim, c);
     }
 }
 
 /** Callers who wait are turned away and ask again once the scheduler acts. */
-static void suspend(world_t *w)
+static void suspend_scheduler(sim_t *sim)
 {
     sched_token_t token;
-    while (sched_pop_waiting(w->sched, &token))
-        ((caller_t *)g_ptr_array_index(w->callers, token.a))->answered++;
-    w->suspended_until = w->now + 500 + (tc_time_t)choose(w->chooser, 4000);
+    while (sched_pop_waiting(sim->sched, &token))
+        ((caller_t *)g_ptr_array_index(sim->callers, token.a))->answered++;
+    sim->suspended_until = sim->now + 500 + (tc_time_t)choose(sim->chooser, 4000);
 }
 
-static void resume(world_t *w)
+static void resume_scheduler(sim_t *sim)
 {
-    sched_resume(w->sched, w->now);
-    for (guint i = 0; i < w->callers->len; i++) {
-        caller_t *const c = g_ptr_array_index(w->callers, i);
-        if (c->state == CALLER_WAITING && c->answered == c->asked && entry_acts(w, c->entry))
-            ask(w, c);
+    sched_resume(sim->sched, sim->now);
+    for (guint i = 0; i < sim->callers->len; i++) {
+        caller_t *const c = g_ptr_array_index(sim->callers, i);
+        if (c->state == CALLER_WAITING && c->answered == c->asked && entry_is_live(sim, c->entry))
+            call_place(sim, c);
     }
 }
 
-static void restart_engine(world_t *w, fake_engine_t *e)
+static void restart_engine(sim_t *sim, fake_engine_t *e)
 {
     g_hash_table_remove_all(e->held);
     e->pieces = 0;
     e->incarnation++;
 }
 
-static void kill_entry(world_t *w, unsigned entry)
+static void kill_entry(sim_t *sim, unsigned entry)
 {
-    w->entry_dead[entry] = true;
-    for (guint i = 0; i < w->callers->len; i++) {
-        caller_t *const c = g_ptr_array_index(w->callers, i);
+    sim->entry_dead[entry] = true;
+    for (guint i = 0; i < sim->callers->len; i++) {
+        caller_t *const c = g_ptr_array_index(sim->callers, i);
         if (c->entry == entry) {
             c->quit = true;
             c->state = CALLER_GONE;
@@ -441,25 +442,25 @@
     }
 }
 
-static void close_engine(world_t *w)
+static void close_engine(sim_t *sim)
 {
-    const unsigned entry = choose(w->chooser, ENTRIES);
-    w->closed_until[entry][choose(w->chooser, ENGINES)] = w->now + (tc_time_t)choose(w->chooser, 3000);
+    const unsigned entry = choose(sim->chooser, ENTRIES);
+    sim->closed_until[entry][choose(sim->chooser, ENGINES)] = sim->now + (tc_time_t)choose(sim->chooser, 3000);
 }
 
-static void disturb(world_t *w)
+static void inject_fault(sim_t *sim)
 {
-    w->result.operations++;
-    switch (choose(w->chooser, 10)) {
-    case 7: suspend(w); break;
-    case 8: close_engine(w); break;
-    case 0: kill_entry(w, choose(w->chooser, ENTRIES)); break;
-    case 1: memset(w->entry_dead, 0, sizeof(w->entry_dead)); break;
-    case 2: restart_scheduler(w); break;
-    case 3: restart_engine(w, &w->engines[choose(w->chooser, ENGINES)]); break;
+    sim->result.operations++;
+    switch (choose(sim->chooser, 10)) {
+    case 7: suspend_scheduler(sim); break;
+    case 8: close_engine(sim); break;
+    case 0: kill_entry(sim, choose(sim->chooser, ENTRIES)); break;
+    case 1: memset(sim->entry_dead, 0, sizeof(sim->entry_dead)); break;
+    case 2: restart_scheduler(sim); break;
+    case 3: restart_engine(sim, &sim->engines[choose(sim->chooser, ENGINES)]); break;
     case 4:
-        if (w->options.freezes)
-            w->frozen_until[choose(w->chooser, ENTRIES)] = w->now + (tc_time_t)choose(w->chooser, 4000);
+        if (sim->options.freezes)
+            sim->frozen_until[choose(sim->chooser, ENTRIES)] = sim->now + (tc_time_t)choose(sim->chooser, 4000);
         break;
     default: break;
     }
@@ -467,32 +468,32 @@
 
 /* ===== Runs ===== */
 
-static void step(world_t *w, unsigned number)
+static void run_step(sim_t *sim, unsigned number)
 {
-    const bool suspended = w->now < w->suspended_until;
-    w->now += STEP_MS;
-    if (w->now < w->suspended_until)
+    const bool suspended = sim->now < sim->suspended_until;
+    sim->now += STEP_MS;
+    if (sim->now < sim->suspended_until)
         return;
     if (suspended)
-        resume(w);
+        resume_scheduler(sim);
     for (unsigned i = 0; i < ENTRIES; i++)
-        if (number % RENEW_STEPS == i && entry_acts(w, i) && !w->options.no_renewals) {
-            renew(w, i);
-            tell_closed(w, i);
+        if (number % RENEW_STEPS == i && entry_is_live(sim, i) && !sim->options.no_renewals) {
+            renew(sim, i);
+            send_notices(sim, i);
         }
     for (unsigned i = 0; i < ENGINES; i++)
         if (number % POLL_STEPS == i * 7)
-            engine_poll(w, &w->engines[i]);
-    sched_tick(w->sched, w->now);
-    drain(w);
-    sched_check(w->sched);
+            engine_poll(sim, &sim->engines[i]);
+    sched_tick(sim->sched, sim->now);
+    take_actions(sim);
+    sched_check(sim->sched);
 }
 
-static void init(world_t *w)
+static void init(sim_t *sim)
 {
     GString *const text = g_string_new("{\"engines\":{");
     for (unsigned i = 0; i < ENGINES; i++) {
-        fake_engine_t *const e = &w->engines[i];
+        fake_engine_t *const e = &sim->engines[i];
         const bool prefill = i < PREFILLS;
         snprintf(e->name, sizeof(e->name), "%s%u", prefill ? "p" : "d", prefill ? i : i - PREFILLS);
         e->incarnation = 1;
@@ -502,75 +503,75 @@
                                i ? "," : "", e->name, prefill ? "prefill" : "decode", PIECES);
     }
     g_string_append(text, "},\"links\":{\"l\":{\"a\":\"a\",\"b\":\"a\",\"rate\":100000}}}");
-    if (codec_from_json_text(&config_desc, &w->config, text->str, text->len, "test", NULL) < 0)
+    if (codec_from_json_text(&config_desc, &sim->config, text->str, text->len, "test", NULL) < 0)
         abort();
     g_string_free(text, TRUE);
-    w->sched = make_sched(w);
-    w->callers = g_ptr_array_new_with_free_func(g_free);
+    sim->sched = make_sched(sim);
+    sim->callers = g_ptr_array_new_with_free_func(g_free);
 }
 
-static void run(world_t *w)
+static void run(sim_t *sim)
 {
-    for (unsigned i = 0; i < w->options.steps && !w->result.broken && !chooser_empty(w->chooser); i++) {
-        step(w, i);
-        const bool suspended = w->now < w->suspended_until;
-        if (!suspended && once_in(w->chooser, 3)) {
-            new_caller(w);
-            w->result.operations++;
+    for (unsigned i = 0; i < sim->options.steps && !sim->result.broken && !chooser_empty(sim->chooser); i++) {
+        run_step(sim, i);
+        const bool suspended = sim->now < sim->suspended_until;
+        if (!suspended && once_in(sim->chooser, 3)) {
+            new_caller(sim);
+            sim->result.operations++;
         }
-        for (unsigned k = 0; k < 3 && w->callers->len > 0; k++) {
-            const guint recent = w->callers->len < 60 ? w->callers->len : 60;
-            caller_t *const c = g_ptr_array_index(w->callers, w->callers->len - 1 - choose(w->chooser, recent));
-            w->result.operations++;
-            if (!suspended && once_in(w->chooser, 30))
-                reconnect(w, c);
-            else if (!suspended && once_in(w->chooser, 20))
-                replan(w, c);
+        for (unsigned k = 0; k < 3 && sim->callers->len > 0; k++) {
+            const guint recent = sim->callers->len < 60 ? sim->callers->len : 60;
+            caller_t *const c = g_ptr_array_index(sim->callers, sim->callers->len - 1 - choose(sim->chooser, recent));
+            sim->result.operations++;
+            if (!suspended && once_in(sim->chooser, 30))
+                reconnect(sim, c);
+            else if (!suspended && once_in(sim->chooser, 20))
+                replan(sim, c);
             else
-                advance(w, c);
+                advance(sim, c);
         }
-        if (!suspended && once_in(w->chooser, 60))
-            disturb(w);
-        if (w->now >= w->suspended_until)
-            drain(w);
+        if (!suspended && once_in(sim->chooser, 60))
+            inject_fault(sim);
+        if (sim->now >= sim->suspended_until)
+            take_actions(sim);
     }
 }
 
-static void settle(world_t *w)
+static void check_all_released(sim_t *sim)
 {
     for (unsigned i = 0; i < ENTRIES; i++)
-        kill_entry(w, i);
-    w->now = w->suspended_until > w->now ? w->suspended_until : w->now;
-    sched_resume(w->sched, w->now);
+        kill_entry(sim, i);
+    sim->now = sim->suspended_until > sim->now ? sim->suspended_until : sim->now;
+    sched_resume(sim->sched, sim->now);
     for (unsigned i = 0; i < SETTLE_STEPS; i++)
-        step(w, i);
-    const sched_stats_t stats = sched_stats(w->sched);
-    w->result.checks += ENGINES;
+        run_step(sim, i);
+    const sched_stats_t stats = sched_stats(sim->sched);
+    sim->result.checks += ENGINES;
     if (stats.queued || stats.placed || stats.cancelling)
-        broken(w, "the scheduler still counts requests whose callers are gone");
+        report_violation(sim, "the scheduler still counts requests whose callers are gone");
     for (unsigned i = 0; i < ENGINES; i++)
-        if (g_hash_table_size(w->engines[i].held) > 0)
-            broken(w, "an engine still holds memory for callers who are gone");
+        if (g_hash_table_size(sim->engines[i].held) > 0)
+            report_violation(sim, "an engine still holds memory for callers who are gone");
 }
 
 sched_sim_result_t sched_sim_run(const sched_sim_options_t *options, chooser_t *chooser)
 {
-    world_t *const w = calloc(1, sizeof(*w));
-    if (!w)
+    sim_t *const sim = calloc(1, sizeof(*sim));
+    if (!sim)
         abort();
-    w->options = *options;
-    w->chooser = chooser;
-    w->now = 1000;
-    init(w);
-    run(w);
-    if (!w->result.broken)
-        settle(w);
-    const sched_sim_result_t result = w->result;
-    sched_destroy(w->sched);
+    sim->options = *options;
+    sim->chooser = chooser;
+    sim->now = 1000;
+    init(sim);
+    run(sim);
+    if (!sim->result.broken)
+        check_all_released(sim);
+    const sched_sim_result_t result = sim->result;
+    sched_destroy(sim->sched);
     for (unsigned i = 0; i < ENGINES; i++)
-        g_hash_table_destroy(w->engines[i].held);
-    g_ptr_array_free(w->callers, TRUE);
-    codec_free(&config_desc, &w->config);
-    free(w);
+        g_hash_table_destroy(sim->engines[i].held);
+    g_ptr_array_free(sim->callers, TRUE);
+    codec_free(&config_desc, &sim->config);
+    free(sim);
     return result;
 }
--- a/tests/platform/test_rebalancer.c
+++ b/tests/platform/test_rebalancer.c
@@ -8,7 +8,7 @@
 #include "harness/lab.h"
 #include "roles/rebalancer.h"
 
-enum { ENGINES = 8, PREFILLS = 4, TURN_MS = 3000 };
+enum { ENGINES = 8, PREFILLS = 4, ORDER_DELAY_MS = 3000 };
 
 typedef struct {
     loop_t *loop;
@@ -21,7 +21,7 @@
     rebalancer_input_t view;
     tc_time_t now;
     GString *orders; /* all that came, one after the other */
-    unsigned looks, ordered;
+    unsigned queries, ordered;
     unsigned orders_taken; /* that engines say they have taken */
     const char *notice;    /* header lines of what engines say they are */
     int status;            /* of an order's answer */
@@ -32,7 +32,7 @@
 {
     fixture_t *const f = arg;
     if (g_str_has_prefix(request, "GET /report ")) {
-        f->looks++;
+        f->queries++;
         char *const body = g_strdup_printf("{\"stage\":\"prefill\",\"busy\":false,\"call_seq\":%u}", f->orders_taken);
         const lab_reply_t reply = {.bytes = g_strdup_printf("HTTP/1.1 200 OK\r\n%sContent-Length: %zu\r\n\r\n%s",
                                                             f->notice, strlen(body), body)};
@@ -52,7 +52,7 @@
     f->loop = loop_create();
     f->client = web_client_create(f->loop);
     f->gate = call_gate_create(NULL, NULL);
-    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
+    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", ORDER_DELAY_MS);
     f->orders = g_string_new(NULL);
     f->status = 202;
     f->notice = "";
@@ -89,7 +89,7 @@
 }
 
 /** Let the rebalancer's time pass, with a look every 50 ms of it. The loop turns beside, so that calls are answered. */
-static void pass(fixture_t *f, tc_time_t span)
+static void advance(fixture_t *f, tc_time_t span)
 {
     for (const tc_time_t until = f->now + span; f->now < until; f->now += 50) {
         rebalancer_tick(f->rebalancer, &f->view, f->now);
@@ -106,7 +106,7 @@
 static void test_order(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    pass(f, 6000);
+    advance(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
     g_assert_nonnull(strstr(f->orders->str, "POST /order "));
     g_assert_nonnull(strstr(f->orders->str, "Expect-Instance: e0\r\n")); /* where most of them are */
@@ -117,7 +117,7 @@
     g_assert_nonnull(strstr(f->orders->str, "\"expected_rev\":5"));
     g_assert_cmpuint(moving(f), ==, 1);
     codec_copy_string(f->list[0].stage, sizeof(f->list[0].stage), "decode");
-    pass(f, 100);
+    advance(f, 100);
     g_assert_cmpuint(moving(f), ==, 0); /* the list shows it */
 }
 
@@ -125,17 +125,17 @@
 static void test_waits_its_turn(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    pass(f, TURN_MS);
-    g_assert_cmpuint(f->looks, ==, 0);
+    advance(f, ORDER_DELAY_MS);
+    g_assert_cmpuint(f->queries, ==, 0);
     f->view.term = 0; /* the lease was lost for a moment: somebody else may have led */
-    pass(f, 50);
+    advance(f, 50);
     f->view.term = 7;
-    pass(f, TURN_MS);
-    g_assert_cmpuint(f->looks, ==, 0);
+    advance(f, ORDER_DELAY_MS);
+    g_assert_cmpuint(f->queries, ==, 0);
     f->view.term = 9;
-    pass(f, TURN_MS);
-    g_assert_cmpuint(f->looks, ==, 0);
-    pass(f, 3000);
+    advance(f, ORDER_DELAY_MS);
+    g_assert_cmpuint(f->queries, ==, 0);
+    advance(f, 3000);
     g_assert_cmpuint(f->ordered, ==, 1);
 }
 
@@ -143,8 +143,8 @@
 {
     (void)data;
     f->view.term = 0;
-    pass(f, 8000);
-    g_assert_cmpuint(f->looks + f->ordered, ==, 0);
+    advance(f, 8000);
+    g_assert_cmpuint(f->queries + f->ordered, ==, 0);
 }
 
 /** Promise: whoever was told that another has a higher fence orders no more. */
@@ -152,7 +152,7 @@
 {
     (void)data;
     f->status = 412;
-    pass(f, 20000);
+    advance(f, 20000);
     g_assert_cmpuint(f->ordered, ==, 1);
 }
 
@@ -161,13 +161,13 @@
 {
     (void)data;
     f->silent = true;
-    pass(f, 6000);
+    advance(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
     lab_run_for(f->loop, 1100); /* the call's own limit is in real time */
-    pass(f, 10000);
+    advance(f, 10000);
     g_assert_cmpuint(moving(f), ==, 1);
     g_assert_cmpuint(f->ordered, ==, 1);
-    pass(f, 10000);
+    advance(f, 10000);
     g_assert_cmpuint(f->ordered, ==, 2); /* given up, and begun anew */
 }
 
@@ -175,7 +175,7 @@
 {
     (void)data;
     f->status = 409;
-    pass(f, 5500);
+    advance(f, 5500);
     g_assert_cmpuint(moving(f), ==, 0);
     g_assert_nonnull(strstr(f->orders->str, "Expect-Instance: e0\r\n"));
     g_assert_null(strstr(strstr(f->orders->str, "Expect-Instance: e0\r\n") + 1, "Expect-Instance: e0\r\n"));
@@ -186,9 +186,9 @@
 {
     (void)data;
     f->notice = "Server-Leaving: 1\r\n";
-    pass(f, 20000);
+    advance(f, 20000);
     g_assert_cmpuint(f->ordered, ==, 0);
-    g_assert_cmpuint(f->looks, <=, PREFILLS); /* each prefill engine once */
+    g_assert_cmpuint(f->queries, <=, PREFILLS); /* each prefill engine once */
 }
 
 /** What others heard counts as well. */
@@ -203,7 +203,7 @@
     const evacuations_t held = {.version = 3, .list = &dc, .list_n = 1};
     f->view.evacuations = &held;
     f->view.load = (pool_load_t){.prefill = 1.5, .prefill_slow = 1.5, .decode = 1.0};
-    pass(f, 6000);
+    advance(f, 6000);
     unsigned asked = 0;
     for (int i = 0; i < ENGINES; i++) {
         const unsigned requests = lab_backend_requests(f->engine[i]);
@@ -225,8 +225,8 @@
     rebalancer_destroy(f->rebalancer);
     call_gate_destroy(f->gate);
     f->gate = call_gate_create(takes_calls, NULL);
-    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", TURN_MS);
-    pass(f, 6000);
+    f->rebalancer = rebalancer_create(f->loop, f->client, f->gate, "box-1", ORDER_DELAY_MS);
+    advance(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
     g_assert_null(strstr(f->orders->str, "Expect-Instance: e0\r\n"));
 }
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -63,7 +63,7 @@
 }
 
 /** A box tells all that it holds: one request, or none when @p id is NULL. */
-static void list(fixture_t *f, const char *id, uint32_t attempt, const char *engine, tc_time_t now)
+static void renew_listed(fixture_t *f, const char *id, uint32_t attempt, const char *engine, tc_time_t now)
 {
     held_t held = {.attempt = attempt, .phase = PHASE_DECODE, .pieces = PIECES - 10};
     if (id)
@@ -93,7 +93,7 @@
 
 /** The decode engine that was granted last does not take the request: ask for another. @param bad its name, filled in
  */
-static void turn_away(fixture_t *f, const char *id, trouble_t trouble, char bad[CODEC_STR_SIZE], tc_time_t now)
+static void replan(fixture_t *f, const char *id, trouble_t trouble, char bad[CODEC_STR_SIZE], tc_time_t now)
 {
     codec_copy_string(bad, CODEC_STR_SIZE, f->placed.decode);
     msg_replan_t replan = {.attempt = f->placed.attempt, .trouble = trouble};
@@ -114,7 +114,7 @@
 static void test_counted(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    list(f, "own", 77, "e1", 60000);
+    renew_listed(f, "own", 77, "e1", 60000);
     g_assert_cmpuint(reserved(f, 1), ==, PIECES - 10);
     place(f, "next", 50, 60001);
     g_assert_true(f->answered && f->placed.granted);
@@ -125,8 +125,8 @@
 static void test_moved(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    list(f, "own", 77, "e1", 60000);
-    list(f, "own", 78, "e2", 60100);
+    renew_listed(f, "own", 77, "e1", 60000);
+    renew_listed(f, "own", 78, "e2", 60100);
     g_assert_cmpuint(reserved(f, 1), ==, 0);
     g_assert_cmpuint(reserved(f, 2), ==, PIECES - 10);
 }
@@ -135,7 +135,7 @@
 static void test_over(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    list(f, "own", 77, "e1", 60000);
+    renew_listed(f, "own", 77, "e1", 60000);
     msg_progress_t over = {.attempt = 77, .phase = PHASE_FINISHED};
     codec_copy_string(over.id, sizeof(over.id), "own");
     sched_progress(f->sched, &over, 60100);
@@ -152,7 +152,7 @@
     finish(f, "first", 1010); /* requests are held for a second */
     place(f, "second", 60, 2000);
     char bad[CODEC_STR_SIZE];
-    turn_away(f, "second", TROUBLE_FULL, bad, 2010);
+    replan(f, "second", TROUBLE_FULL, bad, 2010);
     g_assert_true(f->placed.granted);
     g_assert_cmpstr(f->placed.decode, !=, bad);
     place(f, "large", 60, 2010);
@@ -171,7 +171,7 @@
     (void)data;
     place(f, "first", 10, 10);
     char bad[CODEC_STR_SIZE];
-    turn_away(f, "first", TROUBLE_OUTDATED, bad, 20);
+    replan(f, "first", TROUBLE_OUTDATED, bad, 20);
     for (tc_time_t now = 100; now < 900; now += 100) {
         char id[8];
         g_snprintf(id, sizeof(id), "r%d", (int)now);
@@ -188,7 +188,7 @@
 
 /** An engine runs what nobody here placed: that memory is given to nobody until the engine tells that it is over. What
  *  is placed there, and what ended since, is not counted twice. */
-static void test_engine_tells_what_it_runs(fixture_t *f, gconstpointer data)
+static void test_engine_reports_its_requests(fixture_t *f, gconstpointer data)
 {
     (void)data;
     place(f, "known", 10, 10);
@@ -212,12 +212,12 @@
 }
 
 /** Engines are asked often only while what they run may differ from what is counted. */
-static void test_doubt(fixture_t *f, gconstpointer data)
+static void test_needs_reconcile(fixture_t *f, gconstpointer data)
 {
     (void)data;
     g_assert_true(sched_needs_reconcile(f->sched, 10)); /* it has just begun */
     g_assert_false(sched_needs_reconcile(f->sched, 10000));
-    list(f, NULL, 0, "", 10000);
+    renew_listed(f, NULL, 0, "", 10000);
     g_assert_false(sched_needs_reconcile(f->sched, 10100));
     g_assert_true(sched_needs_reconcile(f->sched, 12000));  /* its box is silent, and may place by itself */
     g_assert_false(sched_needs_reconcile(f->sched, 60000)); /* and is gone */
@@ -231,8 +231,8 @@
     TEST("moved", test_moved);
     TEST("over", test_over);
     TEST("outdated-engine-is-left-alone", test_outdated_engine_is_left_alone);
-    TEST("engine-tells-what-it-runs", test_engine_tells_what_it_runs);
-    TEST("doubt", test_doubt);
+    TEST("engine-tells-what-it-runs", test_engine_reports_its_requests);
+    TEST("doubt", test_needs_reconcile);
     TEST("refusal-corrects-the-count", test_refusal_corrects_the_count);
 #undef TEST
     return g_test_run();
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -12,7 +12,7 @@
 enum { ENGINES_MOST = 600, DCS_MOST = 6, FLEETS = 300, NOW = 10000 };
 
 /** As choose_pair weighs them. */
-static const double BATCH_COST_MS = 3.0, SUSPECT_COST_MS = 1000.0, FAR_BOX_COST_MS = 3.0;
+static const double BATCH_COST_MS = 3.0, SUSPECT_COST_MS = 1000.0, REMOTE_DC_COST_MS = 3.0;
 
 /* ===== A fleet by lot ===== */
 
@@ -42,7 +42,7 @@
 }
 
 /** What engines are in the middle of, as any course of events may leave them. */
-static void disturb_engine(GRand *random, engine_t *e)
+static void randomize_engine_state(GRand *random, engine_t *e)
 {
     e->reserved = (uint32_t)g_rand_int_range(random, 0, 201);
     e->batch = (uint32_t)g_rand_int_range(random, 0, 13);
@@ -58,10 +58,10 @@
     if (g_rand_int_range(random, 0, 12) == 0)
         e->grants_left = 0;
     e->suspects = g_rand_int_range(random, 0, 4) == 0 ? (uint32_t)g_rand_int_range(random, 1, 4) : 0;
-    e->twice = e->suspects > 0 && g_rand_int_range(random, 0, 2) ? 1 : 0;
+    e->suspects_twice = e->suspects > 0 && g_rand_int_range(random, 0, 2) ? 1 : 0;
 }
 
-static sched_t *make_fleet(GRand *random)
+static sched_t *make_random_fleet(GRand *random)
 {
     static engine_cfg_t engines[ENGINES_MOST];
     static link_cfg_t links[DCS_MOST * DCS_MOST];
@@ -75,7 +75,7 @@
     sched_t *const s = sched_create(&options, 0);
     sched_configure(s, &config, 0);
     for (guint i = 0; i < s->engine_list->len; i++)
-        disturb_engine(random, g_ptr_array_index(s->engine_list, i));
+        randomize_engine_state(random, g_ptr_array_index(s->engine_list, i));
     for (guint i = 0; i < s->links->len; i++) {
         link_t *const link = g_ptr_array_index(s->links, i);
         link->outstanding = g_rand_double_range(random, 0, 50000);
@@ -126,7 +126,7 @@
 /** One under which two back ends have ended is beside no other under which one has, at either kind of engine. */
 static bool is_apart(const request_t *r, const engine_t *e)
 {
-    return r->ends == 0 || (r->ends == 1 ? e->twice == 0 : e->suspects == 0);
+    return r->ends == 0 || (r->ends == 1 ? e->suspects_twice == 0 : e->suspects == 0);
 }
 
 static bool may_serve(const sched_t *s, const engine_t *e, const request_t *r, role_t role)
@@ -142,7 +142,7 @@
 
 static bool link_is_open(const link_t *link, const request_t *r)
 {
-    return !link || !link_is_long(link, r->prompt_tokens) || link->long_transfers < LONG_TRANSFERS_A_LINK;
+    return !link || !link_is_long(link, r->prompt_tokens) || link->long_transfers < LONG_TRANSFERS_PER_LINK;
 }
 
 static double cheapest_behind(const sched_t *s, const request_t *r, const engine_t *prefill, double before)
@@ -155,9 +155,9 @@
         const link_t *const link =
             link_between(s, g_ptr_array_index(s->dcs, prefill->dc), g_ptr_array_index(s->dcs, d->dc));
         if (link_is_open(link, r))
-            least = fmin(least, before + link_ms(s, link, r->prompt_tokens) + TPOT_MS + BATCH_COST_MS * d->batch +
-                                    (r->ends > 0 ? SUSPECT_COST_MS * d->suspects : 0) +
-                                    (r->dc != DC_UNKNOWN && r->dc != d->dc ? FAR_BOX_COST_MS : 0));
+            least = fmin(least, before + link_transfer_ms(s, link, r->prompt_tokens) + TPOT_MS +
+                                    BATCH_COST_MS * d->batch + (r->ends > 0 ? SUSPECT_COST_MS * d->suspects : 0) +
+                                    (r->dc != DC_UNKNOWN && r->dc != d->dc ? REMOTE_DC_COST_MS : 0));
     }
     return least;
 }
@@ -188,7 +188,7 @@
     unsigned found = 0;
     for (guint32 seed = 1; seed <= FLEETS; seed++) {
         GRand *const random = g_rand_new_with_seed(seed);
-        sched_t *const s = make_fleet(random);
+        sched_t *const s = make_random_fleet(random);
         request_t r = make_request(s, random);
         const choice_t choice = choose_pair(s, &r, false, NOW);
         assert_same(&choice, cheapest_pair(s, &r));
@@ -202,12 +202,12 @@
     g_assert_cmpuint(found, >, FLEETS / 3); /* else little was compared */
 }
 
-/** Requests of a queue that are looked at in one pass get what they would get each by itself. */
+/** Requests of a queue that are scanned at in one pass get what they would get each by itself. */
 static void test_pass_as_alone(void)
 {
     for (guint32 seed = 1; seed <= FLEETS; seed++) {
         GRand *const random = g_rand_new_with_seed(seed);
-        sched_t *const s = make_fleet(random);
+        sched_t *const s = make_random_fleet(random);
         begin_pass(s);
         for (int i = 0; i < 20; i++) {
             const request_t r = make_request(s, random);
@@ -250,7 +250,7 @@
     }
 }
 
-static double looks_of(const sched_t *s, uint64_t before, uint32_t engines, unsigned requests)
+static double scans_per_request(const sched_t *s, uint64_t before, uint32_t engines, unsigned requests)
 {
     return (double)(sched_stats(s).engines_scanned - before) / engines / requests;
 }
@@ -275,8 +275,8 @@
     sched_destroy(s);
 }
 
-/** In calm a request is chosen for once: each engine is looked at once at most. */
-static void test_looks_in_calm(void)
+/** In calm a request is chosen for once: each engine is scanned at once at most. */
+static void test_scans_when_idle(void)
 {
     static const uint32_t sizes[] = {30, 256, 2400};
     for (guint k = 0; k < G_N_ELEMENTS(sizes); k++) {
@@ -284,29 +284,29 @@
         for (unsigned i = 0; i < 8; i++)
             place(s, i, 900, 1000 + 100 * (tc_time_t)i);
         g_assert_cmpuint(sched_stats(s).granted, ==, 8);
-        g_assert_cmpfloat(looks_of(s, 0, sizes[k], 8), <=, 1);
+        g_assert_cmpfloat(scans_per_request(s, 0, sizes[k], 8), <=, 1);
         sched_destroy(s);
     }
 }
 
-/* With 10,000 back ends the leader spent most of its half core on choosing: each placement looked at all of them,
+/* With 10,000 back ends the leader spent most of its half core on choosing: each placement scanned at all of them,
  * twice, and both grow with the fleet. A choice looks at so many that could be taken, beginning where the last one
  * ended. */
 
-static void test_looks_do_not_grow(void)
+static void test_scans_do_not_grow(void)
 {
     enum { SMALL = 2400, LARGE = 9600, PLACEMENTS = 300 };
     static const uint32_t sizes[] = {SMALL, LARGE};
-    uint64_t looks[G_N_ELEMENTS(sizes)];
+    uint64_t scans[G_N_ELEMENTS(sizes)];
     for (guint k = 0; k < G_N_ELEMENTS(sizes); k++) {
         sched_t *const s = make_even_fleet(sizes[k]);
         for (unsigned i = 0; i < PLACEMENTS; i++)
             place(s, i, 900, 1000 + (tc_time_t)i);
         g_assert_cmpuint(sched_stats(s).granted, ==, PLACEMENTS);
-        looks[k] = sched_stats(s).engines_scanned;
+        scans[k] = sched_stats(s).engines_scanned;
         sched_destroy(s);
     }
-    g_assert_cmpuint(looks[1], <=, looks[0] + looks[0] / 20);
+    g_assert_cmpuint(scans[1], <=, scans[0] + scans[0] / 20);
 }
 
 /** Choices that look at a part of the engines come to all of them in turn. */
@@ -327,7 +327,7 @@
 
 /* Each new list of 10,000 back ends made the scheduler look at all of them 10,000 times while a request waited: every
  * engine of the list was marked as seen by itself, and each of these marks went through the queue. */
-static void test_looks_at_a_new_list(void)
+static void test_scans_on_a_new_list(void)
 {
     static const uint32_t sizes[] = {300, 1200};
     for (guint k = 0; k < G_N_ELEMENTS(sizes); k++) {
@@ -337,14 +337,14 @@
             place(s, number++, 60000, 1000);
         const uint64_t before = sched_stats(s).engines_scanned;
         sched_on_engine_list(s, 1000);
-        g_assert_cmpfloat(looks_of(s, before, sizes[k], 1), <=, 2);
+        g_assert_cmpfloat(scans_per_request(s, before, sizes[k], 1), <=, 2);
         sched_destroy(s);
     }
 }
 
 /** A burst of more than twice what the prefill engines read: hundreds wait, and each event looks at the whole queue. It
  *  costs a few looks at each engine, however many wait. */
-static void test_looks_in_a_burst(void)
+static void test_scans_in_a_burst(void)
 {
     static const uint32_t sizes[] = {30, 256, 2400};
     for (guint k = 0; k < G_N_ELEMENTS(sizes); k++) {
@@ -356,13 +356,13 @@
         for (unsigned i = 0; i < PLACED; i++)
             place(s, number++, 60000, 1000);
         g_assert_cmpuint(sched_stats(s).queued, >, BURST / 2);
-        g_assert_cmpfloat(looks_of(s, before, sizes[k], PLACED), <=, 4);
+        g_assert_cmpfloat(scans_per_request(s, before, sizes[k], PLACED), <=, 4);
         sched_destroy(s);
     }
 }
 
 /** Boxes whose requests wait ask on every 220 ms. That costs no look at any engine, and they keep their places. */
-static void test_asking_on(void)
+static void test_repeated_calls(void)
 {
     sched_t *const s = make_even_fleet(256);
     unsigned number = 0;
@@ -394,11 +394,11 @@
     g_test_add_func("/sched-choose/as-exhaustive", test_as_exhaustive);
     g_test_add_func("/sched-choose/pass-as-alone", test_pass_as_alone);
     g_test_add_func("/sched-choose/near-the-box", test_near_the_box);
-    g_test_add_func("/sched-choose/looks-in-calm", test_looks_in_calm);
-    g_test_add_func("/sched-choose/looks-do-not-grow", test_looks_do_not_grow);
+    g_test_add_func("/sched-choose/looks-in-calm", test_scans_when_idle);
+    g_test_add_func("/sched-choose/looks-do-not-grow", test_scans_do_not_grow);
     g_test_add_func("/sched-choose/all-engines-in-turn", test_all_engines_in_turn);
-    g_test_add_func("/sched-choose/looks-at-a-new-list", test_looks_at_a_new_list);
-    g_test_add_func("/sched-choose/looks-in-a-burst", test_looks_in_a_burst);
-    g_test_add_func("/sched-choose/asking-on", test_asking_on);
+    g_test_add_func("/sched-choose/looks-at-a-new-list", test_scans_on_a_new_list);
+    g_test_add_func("/sched-choose/looks-in-a-burst", test_scans_in_a_burst);
+    g_test_add_func("/sched-choose/asking-on", test_repeated_calls);
     return g_test_run();
 }
--- a/tests/unit/test_sched_local_prefill.c
+++ b/tests/unit/test_sched_local_prefill.c
@@ -156,7 +156,7 @@
 }
 
 /** A box gives a request up in the moment in which it is granted: the grant holds nothing any more. */
-static void test_given_up_while_granted(void)
+static void test_abandoned_while_granted(void)
 {
     fixture_t f;
     set_up(&f, 1);
@@ -176,7 +176,7 @@
     sched_destroy(f.sched);
 }
 
-static void tell_failed(fixture_t *f, int request, tc_time_t now)
+static void report_failed(fixture_t *f, int request, tc_time_t now)
 {
     msg_progress_t p = {.attempt = f->placed[request].attempt, .phase = PHASE_PREFILL};
     g_snprintf(p.id, sizeof(p.id), "r%d", request);
@@ -193,12 +193,12 @@
     place(&f, 0, 0);
     char bad[CODEC_STR_SIZE];
     codec_copy_string(bad, sizeof(bad), f.placed[0].prefill);
-    tell_failed(&f, 0, 10);
+    report_failed(&f, 0, 10);
     place(&f, 1, 20);
     g_assert_cmpstr(f.placed[1].prefill, !=, bad);
     place(&f, 2, 1100); /* tried again after a second */
     g_assert_cmpstr(f.placed[2].prefill, ==, bad);
-    tell_failed(&f, 2, 1200);
+    report_failed(&f, 2, 1200);
     place(&f, 3, 2400); /* not so soon after the second failure */
     g_assert_cmpstr(f.placed[3].prefill, !=, bad);
     place(&f, 4, 2401);
@@ -214,7 +214,7 @@
     g_test_add_func("/sched-solo/no-prefill-engine", test_no_prefill_engine);
     g_test_add_func("/sched-solo/closed-to-the-box", test_closed_to_the_box);
     g_test_add_func("/sched-solo/prefills-closed-to-the-box", test_prefills_closed_to_the_box);
-    g_test_add_func("/sched-solo/given-up-while-granted", test_given_up_while_granted);
+    g_test_add_func("/sched-solo/given-up-while-granted", test_abandoned_while_granted);
     g_test_add_func("/sched-solo/failures-in-a-row", test_failures_in_a_row);
     return g_test_run();
 }
