--- a/lib/roles/balance.c
+++ b/lib/roles/balance.c
@@ -4,27 +4,28 @@
 
 /* ===== Constants ===== */
 
-/** Below this share of all engines at work the pools say little. A tenth of the load of a calm day. */
+/** Below this load, as a share of all engines, the pools say little. It is a tenth of the load of a calm day. */
 static const double LOAD_MIN = 0.05;
-/** Part of the prefill pool that may be at work in a calm moment: bursts bring twice as much, and prompts that wait
- *  are answered late. What is above is better used as memory. Measured: docs/design/roles.md */
+/** Part of the prefill pool that may be in use in a calm moment: bursts bring twice as much, and prompts that wait
+ *  are answered late. Engines beyond that are of more use as decode memory. Measured: docs/design/roles.md */
 static const double PREFILL_BUSY_MAX = 0.55;
-/** While memory is short, in a burst or after losses, the prefill pool may be as busy as this share of the decode pool:
- *  what it could read faster would find no memory. */
+/** While memory is short, in a burst or after losses, the prefill pool may be as busy as this share of the decode
+ *  pool: prompts that it read sooner would find no memory. */
 static const double PREFILL_TO_DECODE_MAX = 0.85;
-/** Above this part a prompt waits for longer than it is read: an engine comes back, if the decode pool can spare it. */
+/** Above this part of the prefill pool in use a prompt waits longer than it takes to read, and the pool gets an
+ *  engine back if the decode pool can spare one. */
 static const double PREFILL_SHORT_MIN = 0.9;
-/** It can, when those that stay would be busy for less than this part. */
+/** The decode pool can spare an engine if the remaining ones would be busy for less than this part. */
 static const double DECODE_SPARE_MAX = 0.5;
 
 enum {
-    PREFILLS_MIN = 2, /* one may die */
-    DECODES_MIN = 2   /* the same */
+    PREFILLS_MIN = 2, /* one may fail */
+    DECODES_MIN = 2   /* one may fail */
 };
 
 /* ===== Rules ===== */
 
-/** Whether the prefill pool would do with one engine less. */
+/** Whether the prefill pool can do with one engine less. */
 static bool can_shrink_prefill(const role_pools_t *pools)
 {
     if (pools->prefills <= PREFILLS_MIN)
@@ -35,7 +36,7 @@
     return slow <= memory && (left <= PREFILL_BUSY_MAX || left <= PREFILL_TO_DECODE_MAX * memory);
 }
 
-/** Whether the prefill pool is short of an engine that the decode pool can spare. */
+/** Whether the prefill pool needs an engine that the decode pool can spare. */
 static bool must_grow_prefill(const role_pools_t *pools)
 {
     return pools->decodes > DECODES_MIN && pools->load.prefill > PREFILL_SHORT_MIN * pools->prefills &&
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -16,39 +16,39 @@
 /* ===== Constants ===== */
 
 enum {
-    CONNECT_TIMEOUT_MS = 250, /* an engine in reach takes a few ms */
-    ORDER_TIMEOUT_MS = 1000,  /* for one answer of an engine; with this past, an order arrives no more */
-    SUSTAIN_MS = 700,         /* a wish must last: work is a moving average over 2 s */
-    MOVE_TIMEOUT_MS = 20000,  /* an order whose effect the list does not show by then had none: engines drain what they
-                           run, a  few seconds, change in some more, and may carry an order out up to 12 s late */
-    STALL_MS = 500,           /* this box stood still for longer than that since its last look: its term may be over */
-    COOLDOWN_MS = 3000,       /* an engine that refused an order is left alone for so long */
-    ENGINES_PER_MOVE = 10     /* one in so many engines may change at a time, and one always */
+    CONNECT_TIMEOUT_MS = 250, /* a reachable engine takes a few ms */
+    ORDER_TIMEOUT_MS = 1000,  /* for one answer of an engine; after this an order can no longer arrive */
+    SUSTAIN_MS = 700,         /* a target must be stable for this long; load is already a moving average over 2 s */
+    MOVE_TIMEOUT_MS = 20000,  /* an order that has not shown in the list by then had no effect: engines drain for a few
+                                 seconds, take some more to change, and may carry an order out up to 12 s late */
+    STALL_MS = 500,           /* if this box has not run rebalancer_tick for longer than this, its term may be over */
+    COOLDOWN_MS = 3000,       /* an engine that refused an order gets none for this long */
+    ENGINES_PER_MOVE = 10     /* at most one in this many engines, plus one, changes at a time */
 };
 
-/** Of engines' answers. */
+/** HTTP statuses of engines' answers. */
 enum { STATUS_OK = 200, STATUS_ACCEPTED = 202, STATUS_FENCED = 412 };
 
-/** Stages, as backend_t names them. */
+/** Values of backend_t.stage. */
 static const char PREFILL[] = "prefill";
 static const char DECODE[] = "decode";
 
 /* ===== Types ===== */
 
 typedef enum {
-    MOVE_QUERYING, /* the engine is asked what it is */
-    MOVE_ORDERING, /* the order is on its way */
-    MOVE_ORDERED,  /* taken, or perhaps taken: the list will show it */
-    MOVE_COOLDOWN  /* refused: not again for a while */
+    MOVE_QUERYING, /* the engine's report has been requested */
+    MOVE_ORDERING, /* the order has been sent */
+    MOVE_ORDERED,  /* accepted, or possibly accepted: the list will show it */
+    MOVE_COOLDOWN  /* refused: no new order for a while */
 } move_state_t;
 
-/** One engine that changes its role, or was to. */
+/** One engine that is changing its role, or was asked to. */
 typedef struct {
     struct cds_list_head node;
     backend_t engine;
-    char target_stage[CODEC_STR_SIZE]; /* stage that it is to have */
+    char target_stage[CODEC_STR_SIZE]; /* stage that the engine is to have */
     move_state_t state;
-    tc_time_t until; /* the move is forgotten then, whatever came of it */
+    tc_time_t until; /* the move is dropped then, whatever its state */
 } move_t;
 
 struct rebalancer {
@@ -56,16 +56,16 @@
     web_client_t *client;
     call_gate_t *gate;
     char box[CODEC_STR_SIZE];
-    tc_time_t order_delay_ms; /* as rebalancer_create says */
-    uint64_t term;            /* of the leadership, 0 for none */
+    tc_time_t order_delay_ms; /* see rebalancer_create */
+    uint64_t term;            /* leadership term, 0 for none */
     tc_time_t term_since;
-    tc_time_t ticked_at;        /* time of the last look */
-    bool fenced;                /* somebody with a higher fence orders: no more in this term */
-    uint32_t wanted;            /* what is_sustained was told last */
-    tc_time_t wanted_since;     /* without a change */
+    tc_time_t ticked_at;        /* last rebalancer_tick */
+    bool fenced;                /* an engine has seen a higher fence: no more orders in this term */
+    uint32_t wanted;            /* last target passed to is_sustained */
+    tc_time_t wanted_since;     /* time of its last change */
     struct cds_list_head moves; /* all move_t */
     web_ask_t ask;
-    move_t *calling; /* the move that the call under way is for, or NULL */
+    move_t *calling; /* move whose call is in flight, or NULL */
 };
 
 /* ===== Log ===== */
@@ -125,7 +125,7 @@
         end_move(r, move);
 }
 
-/** Leave the engine alone for a while. */
+/** Excludes the engine from orders for COOLDOWN_MS. */
 static void cool_down(const rebalancer_t *r, move_t *move)
 {
     move->state = MOVE_COOLDOWN;
@@ -141,7 +141,7 @@
 {
     uint32_t n = 0;
     const move_t *move;
-    memset(list, 0, room * sizeof(*list)); /* lists are compared by their bytes */
+    memset(list, 0, room * sizeof(*list)); /* lists are compared bytewise */
     cds_list_for_each_entry(move, &r->moves, node) {
         if (!is_moving(move) || n == room)
             continue;
@@ -159,7 +159,7 @@
     return n;
 }
 
-/* ===== Moves and the list ===== */
+/* ===== Completion of moves ===== */
 
 static const backend_t *find_listed(const rebalancer_input_t *input, const char *id)
 {
@@ -169,14 +169,14 @@
     return NULL;
 }
 
-/** End the moves that are over: the engine is what it was to become, is gone, or was ordered long ago. */
+/** Ends the moves that are over: the engine has its target stage, has disappeared, or did not change in time. */
 static void end_finished_moves(rebalancer_t *r, const rebalancer_input_t *input, tc_time_t now)
 {
     move_t *move, *next;
     cds_list_for_each_entry_safe(move, next, &r->moves, node) {
         const backend_t *const engine = find_listed(input, move->engine.id);
         if (move == r->calling)
-            continue; /* its answer comes first */
+            continue; /* wait for its answer */
         if (engine && strcmp(engine->stage, move->target_stage) == 0) {
             log_move(r, move, "done", 0);
             end_move(r, move);
@@ -210,7 +210,7 @@
     web_ask(&r->ask, &where, request, fn, r);
 }
 
-/** The engine's answer to the order. */
+/** Handles the engine's answer to an order. */
 static void on_ordered(void *arg, web_ask_end_t how)
 {
     rebalancer_t *const r = arg;
@@ -218,7 +218,7 @@
     r->calling = NULL;
     if (how != WEB_ASK_WHOLE) {
         counter_add(&c_unknown, 1);
-        move->state = MOVE_ORDERED; /* it may have been taken, or be carried out later */
+        move->state = MOVE_ORDERED; /* it may have been accepted, or be carried out later */
         log_move(r, move, "no answer", 0);
         return;
     }
@@ -243,13 +243,13 @@
     call_engine(r, move, dialect_write_order(move->engine.addr, &order), on_ordered);
 }
 
-/** Whether the engine takes new work of this box: an order is some. */
+/** Whether the engine accepts new work of this box, which an order is. */
 static bool accepts_orders(const rebalancer_t *r, const char *engine)
 {
     return call_gate_accepts(r->gate, engine, CALL_NEW_WORK, tc_time_now());
 }
 
-/** What the engine says it is: the order rests on it. */
+/** Sends the order if the engine's report allows it; the order refers to this report. */
 static void on_engine_report(void *arg, web_ask_end_t how)
 {
     rebalancer_t *const r = arg;
@@ -276,7 +276,7 @@
     send_order(r, move, engine.orders);
 }
 
-/* ===== Deciding ===== */
+/* ===== Decisions ===== */
 
 static bool is_eligible(const backend_t *b, const rebalancer_input_t *input)
 {
@@ -284,7 +284,7 @@
     return strcmp(b->service, input->service) == 0 && !b->draining && !evacuated && b->stage[0];
 }
 
-/** The stage that an engine has, or goes to. */
+/** The stage that an engine has or is changing to. */
 static const char *stage_of(const rebalancer_t *r, const backend_t *b)
 {
     const move_t *const move = find_move(r, b->id);
@@ -305,7 +305,7 @@
     }
 }
 
-/** How many engines of a role a data centre has. */
+/** Number of engines of a stage in a data centre. */
 static uint32_t count_in_dc(const rebalancer_t *r, const rebalancer_input_t *input, const char *dc, const char *stage)
 {
     uint32_t n = 0;
@@ -316,7 +316,7 @@
     return n;
 }
 
-/** An engine of the role, from the data centre that has most of them. */
+/** Chooses an engine of stage @p from in the data centre that has most of them. */
 static const backend_t *choose_engine(const rebalancer_t *r, const rebalancer_input_t *input, const char *from)
 {
     const backend_t *best = NULL;
@@ -334,7 +334,7 @@
     return best;
 }
 
-/** Begin a move: look at the engine first. */
+/** Starts a move by requesting the engine's report. */
 static void begin_move(rebalancer_t *r, const backend_t *engine, const char *to, tc_time_t now)
 {
     move_t *const move = g_new0(move_t, 1);
@@ -346,7 +346,7 @@
     call_engine(r, move, dialect_write_engine_query(engine->addr), on_engine_report);
 }
 
-/** Whether the same has been wanted for long enough. @param changed it is not what there is: a wish at all */
+/** Whether the target has been the same for SUSTAIN_MS. @param changed it differs from the present number */
 static bool is_sustained(rebalancer_t *r, uint32_t wanted, bool changed, tc_time_t now)
 {
     if (wanted != r->wanted || !changed) {
@@ -362,12 +362,13 @@
     count_pools(r, input, &pools);
     const uint32_t wanted = balance_target_prefills(&pools);
     const bool fewer = wanted < pools.prefills;
-    /* A wish for fewer is one wish, whatever the number: it lasts while one engine after the other goes. */
+    /* Any target below the present number counts as the same one, so that it stays sustained while engines change
+     * one after the other. */
     if (!is_sustained(r, fewer ? 0 : wanted, wanted != pools.prefills, now))
         return;
     const uint32_t room = (pools.prefills + pools.decodes) / ENGINES_PER_MOVE;
     if (count_moving(r) > room)
-        return; /* one more than the share, so that small services change too */
+        return; /* the share plus one, so that small services change too */
     const backend_t *const engine = choose_engine(r, input, fewer ? PREFILL : DECODE);
     if (!engine)
         return;
@@ -375,13 +376,13 @@
     begin_move(r, engine, fewer ? DECODE : PREFILL, now);
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 static void update_term(rebalancer_t *r, uint64_t term, tc_time_t now)
 {
     if (term == r->term)
         return;
-    end_moves(r); /* what was ordered shows in the list; what was not is for the next leader */
+    end_moves(r); /* accepted orders show in the list; the next leader decides about the others */
     r->term = term;
     r->term_since = now;
     r->wanted_since = now;
@@ -396,7 +397,7 @@
     if (r->term == 0)
         return;
     end_finished_moves(r, input, now);
-    /* An older leader's order may be under way until its lease and the time of an order are over. */
+    /* An older leader's order may be in flight until its lease and ORDER_TIMEOUT_MS have passed. */
     const bool may_order = now - r->term_since >= r->order_delay_ms + ORDER_TIMEOUT_MS;
     if (may_order && !r->fenced && !r->calling && input->service[0])
         decide(r, input, now);
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -43,7 +43,7 @@
     return &item->action;
 }
 
-/* ===== Time ===== */
+/* ===== Ticks ===== */
 
 enum { FREE_RATE_WINDOW_MS = 250 };
 static const double FREE_RATE_WEIGHT = 0.2;
@@ -54,7 +54,7 @@
     if (span < FREE_RATE_WINDOW_MS)
         return;
     const double rate = (s->freed_pieces > 0 ? s->freed_pieces : 0) / (double)span;
-    /* Before the first request finishes nothing is known: an idle cell must not look like a full one. */
+    /* Nothing is known before the first request finishes: an idle cell must not look like a full one. */
     if (s->free_rate > 0 || rate > 0)
         s->free_rate += FREE_RATE_WEIGHT * (rate - s->free_rate);
     s->freed_pieces = 0;
@@ -70,18 +70,18 @@
     }
 }
 
-/** Time constant of the averages that planner and mover decide on. */
+/** Time constant of the load averages that planner and rebalancer use. */
 static const double LOAD_AVERAGE_MS = 2000;
-/** The same of prompts that are read, where they are compared with the memory that decode engines hold: that follows by
- *  as long as streams last, some seconds. */
+/** Time constant of the prefill average that is compared with the memory in use on decode engines. Memory follows
+ *  the prompts with a delay of some seconds, the length of the streams. */
 static const double LOAD_SLOW_AVERAGE_MS = 6000;
 
-/** Engines that can be used, and what they have to do, at one moment. */
+/** Usable engines and their load at one moment. */
 typedef struct {
-    double prefills; /* engines that compute prompts */
-    double working;  /* those of them that do */
-    double decodes;  /* engines that decode */
-    double taken;    /* of them, by memory or places, whichever is more: in engines */
+    double prefills; /* prefill engines */
+    double working;  /* prefill engines that have work */
+    double decodes;  /* decode engines */
+    double taken; /* decode engines in use: sum of the share of memory or of batch places taken, whichever is larger */
 } pool_use_t;
 
 static pool_use_t measure_pool_use(const sched_t *s, tc_time_t now)
@@ -124,7 +124,8 @@
         s->stats.decode_busy += weight * (use.taken / use.decodes - s->stats.decode_busy);
 }
 
-/** Engines scanned at for a ms of time: a tick of few of them counts all, of many some counts go by without. */
+/** Engines counted per ms of time. A small cell is counted on every tick; a large one skips ticks, so that counting
+ *  costs the same. */
 enum { ENGINES_COUNTED_PER_MS = 40 };
 
 void sched_tick(sched_t *s, tc_time_t now)
@@ -186,7 +187,7 @@
     if (other) {
         memset(e->cache, 0, sizeof(e->cache));
         e->outdated_until = 0;
-        e->leaving_self = true; /* until its state page shows that it has become what it is to be */
+        e->leaving_self = true; /* until its state shows that it has taken over the new configuration */
     }
     codec_copy_string(e->version, sizeof(e->version), cfg->version);
     e->dc = dc_get_or_add(s, cfg->dc);
@@ -268,7 +269,7 @@
                             GUINT_TO_POINTER(config->workspaces[i].weight));
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 sched_t *sched_create(const sched_options_t *options, tc_time_t now)
 {
@@ -301,7 +302,7 @@
     CDS_INIT_LIST_HEAD(&s->actions);
     s->freed_at = now;
     s->load_updated_at = now;
-    /* Attempts of different epochs differ, whatever a box that held the lease before may still send. */
+    /* Attempt numbers differ between epochs, so that late messages of a former lease holder match no attempt. */
     s->next_attempt = (uint32_t)((options->epoch % 4000) * 1000000);
     s->targets.max_queue = 512;
     return s;
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -1,22 +1,19 @@
 /** @file sched.h
  * The scheduler of one cell: a pure state machine.
  *
- * It is the single writer of the reservations on a cell's engines. Events go in
- * as function calls with the time; actions come out of sched_next_action. There
- * is no I/O, no thread and no clock in here. The same core runs inside the entry
- * box that holds the cell's lease, in the randomised test with its oracle, and
- * under libFuzzer.
+ * It is the only writer of the reservations on a cell's engines. Events enter as function calls that carry the
+ * time; actions are read with sched_next_action. It does no I/O and has no threads and no clock. The same code runs
+ * in the entry box that holds the cell's lease, in the randomised test with its oracle, and under libFuzzer.
  *
- * What it keeps true (asserted by sched_check in every build):
- *  - the pieces reserved on an engine are exactly those of the requests placed
- *    there plus those of requests being cancelled there;
+ * Invariants, asserted by sched_check in every build:
+ *  - the pieces reserved on an engine are those of the requests placed or being cancelled there;
  *  - a grant never reserves more pieces than the engine has;
- *  - a request is queued, or placed on one pair of engines, never both;
+ *  - a request is either queued or placed on one pair of engines, never both;
  *  - an attempt number is never used twice for a request;
  *  - every waiting call is answered exactly once.
  *
- * A refusal ("not run") is given only to a request for which no engine has been
- * named in this attempt, so it has truly not run.
+ * A request is refused ("not run") only while no engine has been named in the current attempt, so it cannot have
+ * run.
  */
 #ifndef TRACKCOVE_SCHED_SCHED_H
 #define TRACKCOVE_SCHED_SCHED_H
@@ -31,43 +28,43 @@
 
 /* ===== Constants ===== */
 
-/** Tokens in one piece of engine memory (users' brief). */
+/** Tokens per piece of engine memory, as the users' brief sets it. */
 #define SCHED_PIECE_TOKENS 2000u
-/** The same where memory is handed out by small blocks and prompts are some thousand tokens: pieces of this size waste
- *  one in two hundred, pieces of 256 tokens one in thirty. */
+/** Tokens per piece where engines allocate memory in small blocks and prompts are some thousand tokens long.
+ *  Rounding up to 32 tokens wastes one part in 200; 256 tokens would waste one in 30. */
 #define SCHED_SMALL_PIECE_TOKENS 32u
-/** A reservation lapses when its entry box has not renewed it for this long. Entry boxes renew every
- *  SCHED_RENEW_MS, so four renewals in a row must be lost. */
+/** A reservation expires when its entry box has not renewed it for this long. Entry boxes renew every
+ *  SCHED_RENEW_MS, so it takes four lost renewals in a row. */
 #define SCHED_LEASE_MS 1200
 #define SCHED_RENEW_MS 300
-/** A new scheduler grants nothing for this long, so that every entry box can report what it holds: entries renew as
- *  soon as they hear of it, and again after SCHED_RENEW_MS. What is not reported by then stays out of reach all the
- *  same, since the engines' own lists show it. */
+/** A new scheduler grants nothing for this long, so that every entry box can report the requests it holds: boxes
+ *  renew as soon as they learn of the scheduler, and again after SCHED_RENEW_MS. Memory that is not reported by then
+ *  stays unavailable all the same, because the engines list it in their state. */
 #define SCHED_REBUILD_MS 450
-/** How long a finished request is remembered, so that a caller who lost the answer can fetch it. */
+/** How long a finished request is kept, so that a caller that lost the answer can fetch it. */
 #define SCHED_FINISHED_MS 30000
-/** For sched_limit_engine. */
+/** Grant limit of sched_limit_engine that stands for no limit. */
 #define SCHED_NO_LIMIT UINT32_MAX
 
 /* ===== Types ===== */
 
 typedef struct sched sched_t;
 
-/** Names a waiting call; the shell knows what it means. */
+/** Identifies a waiting call; its meaning is up to the caller of the scheduler. */
 typedef struct {
     uint64_t a, b;
 } sched_token_t;
 
 typedef struct {
-    const char *cell;                 /**< engines with this cell belong to the scheduler */
-    uint64_t epoch;                   /**< of the lease */
-    uint32_t share_count;             /**< 1: the whole cell. N: one Nth of each engine (policy "share") */
-    uint32_t piece_tokens;            /**< size of the pieces that memory is counted in; 0 for SCHED_PIECE_TOKENS */
-    tc_time_t local_prefill_after_ms; /**< a request that no prefill engine took for this long, ms, may be read by its
-                               decode engine itself, one at a time there; 0: never */
-    bool rebuild;                     /**< start with SCHED_REBUILD_MS of learning */
-    bool adopt_unknown; /**< what an entry box lists runs, whoever placed it: it is counted at any time. Without it,
-                      what nobody here knows outside a rebuild is a request whose lease lapsed */
+    const char *cell;                 /**< the scheduler manages the engines of this cell */
+    uint64_t epoch;                   /**< epoch of the cell's lease */
+    uint32_t share_count;             /**< 1: the whole cell; N: one Nth of each engine (policy "share") */
+    uint32_t piece_tokens;            /**< tokens per piece of memory; 0 for SCHED_PIECE_TOKENS */
+    tc_time_t local_prefill_after_ms; /**< once no prefill engine has taken a request for this long, its decode engine
+                                         may read the prompt itself, one prompt at a time per engine; 0: never */
+    bool rebuild;                     /**< collect reports for SCHED_REBUILD_MS before the first grant */
+    bool adopt_unknown; /**< count a request that an entry box lists at any time, whoever placed it. Otherwise an
+                           unknown request outside a rebuild is taken for one whose lease has expired */
 } sched_options_t;
 
 typedef enum { SCHED_ACT_ANSWER, SCHED_ACT_CANCEL } sched_action_kind_t;
@@ -76,22 +73,23 @@
     sched_token_t token;
     char id[CODEC_STR_SIZE];
     msg_placed_t placed;
-    bool repeated; /**< the same box has asked on: this is no decision, and the call has probably timed out */
+    bool repeated; /**< superseded by a repeated call of the same box: this answer is no decision, and the call has
+                      probably timed out */
 } sched_answer_t;
 
-/** Something the shell must do. */
+/** Something the caller of the scheduler must do. */
 typedef struct {
     sched_action_kind_t kind;
     union {
         sched_answer_t answer; /**< send placed to the waiting call */
         struct {
             char engine[CODEC_STR_SIZE];
-            char engine_id[CODEC_STR_SIZE + 16]; /**< id the engine knows: "ID.ATTEMPT" */
-        } cancel;                                /**< cancel it at the engine, then report with sched_cancelled */
+            char engine_id[CODEC_STR_SIZE + 16]; /**< the engine's id of the attempt: "ID.ATTEMPT" */
+        } cancel; /**< cancel the attempt at the engine and report the result with sched_cancelled */
     } u;
 } sched_action_t;
 
-/** What an engine says it holds, from its state page. */
+/** A request that an engine reports it holds. */
 typedef struct {
     char engine_id[CODEC_STR_SIZE + 16];
     uint32_t pieces;
@@ -99,25 +97,26 @@
 
 typedef struct {
     uint32_t queued, placed, cancelling, engines;
-    double prefill_busy, decode_busy;                    /**< moving averages, 0 to 1, for the planner */
-    double prefill_load, prefill_load_slow, decode_load; /**< for the rebalancer: as prefill, settled and decode in
-                                                            pool_load_t (roles/balance.h) */
-    uint64_t cache_predicted,
-        cache_actual; /**< prompt tokens taken for cached at the grant, and cached as engines said */
+    double prefill_busy, decode_busy; /**< share of engines in use, moving averages from 0 to 1, for the planner */
+    double prefill_load, prefill_load_slow,
+        decode_load; /**< for the rebalancer: prefill, prefill_slow and decode of pool_load_t (roles/balance.h) */
+    uint64_t cache_predicted, cache_actual; /**< prompt tokens expected in the prefix cache at the grant, and tokens
+                                               that engines reported as cached */
     uint64_t granted, refused, resumed, replanned, lapsed, orphans, adopted;
-    uint64_t engines_scanned; /**< engines scanned at to choose, or to judge how long a request would wait */
+    uint64_t engines_scanned; /**< engines examined to choose one or to estimate a wait */
 } sched_stats_t;
 
-/** What the scheduler takes all engines that can be used for, at one moment. */
+/** Totals over all usable engines at one moment. */
 typedef struct {
-    uint32_t queued, placed;              /**< requests */
-    uint32_t prefills, decodes;           /**< engines */
-    uint32_t decode_pieces, decode_taken; /**< memory of the decode engines, and what of it nobody can have */
-    double backlog_ms;                    /**< prefill work given and not done, over all prefill engines */
-    double free_rate;                     /**< decode pieces freed, a ms */
+    uint32_t queued, placed;    /**< requests */
+    uint32_t prefills, decodes; /**< engines */
+    uint32_t decode_pieces,
+        decode_taken;  /**< memory of the decode engines in pieces, and the part of it that is unavailable */
+    double backlog_ms; /**< prefill work that was assigned and is not done, over all prefill engines */
+    double free_rate;  /**< decode pieces freed per ms */
 } sched_load_t;
 
-/** One engine as the scheduler sees it, for status pages. */
+/** State of one engine, for status pages. */
 typedef struct {
     char name[CODEC_STR_SIZE];
     role_t role;
@@ -131,108 +130,110 @@
 
 sched_t *sched_create(const sched_options_t *options, tc_time_t now);
 
-/** Calls still waiting are dropped without an answer. */
+/** Drops calls that still wait without an answer. */
 void sched_destroy(sched_t *sched);
 
-/** Take over a configuration. Engines that are gone from it finish what they have and get nothing new. */
+/** Applies a configuration. Engines that are no longer in it finish their requests and get no new ones. */
 void sched_configure(sched_t *sched, const config_t *config, tc_time_t now);
 
-/** So many entry boxes are live: once all of them have renewed, a rebuilding scheduler need not wait any longer. */
+/** Sets how many entry boxes are live: a rebuild ends early once all of them have renewed. */
 void sched_expect_reports(sched_t *sched, uint32_t boxes);
 
-/** Policy "share": from now on this is one of @p share_count equal parts. Call before sched_configure. */
+/** Policy "share": this scheduler uses one of @p share_count equal parts of each engine. Call before
+ *  sched_configure. */
 void sched_set_share_count(sched_t *sched, uint32_t share_count);
 
-/** A request asks for engines; answered later through SCHED_ACT_ANSWER, by its deadline at the latest. */
+/** Asks for engines for a request. Answered through SCHED_ACT_ANSWER, by the request's deadline at the latest. */
 void sched_place(sched_t *sched, const msg_place_t *place, sched_token_t token, tc_time_t now);
 
-/** The transfer to the decode engine failed: name another. Answered through SCHED_ACT_ANSWER. */
+/** Asks for another decode engine after the transfer to the present one failed. Answered through SCHED_ACT_ANSWER. */
 void sched_replan(sched_t *sched, const msg_replan_t *replan, sched_token_t token, tc_time_t now);
 
-/** A request moved on, ended or failed. */
+/** Reports that a request entered another phase, ended or failed. */
 void sched_progress(sched_t *sched, const msg_progress_t *progress, tc_time_t now);
 
-/** An entry box renews all it holds: by count and digest (XOR of sched_digest over its placed requests), or, when
- *  renew->listed, by a list.
- * @param lost filled with at most @p room requests it must let go @param want_list the counts differ: send the list
- * @return how many are lost */
+/** An entry box renews all the requests it holds: by count and digest (XOR of sched_digest over its placed
+ *  requests), or by a list when renew->listed is set. @param lost receives at most @p room requests that the box
+ *  must drop @param want_list set when count or digest differ: the box must send the list @return number of lost
+ *  requests */
 uint32_t sched_renew(sched_t *sched, const msg_renew_t *renew, held_t *lost, uint32_t room, bool *want_list,
                      tc_time_t now);
 
-/** What one attempt adds to a box's digest. */
+/** Contribution of one attempt to a box's digest. */
 uint64_t sched_digest(const char *id, uint32_t attempt);
 
-/** The engine answered its state page. @param incarnation changes when it restarted and forgot everything
- * @param leaving it says that it leaves, or it does not (yet) serve what the configuration says
- * @param asked when the page was asked for */
+/** The engine answered a query of its state. @param incarnation changes when the engine restarted and lost
+ *  everything it held @param leaving the engine says that it is leaving, or it does not (yet) serve what the
+ *  configuration says @param asked when the query was sent */
 void sched_on_engine_state(sched_t *sched, const char *engine, uint64_t incarnation, bool leaving,
                            const sched_engine_request_t *held, uint32_t n_held, tc_time_t asked, tc_time_t now);
 
-/** The same of all engines of the configuration, where a list of them is all that is heard: they are there, and as it
- *  says. */
+/** Marks all configured engines as up, where a list of them is the only report: they exist and match the list. */
 void sched_on_engine_list(sched_t *sched, tc_time_t now);
 
-/** An engine told which requests it runs, by their plain ids, as of up to a second ago: what is not counted here is
- *  given to nobody, until it tells otherwise. For engines that end what nobody holds by themselves. */
+/** Sets the requests that an engine reports to run, by their plain ids, as of up to one second ago. Memory of
+ *  requests that are not counted here stays unavailable until the next report. For engines that end abandoned
+ *  requests by themselves. */
 void sched_set_engine_requests(sched_t *sched, const char *engine, const sched_engine_request_t *held, uint32_t n,
                                tc_time_t now);
 
-/** Whether engines may run what is not counted here: the scheduler has just begun, an engine refused what it had room
- * for by the count, or an entry box is silent and may place by itself. Then it is worth asking them often. */
+/** Whether engines may run requests that are not counted here: the scheduler started recently, an engine refused a
+ *  request although it had room by the count, or an entry box is silent and may place requests by itself. Engines
+ *  should be queried often while this holds. */
 bool sched_needs_reconcile(const sched_t *sched, tc_time_t now);
 
-/** The engine did not answer its state page. */
+/** The engine did not answer a query of its state. */
 void sched_on_engine_timeout(sched_t *sched, const char *engine, tc_time_t now);
 
-/** The platform's list says that the engine is leaving, or is not. */
+/** Sets whether the platform's list says that the engine is leaving. */
 void sched_set_engine_leaving(sched_t *sched, const char *engine, bool leaving, tc_time_t now);
 
-/** What back ends say of themselves to an entry box: nothing of that box's requests is granted on those that want no
- *  calls of it, for so long. Replaces what the box said before. */
+/** Sets the notices of back ends to an entry box: no request of the box is granted on a back end that asked for no
+ *  calls, for as long as its notice says. Replaces the box's former notices. */
 void sched_set_notices(sched_t *sched, const char *box, const backend_notice_t *list, uint32_t n, tc_time_t now);
-/** Whether the engine wants calls of the entry box, as far as that has said. */
+/** Whether the engine accepts calls of the entry box, by the box's notices. */
 bool sched_engine_accepts(const sched_t *sched, const char *box, const char *engine, tc_time_t now);
 
-/** From now on no more than @p grants are made on the engine, until this is called again. SCHED_NO_LIMIT: any number.
- *  @return how many were made within the last such number */
+/** Allows at most @p grants further grants on the engine until the next call; SCHED_NO_LIMIT for any number. @return
+ *  number of grants made under the former limit */
 uint32_t sched_limit_engine(sched_t *sched, const char *engine, uint32_t grants);
 
-/** The engine confirmed a cancel (it holds nothing for that id), or did not. */
+/** Result of a cancel at an engine. @param confirmed the engine holds nothing for that id */
 void sched_cancelled(sched_t *sched, const char *engine, const char *engine_id, bool confirmed, tc_time_t now);
 
-/** The lease ran out and was extended without anybody else having had it: nothing was heard meanwhile, so leases of
- *  requests begin anew and nothing is granted for SCHED_REBUILD_MS. */
+/** The lease expired and was extended, and nobody else held it in between. Messages may have been lost meanwhile, so
+ *  the leases of all requests start anew and nothing is granted for SCHED_REBUILD_MS. */
 void sched_resume(sched_t *sched, tc_time_t now);
 
-/** The holder of the lease can't tell for a moment whether it still holds: nothing is granted until it can, and nothing
- *  is forgotten. Who waits goes on waiting, until its due time. */
+/** Stops or resumes granting while the box cannot tell whether it still holds the cell's lease. Keeps all state;
+ *  queued requests wait on until they are due. */
 void sched_suspend(sched_t *sched, bool suspended);
 
-/** The lease is over: take out one waiting call, so that the shell can send it to the next scheduler.
- * @return false when none waits */
+/** Takes out one waiting call after the cell's lease has ended, so that it can be sent to the next scheduler.
+ *  @return false when none waits */
 bool sched_pop_waiting(sched_t *sched, sched_token_t *token);
 
-/** Let time pass: leases lapse, deadlines refuse, cancels are tried again. Call at least every 50 ms. */
+/** Advances time: expires leases, refuses overdue requests, retries cancels. Call at least every 50 ms. */
 void sched_tick(sched_t *sched, tc_time_t now);
 
-/** Take the next action. @return false when there is none */
+/** Takes the next action. @return false when there is none */
 bool sched_next_action(sched_t *sched, sched_action_t *action);
 
-/** Assert every invariant; costs a walk over all requests and engines. */
+/** Asserts every invariant. Walks over all requests and engines. */
 void sched_check(const sched_t *sched);
 
 sched_stats_t sched_stats(const sched_t *sched);
 sched_load_t sched_load(const sched_t *sched, tc_time_t now);
 
-/** Fill up to @p room views. @return how many engines there are */
+/** Fills in at most @p room entries of @p views. @return number of engines, which may be larger */
 uint32_t sched_list_engines(const sched_t *sched, sched_engine_view_t *views, uint32_t room, tc_time_t now);
 
-/** The id by which an engine knows an attempt of a request. */
+/** Formats the id by which an engine knows an attempt of a request. */
 void sched_engine_id(char *to, size_t size, const char *id, uint32_t attempt);
 
-/** Pieces of engine memory a request needs, in pieces of SCHED_PIECE_TOKENS. */
+/** Pieces of SCHED_PIECE_TOKENS that a request needs. */
 uint32_t sched_pieces(uint32_t prompt_tokens, uint32_t max_tokens);
-/** The same in pieces of another size. */
+/** Pieces of @p piece_tokens that a request needs. */
 uint32_t sched_pieces_of(uint32_t piece_tokens, uint32_t prompt_tokens, uint32_t max_tokens);
 
 #endif
--- a/lib/sched/sched_check.c
+++ b/lib/sched/sched_check.c
@@ -1,4 +1,4 @@
-/* Invariants, and views for status pages. */
+/* Invariants, statistics and status views. */
 
 #include <math.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 /* ===== Invariants and views ===== */
 
-/** Begin to count anew what engines and owners are thought to hold. */
+/** Resets the counts that sched_check recomputes. */
 static void clear_counts(const sched_t *s)
 {
     for (guint i = 0; i < s->engine_list->len; i++)
@@ -30,7 +30,7 @@
     const request_t *r;
     cds_list_for_each_entry(r, &s->placed, node) {
         n++;
-        assert(g_hash_table_lookup(s->requests, r->id) == r); /* one record an id */
+        assert(g_hash_table_lookup(s->requests, r->id) == r); /* one record per id */
         assert(r->state == REQ_PLACED);                       /* queued or placed, never both */
         r->owner->counted++;
         r->owner->digested ^= sched_digest(r->id, r->attempt);
@@ -47,7 +47,7 @@
             r->prefill->counted.suspects_twice += r->prefill_ends >= 2;
         }
     }
-    assert(n == s->n_placed); /* the count shown is the count kept */
+    assert(n == s->n_placed); /* the list is as long as counted */
 }
 
 static void count_cancelling(const sched_t *s)
@@ -63,7 +63,8 @@
     const request_t *q;
     cds_list_for_each_entry(q, &s->queue, node) {
         queued++;
-        assert(q->state == REQ_QUEUED && q->waiting && !q->decode && !q->prefill); /* a refusal has not run */
+        assert(q->state == REQ_QUEUED && q->waiting && !q->decode &&
+               !q->prefill); /* a queued request has no engines, so a refused one has not run */
     }
     assert(queued == s->n_queue);
 }
@@ -72,7 +73,7 @@
 {
     for (guint i = 0; i < s->engine_list->len; i++) {
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
-        assert(e->counted.pieces == e->reserved); /* no piece is held by nobody, none is held twice */
+        assert(e->counted.pieces == e->reserved); /* every reserved piece belongs to exactly one request or cancel */
         assert(e->counted.batch == e->batch);
         assert(e->counted.local_prefills == e->local_prefills && e->local_prefills <= 1);
         assert(e->counted.prefills == e->prefills);
--- a/lib/sched/sched_choose.c
+++ b/lib/sched/sched_choose.c
@@ -1,4 +1,4 @@
-/* Which pair of engines, and whether a request can still make it. */
+/* Choice of engines for a request, and estimates of how long it would wait. */
 
 #include <math.h>
 #include <string.h>
@@ -7,18 +7,20 @@
 
 /* ===== Constants ===== */
 
-/** A decode engine's batch slows every request in it: what one more is taken to cost, in ms of first token. */
+/** Cost of each request in a decode engine's batch, as ms of the time to the first token: a larger batch slows every
+ *  request in it. */
 static const double BATCH_COST_MS = 3.0;
-/** The same of another one under which a back end has ended, to a request of that kind: if one of them is the cause,
- * the others need not be there when it ends the next. More than a full batch costs, so that they are spread first. */
+/** Cost of each other request on the engine under which a back end has ended, for a request of that kind. When one of
+ * them ends its engine again, the others should not be there. Costs more than a full batch, so that they are spread
+ * first. */
 static const double SUSPECT_COST_MS = 1000.0;
-/** Another data centre than the box's is farther for each event of the answer: as much as one request more in the
- * batch. */
+/** Cost of a data centre other than the box's, since each event of the answer passes between the two: as much as one
+ *  more request in the batch. */
 static const double REMOTE_DC_COST_MS = 3.0;
-/** Part of the time to the first token that estimates may fill; the rest covers their error. */
+/** Part of the time to the first token that an estimate may use; the rest covers its error. */
 static const double DUE_MARGIN = 0.85;
-/** Engines of each role that could be taken, after which a choice looks at no more: a placement costs the same however
- *  many engines there are. */
+/** A scan ends after this many candidates of a role, so that the cost of a placement does not grow with the number
+ *  of engines. */
 enum { CANDIDATES_LIMIT = 512 };
 
 /* ===== Choice ===== */
@@ -29,15 +31,15 @@
     return engine_taken(s, e, now) + r->pieces <= e->pieces && e->batch < batch_limit;
 }
 
-/** What it costs to run there, in ms of first token. */
+/** Cost of running the request on the engine, in ms of the time to the first token. */
 static double decode_cost(const engine_t *e, const request_t *r)
 {
     const double suspect_cost = r->ends >= 1 ? SUSPECT_COST_MS * e->suspects : 0;
     return BATCH_COST_MS * e->batch + suspect_cost;
 }
 
-/** A request under which two back ends have ended runs beside no other one under which one has: the third one that ends
- *  then has it alone, and nobody is taken for the cause who was only beside it. */
+/** A request under which two back ends have ended shares no engine with another under which one has ended. If a
+ *  third back end ends, the request was alone there, and no other request is blamed. */
 static bool may_share_engine(const engine_t *e, const request_t *r)
 {
     if (r->ends >= 2)
@@ -81,8 +83,8 @@
         best->decode = e;
 }
 
-/** Where to begin: what a box asks for again later begins at the same engines, so that whoever looks for one that keeps
- *  its prompt need ask only a few. */
+/** Start of the scan. It follows the request's fingerprint, so that a later attempt at the same request begins at
+ *  the same engines, and a box that looks for the engine that caches its prompt needs to ask only a few. */
 static guint first_in_pool(const pool_t *pool, const request_t *r)
 {
     if (r->fingerprint == 0)
@@ -99,7 +101,8 @@
     return low;
 }
 
-/** Offer engines of one role; without a fingerprint from where the last choice ended, so that all come in turn. */
+/** Considers the engines of one role. Without a fingerprint the scan starts where the last one ended, so that all
+ *  engines get their turn. */
 static void scan_pool(sched_t *s, role_t role, const request_t *r, choice_t *choice, tc_time_t now)
 {
     const engine_t *const avoid = r->avoid[0] ? engine_find(s, r->avoid) : NULL;
@@ -121,7 +124,7 @@
     s->stats.engines_scanned += scanned;
 }
 
-/** Find the best engines of each data centre, and count those that could be taken. */
+/** Finds the best engines of each data centre, and counts the candidates. */
 static void scan_engines(sched_t *s, const request_t *r, bool keep_prefill, choice_t *choice, tc_time_t now)
 {
     memset(s->best, 0, s->dcs->len * sizeof(*s->best));
@@ -130,13 +133,13 @@
         scan_pool(s, ROLE_PREFILL, r, choice, now);
 }
 
-/** What it costs that the answer comes from data centre @p dc. */
+/** Cost of answering from data centre @p dc. */
 static double box_cost(const request_t *r, uint32_t dc)
 {
     return r->dc == DC_UNKNOWN || r->dc == dc ? 0 : REMOTE_DC_COST_MS;
 }
 
-/** Weigh a prefill engine with the best decode engines of all data centres. */
+/** Compares the pairs of a prefill engine with the best decode engine of each data centre. */
 static void evaluate_decodes(const sched_t *s, const request_t *r, engine_t *prefill, const dc_best_t *from,
                              choice_t *choice)
 {
@@ -175,14 +178,14 @@
     return choice;
 }
 
-/* ===== Decode engines that read prompts ===== */
+/* ===== Local prefill ===== */
 
-/** A decode engine reads a prompt at this part of a prefill engine's pace, between the tokens of others. */
+/** Speed of prefill on a decode engine, between the tokens of its streams, as a fraction of a prefill engine's
+ *  speed. */
 static const double LOCAL_PREFILL_SPEED = 0.4;
 
-/** So many decode engines a prefill engine, or more: prompts wait for prefill engines while memory is free. Where the
- *  pools are in proportion, a burst runs out of both, and reading prompts on decode engines only slows their streams.
- */
+/** Decode engines per prefill engine from which on local prefill is used: prompts then wait for prefill engines
+ *  while memory is free. With balanced pools a burst exhausts both, and local prefill would only slow the streams. */
 enum { DECODES_PER_PREFILL_MIN = 3 };
 
 static bool is_short_of_prefill(uint32_t prefills, uint32_t decodes)
@@ -222,7 +225,7 @@
     s->pass++;
 }
 
-/** What this pass has found out about a model: nothing yet, when it is the first request of that model. */
+/** Clears the model's findings at the first request of the model in a pass. */
 static void reset_pass_findings(const sched_t *s, model_t *model)
 {
     if (model->pass == s->pass)
@@ -233,8 +236,8 @@
     model->no_local_prefill_from = UINT32_MAX;
 }
 
-/** Whether what one request does not get, no later one of its model and size gets either: it shuns no engine, none is
- *  closed to its box, no link keeps it from one, and it need not be kept apart from others. */
+/** Whether a request that gets nothing shows that later requests of its model and size get nothing either: it avoids
+ *  no engine, no engine is closed to its box, no link limit applies to it, and it may share engines with all others. */
 static bool is_representative(const request_t *r)
 {
     return !r->avoid[0] && r->owner->closed_n == 0 && r->ends == 0 && r->prompt_tokens < LONG_TRANSFER_TOKENS;
@@ -253,7 +256,7 @@
     return choice;
 }
 
-/** Whether the same is placed already: one under which a back end has ended runs at one engine at a time. */
+/** Whether the same request is placed already. One under which a back end has ended runs on one engine at a time. */
 static bool runs_already(const sched_t *s, const request_t *r)
 {
     const request_t *other;
@@ -291,11 +294,11 @@
     return a->priority != b->priority ? a->priority < b->priority : a->due <= b->due;
 }
 
-/** Room and work of the engines that serve a model. */
+/** Free capacity and backlog of the engines that serve a model. */
 typedef struct {
     double free_pieces, backlog_ms;
-    double prefills; /* in prefill engines; decode engines that read prompts count for a part */
-    double least_ms; /* in which any engine could read the prompt, with what it has cached */
+    double prefills; /* number of prefill engines; decode engines that do local prefill count as a fraction */
+    double least_ms; /* shortest time in which one engine could read the prompt, given its cache */
 } supply_t;
 
 static supply_t supply_for(sched_t *s, const request_t *r, tc_time_t now)
--- a/lib/sched/sched_engine.c
+++ b/lib/sched/sched_engine.c
@@ -1,4 +1,4 @@
-/* What the scheduler knows of engines and links, and what it learns. */
+/* State of engines, models and links, and the rates measured for them. */
 
 #include <math.h>
 #include <string.h>
@@ -25,7 +25,7 @@
 
 void engine_count_grant(engine_t *e)
 {
-    assert(e->grants_left > 0); /* promise: no more than its limit allows */
+    assert(e->grants_left > 0); /* promise: no more grants than the limit allows */
     if (e->grants_left == SCHED_NO_LIMIT)
         return;
     e->grants_left--;
@@ -60,7 +60,7 @@
 double engine_backlog(const engine_t *e, tc_time_t now)
 {
     const double left = e->backlog_ms - (double)(now - e->backlog_at);
-    /* What is not reported done is still there, all but the prompt that is being read. */
+    /* All prompts that are not reported done are still pending, except for the one being read. */
     const double behind = e->prefills > 1 ? e->pending_ms * (e->prefills - 1) / e->prefills : 0;
     return MAX(left, behind);
 }
@@ -102,14 +102,13 @@
     return PREFILL_BASE_MS + left / e->rate;
 }
 
-/* ===== How fast engines read prompts ===== */
+/* ===== Prefill rates ===== */
 
 enum {
-    ENGINE_RATE_WINDOW_MS = 2000, /* of reading, over which an engine's pace is taken */
-    MODEL_RATE_WINDOW_MS = 20000, /* the same of all engines of a model together */
-    ENGINE_PRIOR_MS =
-        300,              /* of reading at the model's pace that an engine's own pace begins with: some three prompts */
-    MODEL_PRIOR_MS = 1000 /* the same of a model, at the pace of its settings */
+    ENGINE_RATE_WINDOW_MS = 2000, /* of prefill time that an engine's rate is averaged over */
+    MODEL_RATE_WINDOW_MS = 20000, /* of prefill time that a model's rate is averaged over, all engines together */
+    ENGINE_PRIOR_MS = 300, /* weight of the model's rate in an engine's rate, as prefill time: about three prompts */
+    MODEL_PRIOR_MS = 1000  /* weight of the configured rate in a model's rate, as prefill time */
 };
 
 static void rate_sum_add(rate_sum_t *sum, double tokens, double ms, double window_ms)
@@ -122,7 +121,7 @@
     sum->ms = window_ms;
 }
 
-/** What the sum says, the more so the longer it is, and before that a first guess. */
+/** Rate of the sum, combined with a prior guess that counts as prior_ms of prefill time. */
 static double rate_sum_estimate(const rate_sum_t *sum, double guess, double prior_ms)
 {
     return (sum->tokens + guess * prior_ms) / (sum->ms + prior_ms);
@@ -136,17 +135,18 @@
     m->rate_sum = (rate_sum_t){.tokens = guess * MODEL_PRIOR_MS, .ms = MODEL_PRIOR_MS};
 }
 
-/** A prompt that had others before it took the time since the last of them was done: that counts while an engine has
- *  work all the time. Learnt from idle moments alone, an engine that came in the middle of a burst was taken to be as
- *  fast as the settings say: of 7 that came at two thirds of that pace each had a second of work before it after 4 s,
- *  while others were idle. */
+/** Updates the rates of the engine and its model from a finished prompt. A prompt that queued behind others took the
+ *  time since the previous one was done; measuring these too keeps the rate current while the engine is never idle.
+ *  When only prompts on idle engines were measured, an engine added during a burst was taken to be as fast as
+ *  configured: 7 engines that read at two thirds of that rate each had a backlog of one second after 4 s, while
+ *  others were idle. */
 void engine_update_rate(engine_t *e, const msg_progress_t *progress, tc_time_t now)
 {
     const double alone_ms = (double)progress->took_ms - PREFILL_BASE_MS;
     const double since_ms = e->last_prefill_at > 0 ? (double)(now - e->last_prefill_at) : INFINITY;
     e->last_prefill_at = now;
     const bool queued = since_ms < alone_ms;
-    /* Of a prompt that was alone, so short a one says nothing: the fixed part drowns it. */
+    /* A single prompt this short says nothing about the rate: its time is mostly the fixed part. */
     if (!queued && (progress->computed_tokens < SCHED_PIECE_TOKENS / 2 || alone_ms < 1))
         return;
     const double ms = queued ? since_ms : alone_ms;
@@ -196,7 +196,7 @@
 
 link_t *link_of(const sched_t *s, uint32_t a, uint32_t b)
 {
-    assert(a < s->dcs->len && b < s->dcs->len); /* places that dc_get_or_add gave */
+    assert(a < s->dcs->len && b < s->dcs->len); /* both are indexes of sched_t.dcs */
     return s->link_of[a * s->dcs->len + b];
 }
 
@@ -220,6 +220,6 @@
 {
     if (!link)
         return tokens * 1000.0 / FALLBACK_LINK_RATE;
-    /* The other entries' shares of the link are not known to a share: it counts on its part only. */
+    /* A share does not know the transfers of the other shares, so it counts on its own part of the link only. */
     return (link->outstanding + tokens) / (link->rate / s->share_count);
 }
--- a/lib/sched/sched_lease.c
+++ b/lib/sched/sched_lease.c
@@ -1,4 +1,4 @@
-/* Leases: whose memory it is. Entry boxes renew what they hold; what lapses is withdrawn. */
+/* Leases of requests: entry boxes renew the requests they hold, and requests whose leases expire are withdrawn. */
 
 #include <math.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 /* ===== Leases ===== */
 
-/** A request this scheduler did not grant: its entry box holds it since before. */
+/** Counts a request that its entry box holds and that this scheduler did not grant. */
 static void adopt(sched_t *s, const msg_renew_t *renew, const held_t *held, tc_time_t now)
 {
     engine_t *const decode = engine_find(s, held->decode);
@@ -35,21 +35,21 @@
     s->stats.adopted++;
 }
 
-/** Whether a request that nobody here knows may be another's: else its lease has lapsed, and its engines were told to
- *  let go of it. */
+/** Whether an unknown request may have been placed by another scheduler or box. Otherwise its lease has expired, and
+ *  its engines were told to cancel it. */
 static bool may_adopt(const sched_t *s, tc_time_t now)
 {
     return s->adopt_unknown || (s->rebuilding && now < s->admit_from + SCHED_LEASE_MS);
 }
 
-/** Whether the box that holds a request has placed it anew by itself. */
+/** Whether the box that holds the request has placed it anew by itself. */
 static bool has_moved(const request_t *r, const owner_t *owner, const held_t *held)
 {
     return r->owner == owner && r->state == REQ_PLACED && !r->waiting && held->attempt > 0 &&
            held->attempt != r->attempt;
 }
 
-/** A list of everything the box holds: the exact, longer way. */
+/** Renews by a list of all requests that the box holds; used when count and digest differ. */
 static uint32_t renew_listed(sched_t *s, const msg_renew_t *renew, const owner_t *owner, held_t *lost, uint32_t room,
                              tc_time_t now)
 {
@@ -91,7 +91,7 @@
         s->admit_from = now;
 }
 
-/** A box has renewed; when all that are live have, there is nothing more to wait for. */
+/** Notes that the box has renewed since the rebuild began, and ends the rebuild when all live boxes have. */
 static void record_report(sched_t *s, owner_t *owner, tc_time_t now)
 {
     if (owner->reported)
@@ -110,7 +110,7 @@
 {
     owner_t *const owner = owner_get(s, renew->box);
     uint32_t n_lost = 0;
-    /* The box and we count the same requests: all of them are renewed at once. */
+    /* Both sides count the same requests: all of them are renewed at once. */
     const bool same = owner->count == renew->count && owner->digest == renew->digest;
     *want_list = !renew->listed && !same;
     if (renew->listed)
@@ -177,7 +177,7 @@
     }
     cds_list_for_each_entry_safe(r, next, &s->finished, node) {
         if (now - r->phase_at < SCHED_FINISHED_MS)
-            break; /* the list is in order of time */
+            break; /* the list is sorted by time */
         request_free(s, r);
     }
 }
--- a/lib/sched/sched_place.c
+++ b/lib/sched/sched_place.c
@@ -1,4 +1,4 @@
-/* Placing: admission, granting in order, coming again, handing over, and what requests report. */
+/* Placement: admission, granting in order, repeated calls, replans, and progress reports. */
 
 #include <math.h>
 #include <stdio.h>
@@ -8,12 +8,12 @@
 #include "common/mechanism.h"
 #include "sched/sched_internal.h"
 
-/* ===== Granting ===== */
+/* ===== Grants ===== */
 
 static void grant(sched_t *s, request_t *r, const choice_t *choice, tc_time_t now)
 {
     const bool replan = r->state == REQ_REPLANNING;
-    /* Promise: a box is sent to no engine that wants no calls of it. */
+    /* Promise: a box is never given an engine that accepts no calls of it. */
     assert(!owner_is_closed(r->owner, choice->decode, now));
     assert(replan || !choice->prefill || !owner_is_closed(r->owner, choice->prefill, now));
     s->granted_prefill_ms += choice->prefill ? choice->prefill_ms : 0;
@@ -39,7 +39,6 @@
     s->stats.granted++;
 }
 
-/** Grant what can be granted, in order of priority and due time. */
 void dispatch(sched_t *s, tc_time_t now)
 {
     if (now < s->admit_from || s->suspended)
@@ -68,7 +67,7 @@
     return weight ? GPOINTER_TO_UINT(weight) : 1;
 }
 
-/** Prompt tokens a workspace has waiting, by its weight. */
+/** Prompt tokens that a workspace has queued, divided by its weight. */
 static double queued_tokens_per_weight(const sched_t *s, const char *workspace)
 {
     double tokens = 0;
@@ -79,8 +78,8 @@
     return tokens / weight_of(s, workspace);
 }
 
-/** The last waiting request of the workspace that waits with most for its weight, if that is more than
- *  @p mine and the request is no more urgent than @p r. */
+/** Last queued request of the workspace that has most queued for its weight, provided that this is more than @p mine
+ *  and that the request is no more urgent than @p r. */
 static request_t *shed_victim(const sched_t *s, const request_t *r, double mine)
 {
     request_t *q, *victim = NULL;
@@ -97,7 +96,8 @@
     return victim;
 }
 
-/** Keep the queue to what can still meet its target: refuse early, and first whom there is most of. */
+/** Keeps the queue to requests that can still meet their target. Refuses early, and first from the workspace that
+ *  has most queued for its weight. */
 static void admit(sched_t *s, request_t *r, tc_time_t now)
 {
     for (;;) {
@@ -116,7 +116,9 @@
     }
 }
 
-/** The same id again: hand over a running answer, or begin anew with what has not begun to answer. */
+/** Handles a repeated id: resumes a request that is decoding or finished, and otherwise withdraws it so that it
+ *  starts anew.
+ *  @return whether the call has been resumed */
 static bool resume_or_replace(sched_t *s, request_t *old, const msg_place_t *place, sched_token_t token, tc_time_t now)
 {
     if (old->state == REQ_FINISHED) {
@@ -164,14 +166,16 @@
     return false;
 }
 
-/** Whether the box of a request that waits asks on, since it has had no answer for a while: nothing has changed. */
+/** Whether the box repeats the call of a queued request because it has had no answer for a while. Nothing else has
+ *  changed. */
 static bool is_repeated_call(const request_t *old, const msg_place_t *place)
 {
     return old->state == REQ_QUEUED && strcmp(old->owner->name, place->box) == 0 &&
            strcmp(old->avoid, place->avoid) == 0;
 }
 
-/** The request keeps its place, and is not judged again: in a burst hundreds wait, and each asks on every 220 ms. */
+/** Keeps the request's place in the queue without a new admission check: in a burst hundreds of requests wait, and
+ *  each repeats its call every 220 ms. */
 static void keep_queued(sched_t *s, request_t *r, sched_token_t token, tc_time_t now)
 {
     refuse_call(s, r->id, r->token, "asked on", 0)->repeated = true;
@@ -188,7 +192,7 @@
 void sched_place(sched_t *s, const msg_place_t *place, sched_token_t token, tc_time_t now)
 {
     request_t *const old = g_hash_table_lookup(s->requests, place->id);
-    if (old && old->content != place->content) { /* promise: nobody gets the answer to somebody else's request */
+    if (old && old->content != place->content) { /* promise: nobody gets the answer to another caller's request */
         refuse_call(s, place->id, token, "the id belongs to another request", 0);
         return;
     }
@@ -221,7 +225,7 @@
     r->waiting = true;
     queue_insert(s, r);
     if (s->n_queue == 1)
-        dispatch(s, now); /* it waits behind nobody: what it would wait for need not be estimated where it is granted */
+        dispatch(s, now); /* nothing is ahead of it, so a wait has to be estimated only if it is not granted at once */
     if (is_queued(s, place->id)) {
         admit(s, r, now);
         dispatch(s, now);
@@ -231,7 +235,7 @@
     send_cancels(s, now);
 }
 
-/** What a refusal tells of its engine. Call while the request is still counted there. */
+/** Records what a refusal says about the engine. Call while the request is still counted there. */
 static void record_refusal(sched_t *s, const msg_replan_t *replan, tc_time_t now)
 {
     engine_t *const bad = engine_find(s, replan->bad);
@@ -261,7 +265,7 @@
     }
     record_refusal(s, replan, now);
     cancel_decode(s, r, now);
-    r->ends = MAX(r->ends, replan->ends); /* counted nowhere now */
+    r->ends = MAX(r->ends, replan->ends); /* not counted on any engine at this point */
     codec_copy_string(r->avoid, sizeof(r->avoid), replan->bad);
     r->token = token;
     r->waiting = true;
@@ -270,12 +274,12 @@
         choice = choose_pair(s, r, true, now);
     if (choice.decode) {
         r->state = REQ_REPLANNING;
-        /* A new number, so that tokens of the stalled engine, should it wake, are not taken for the new one's. */
+        /* A new attempt number, so that late tokens of the stalled engine are not taken for those of the new one. */
         set_owner(s, r, r->owner->name, ++s->next_attempt);
         grant(s, r, &choice, now);
         s->stats.replanned++;
     } else {
-        /* Nowhere to go: the attempt ends here, and what the prefill engine keeps for it may go too. */
+        /* There is no other engine: the attempt ends here, and the prefill engine may drop what it keeps for it. */
         r->waiting = false;
         refuse_call(s, r->id, token, choice.reason, 0);
         withdraw(s, r, true, now);
@@ -296,8 +300,8 @@
         e->failures++;
 }
 
-/** Whether its box gave the request up before the grant reached it: the grant would hold its engines until its lease
- *  ran out. */
+/** Whether the request's box abandoned it before the grant reached the box. Otherwise the grant would hold its
+ *  engines until the lease expired. */
 static bool was_abandoned(const request_t *r, const msg_progress_t *p)
 {
     return p->phase == PHASE_FAILED && p->attempt == 0 && p->box[0] && strcmp(r->owner->name, p->box) == 0;
@@ -313,7 +317,7 @@
         return;
     }
     if (!r || r->state != REQ_PLACED || (r->attempt != p->attempt && !was_abandoned(r, p)))
-        return; /* late news of an attempt that is over */
+        return; /* late message of an attempt that is over */
     r->lease_until = now + SCHED_LEASE_MS;
     switch (p->phase) {
     case PHASE_TRANSFER:
--- a/lib/sched/sched_reconcile.c
+++ b/lib/sched/sched_reconcile.c
@@ -1,4 +1,4 @@
-/* What engines say they hold, against what is reserved: restarts, strangers, confirmed cancels. */
+/* Compares what engines report to hold with what is reserved: restarts, orphaned requests, confirmed cancels. */
 
 #include <math.h>
 #include <stdio.h>
@@ -7,9 +7,9 @@
 
 #include "sched/sched_internal.h"
 
-/* ===== Engines' own word ===== */
+/* ===== Reports of engines ===== */
 
-/** The engine restarted: whatever it held is gone. */
+/** Drops everything that the engine held before it restarted. */
 static void engine_restarted(sched_t *s, engine_t *e, tc_time_t now)
 {
     cancelling_t *c, *next;
@@ -45,7 +45,7 @@
     return r && r->attempt == strtoul(dot + 1, NULL, 10) && (r->state == REQ_PLACED);
 }
 
-/** Look for ids on the engine that no live caller stands behind, and have them cancelled after a grace. */
+/** Finds ids on the engine that no live request accounts for, and cancels them after ORPHAN_GRACE_MS. */
 static void reconcile(sched_t *s, engine_t *e, const sched_engine_request_t *held, uint32_t n, tc_time_t now)
 {
     orphan_t *x, *next;
@@ -66,7 +66,7 @@
         x->pieces = e->role == ROLE_DECODE ? held[i].pieces : 0;
         if (now - x->first_seen < ORPHAN_GRACE_MS || now < s->admit_from + ORPHAN_GRACE_MS)
             continue;
-        x->seen_now = false; /* drops it below: from here on it is counted as cancelling */
+        x->seen_now = false; /* dropped below; it is counted as cancelling from here on */
         add_cancelling(s, e, held[i].engine_id, e->role == ROLE_DECODE ? held[i].pieces : 0, now);
         s->stats.orphans++;
     }
@@ -83,8 +83,8 @@
     }
 }
 
-/** Whether what an engine runs under this id is counted there. Its word is up to a second old: what has ended since is
- *  still in it. */
+/** Whether the request that an engine reports under this id is counted there. Reports are up to one second old, so
+ *  they still contain requests that have ended since. */
 static bool is_counted(const sched_t *s, const engine_t *e, const char *id)
 {
     const request_t *const r = g_hash_table_lookup(s->requests, id);
@@ -127,7 +127,7 @@
     dispatch(s, now);
 }
 
-/** The engine is there: what was held against it is past, unless it was asked before that came up. */
+/** Marks the engine as up. Clears its suspect state unless the query was sent before the engine became suspect. */
 static void engine_mark_up(sched_t *s, engine_t *e, uint64_t incarnation, bool leaving, tc_time_t asked, tc_time_t now)
 {
     if (e->incarnation != 0 && e->incarnation != incarnation)
@@ -148,7 +148,7 @@
     if (!e)
         return;
     engine_mark_up(s, e, incarnation, leaving, asked, now);
-    if (!s->adopt_unknown) /* else sched_set_engine_requests tells */
+    if (!s->adopt_unknown) /* otherwise sched_set_engine_requests does this */
         reconcile(s, e, held, n_held, now);
     end_rebuild_early(s, now);
     dispatch(s, now);
@@ -157,7 +157,7 @@
 
 void sched_on_engine_list(sched_t *s, tc_time_t now)
 {
-    enum { LISTED = 1 }; /* a list tells no incarnations */
+    enum { LISTED = 1 }; /* a list carries no incarnations */
     for (guint i = 0; i < s->engine_list->len; i++) {
         engine_t *const e = g_ptr_array_index(s->engine_list, i);
         if (!e->configured)
--- a/lib/sched/sched_request.c
+++ b/lib/sched/sched_request.c
@@ -1,4 +1,4 @@
-/* A request's life inside the scheduler: queued, placed, finished or withdrawn; and its answers. */
+/* Life cycle of a request in the scheduler: queued, placed, finished or withdrawn; and the answers to its calls. */
 
 #include <math.h>
 #include <stdio.h>
@@ -30,7 +30,7 @@
     return &action->u.answer;
 }
 
-/* ===== Requests: life ===== */
+/* ===== Request records ===== */
 
 request_t *request_create(sched_t *s, const char *id)
 {
@@ -43,7 +43,7 @@
 
 void request_free(sched_t *s, request_t *r)
 {
-    assert(!r->decode && !r->link && !r->prefilling && !r->waiting); /* nothing may be left behind */
+    assert(!r->decode && !r->link && !r->prefilling && !r->waiting); /* no resource of it may remain in use */
     g_hash_table_remove(s->requests, r->id);
     cds_list_del(&r->node);
     g_free(r->chain);
@@ -166,14 +166,13 @@
     request_free(s, r);
 }
 
-/** Weight of one request in the average of how long they are held. */
+/** Weight of one request in the moving average of request_held_ms. */
 static const double HELD_WEIGHT = 0.05;
 
-/** The request ended by itself: its engines hold nothing more. */
 void finish_request(sched_t *s, request_t *r, tc_time_t now)
 {
     placed_remove(s, r);
-    /* Its engine keeps a finished stream for a while: remember where. */
+    /* The engine keeps a finished stream for a while: remember which engine it is. */
     engine_t *const decode = r->decode;
     if (r->granted_at > 0)
         s->request_held_ms +=
@@ -188,7 +187,6 @@
     cds_list_add_tail(&r->node, &s->finished);
 }
 
-/** Take a placed request off its engines; they are told to cancel. */
 void withdraw(sched_t *s, request_t *r, bool engines_may_hold, tc_time_t now)
 {
     placed_remove(s, r);
@@ -200,5 +198,5 @@
     release_decode(s, r, now);
     r->prefill = NULL;
     CDS_INIT_LIST_HEAD(&r->node);
-    r->state = REQ_FINISHED; /* nothing of it is counted any more */
+    r->state = REQ_FINISHED; /* it is counted nowhere any more */
 }
--- a/lib/sched/sched_reserve.c
+++ b/lib/sched/sched_reserve.c
@@ -1,11 +1,11 @@
-/* Reservations: the only code that changes engine_t.reserved, .batch, .backlog and link_t.outstanding. */
+/* Reservations. Only this file changes engine_t.reserved, .batch, .backlog and link_t.outstanding. */
 
 #include <stdio.h>
 #include <string.h>
 
 #include "sched/sched_internal.h"
 
-/* ===== Taking ===== */
+/* ===== Reservation ===== */
 
 static void reserve_link(request_t *r, link_t *link)
 {
@@ -27,7 +27,7 @@
 
 static void uncount_suspect(engine_t *e, uint32_t ends)
 {
-    assert(e->suspects >= (ends >= 1) && e->suspects_twice >= (ends >= 2)); /* as counted */
+    assert(e->suspects >= (ends >= 1) && e->suspects_twice >= (ends >= 2)); /* they were counted before */
     e->suspects -= ends >= 1;
     e->suspects_twice -= ends >= 2;
 }
@@ -56,16 +56,16 @@
     count_decode(r);
     reserve_link(r, choice->link);
     engine_t *const p = choice->prefill;
-    if (!p) {                                          /* the decode engine reads the prompt itself */
-        assert(!r->prefill && d->local_prefills == 0); /* one at a time, and only where no prefill engine has begun */
+    if (!p) {                                          /* local prefill */
+        assert(!r->prefill && d->local_prefills == 0); /* one at a time, and only if no prefill engine has started */
         r->local_prefill = true;
         d->local_prefills++;
         return;
     }
     if (r->prefill == p)
-        return; /* replan: the prefill is done */
+        return; /* a replan: the prefill is done */
     engine_count_grant(p);
-    /* A prompt behind others begins as soon as they are done: what each takes beside its tokens passes meanwhile. */
+    /* A prompt behind others starts as soon as they are done; its fixed part overlaps with their prefill. */
     const double fixed_ms = p->prefills == 0 ? PREFILL_BASE_MS : 0;
     r->pending_ms = MAX(choice->prefill_ms - PREFILL_BASE_MS, 0);
     p->backlog_ms = engine_backlog(p, now) + r->pending_ms + fixed_ms;
@@ -80,7 +80,7 @@
     engine_cache_add(p, r->chain, r->n_chain, now);
 }
 
-/* ===== Giving back ===== */
+/* ===== Release ===== */
 
 void end_prefill_work(request_t *r, tc_time_t now)
 {
@@ -92,7 +92,7 @@
     p->prefills--;
     uncount_suspect(p, r->prefill_ends);
     p->pending_ms = p->prefills > 0 ? MAX(p->pending_ms - r->pending_ms, 0) : 0;
-    p->backlog_ms = p->pending_ms; /* what is left begins now, whatever was expected */
+    p->backlog_ms = p->pending_ms; /* the remaining work starts now, whatever was expected before */
     p->backlog_at = now;
 }
 
@@ -100,7 +100,7 @@
 {
     if (!r->local_prefill)
         return;
-    assert(r->decode && r->decode->local_prefills > 0); /* solo is set only together with the count */
+    assert(r->decode && r->decode->local_prefills > 0); /* local_prefill is set only together with the count */
     r->local_prefill = false;
     r->decode->local_prefills--;
 }
