--- a/lib/sched/sched_internal.h
+++ b/lib/sched/sched_internal.h
@@ -27,20 +27,17 @@
     LONG_TRANSFER_MS = 20,       /* unless the link carries them in less than this */
     LONG_TRANSFERS_PER_LINK = 2, /* concurrent long transfers per link */
     STALL_AVOID_MS = 2500,       /* an engine is skipped for this long after a handover to it stalled */
-    OUTDATED_AVOID_MS =
-        2500, /* an engine that does not match the configuration is skipped until the configuration has caught up: the
-                 list of back ends is read once a second and lags by up to another second */
-    RECONCILE_MS = 3000, /* as long as most requests run: requests that were not counted have ended by then */
-    BOX_SILENT_MS =
-        3 * SCHED_RENEW_MS,    /* an entry box that has not renewed for this long may place requests by itself */
-    BOX_GONE_MS = 15000,       /* an entry box that has not renewed for this long counts as gone */
-    SUSPECT_DOUBLINGS_MAX = 3, /* SUSPECT_MS doubles with each failure in a row, at most this often */
+    OUTDATED_AVOID_MS = 2500, /* the same for an engine that does not match the configuration: the list of back ends is
+                                 read once a second and lags by up to another */
+    RECONCILE_MS = 3000,      /* as long as most requests run: requests that were not counted have ended by then */
+    BOX_SILENT_MS = 3 * SCHED_RENEW_MS, /* an entry box silent for this long may place requests by itself */
+    BOX_GONE_MS = 15000,                /* an entry box silent for this long counts as gone */
+    SUSPECT_DOUBLINGS_MAX = 3,          /* SUSPECT_MS doubles with each failure in a row, at most this often */
     SUSPECT_MS = 1000,     /* an engine that failed a request gets none for this long, or until it answers a query */
     DOWN_AFTER_MISSES = 3, /* an engine counts as down after this many unanswered queries in a row */
     CANCEL_RETRY_MS = 300, /* delay before an unconfirmed cancel is sent again */
-    ORPHAN_GRACE_MS =
-        SCHED_LEASE_MS + SCHED_RENEW_MS, /* an id on an engine that nobody renews is cancelled after this time */
-    FALLBACK_LINK_RATE = 50000,          /* tokens/s between data centres without a declared link */
+    ORPHAN_GRACE_MS = SCHED_LEASE_MS + SCHED_RENEW_MS, /* an id that nobody renews is cancelled after this */
+    FALLBACK_LINK_RATE = 50000,                        /* tokens/s between data centres without a declared link */
     TPOT_MS = 40 /* time per output token assumed in estimates; that of a batch of about twenty */
 };
 
--- a/tests/fuzz/fuzz_sched.c
+++ b/tests/fuzz/fuzz_sched.c
@@ -24,8 +24,8 @@
     const sched_sim_result_t result = sched_sim_run(&options, &chooser);
     operations += result.operations + 1;
     checks += result.checks;
-    if (result.broken) {
-        fprintf(stderr, "broken: %s\n", result.broken);
+    if (result.violation) {
+        fprintf(stderr, "broken: %s\n", result.violation);
         abort();
     }
     return 0;
--- a/tests/harness/sched_sim.c
+++ b/tests/harness/sched_sim.c
@@ -15,7 +15,7 @@
     ENGINES = PREFILLS + DECODES,
     PIECES = 12,
     STEP_MS = 20,
-    SETTLE_STEPS = 500
+    RELEASE_STEPS = 500
 };
 enum { HOLD_STEPS = 45, POLL_STEPS = 50, RENEW_STEPS = 15 };
 
@@ -26,9 +26,9 @@
     caller_state_t state;
     msg_place_t place;
     msg_placed_t placed;
-    unsigned asked, answered; /* calls sent and answers had */
-    bool quit;                /* left, or was told to stop: its engines may be cancelled */
-    bool unsure;              /* something about it was lost on the way */
+    unsigned calls, answers; /* calls sent and answers received */
+    bool quit;               /* it left or was told to stop: its engines may be cancelled */
+    bool reconnected;        /* it has reconnected: its engines may hold a former attempt */
 } caller_t;
 
 typedef struct {
@@ -48,17 +48,17 @@
     fake_engine_t engines[ENGINES];
     bool entry_dead[ENTRIES];
     tc_time_t frozen_until[ENTRIES];
-    tc_time_t closed_until[ENTRIES][ENGINES];   /* the engine wants no calls of the entry box, */
-    tc_time_t notified_until[ENTRIES][ENGINES]; /* as that has told this scheduler */
-    tc_time_t suspended_until;                  /* the scheduler's lease ran out: it hears and does nothing */
+    tc_time_t closed_until[ENTRIES][ENGINES];   /* until then the engine accepts no calls of the entry box */
+    tc_time_t notified_until[ENTRIES][ENGINES]; /* the same, as the entry box has told this scheduler */
+    tc_time_t suspended_until;                  /* the scheduler's lease has expired: it receives and does nothing */
     GPtrArray *callers;
     sched_sim_result_t result;
 } sim_t;
 
 static void report_violation(sim_t *sim, const char *promise)
 {
-    if (!sim->result.broken)
-        sim->result.broken = promise;
+    if (!sim->result.violation)
+        sim->result.violation = promise;
 }
 
 static bool entry_is_live(const sim_t *sim, unsigned entry)
@@ -126,7 +126,7 @@
     msg_progress_t p = {
         .attempt = c->placed.attempt, .phase = phase, .took_ms = 100, .computed_tokens = 1500, .held = held};
     codec_copy_string(p.id, sizeof(p.id), c->place.id);
-    if (!once_in(sim->chooser, 20) && sim->now >= sim->suspended_until) /* some news is lost */
+    if (!once_in(sim->chooser, 20) && sim->now >= sim->suspended_until) /* some messages are lost */
         sched_progress(sim->sched, &p, sim->now);
 }
 
@@ -139,8 +139,8 @@
 
 static void call_place(sim_t *sim, caller_t *c)
 {
-    c->asked++;
-    const sched_token_t token = {.a = c->number, .b = c->asked};
+    c->calls++;
+    const sched_token_t token = {.a = c->number, .b = c->calls};
     sched_place(sim->sched, &c->place, token, sim->now);
 }
 
@@ -166,7 +166,7 @@
     call_place(sim, c);
 }
 
-/** The caller comes again through another entry, with the same id. */
+/** The caller repeats its request with the same id through another entry box. */
 static void reconnect(sim_t *sim, caller_t *c)
 {
     const unsigned entry = choose(sim->chooser, ENTRIES);
@@ -176,7 +176,7 @@
     c->state = CALLER_WAITING;
     snprintf(c->place.box, sizeof(c->place.box), "entry-%u", entry);
     c->quit = false;
-    c->unsure = true;
+    c->reconnected = true;
     call_place(sim, c);
 }
 
@@ -187,7 +187,7 @@
     engine_drop(engine_of(sim, c->placed.prefill), id);
     sim->result.checks++;
     if (!engine_take(engine_of(sim, c->placed.decode), id, c->placed.pieces)) {
-        if (!sim->options.freezes && !c->unsure)
+        if (!sim->options.freezes && !c->reconnected)
             report_violation(sim, "two requests were given the same piece");
         quit_caller(sim, c);
         return;
@@ -201,7 +201,7 @@
     char id[CODEC_STR_SIZE + 16];
     if (!entry_is_live(sim, c->entry) || c->state == CALLER_WAITING || c->state == CALLER_GONE)
         return;
-    if (once_in(sim->chooser, 25)) { /* leaves in the middle */
+    if (once_in(sim->chooser, 25)) { /* the caller leaves in the middle of the request */
         quit_caller(sim, c);
         return;
     }
@@ -214,7 +214,7 @@
         transfer(sim, c);
     } else {
         fake_engine_t *const e = engine_of(sim, c->placed.decode);
-        if (!g_hash_table_contains(e->held, id)) { /* the engine restarted, or cancelled it */
+        if (!g_hash_table_contains(e->held, id)) { /* the engine restarted or cancelled the request */
             quit_caller(sim, c);
             return;
         }
@@ -236,8 +236,8 @@
     char id[CODEC_STR_SIZE + 16];
     engine_id_of(c, id);
     engine_drop(engine_of(sim, c->placed.prefill), id);
-    c->asked++;
-    const sched_token_t token = {.a = c->number, .b = c->asked};
+    c->calls++;
+    const sched_token_t token = {.a = c->number, .b = c->calls};
     c->quit = true; /* the first decode engine may be cancelled from here on */
     sched_replan(sim->sched, &r, token, sim->now);
 }
@@ -256,17 +256,17 @@
 {
     caller_t *const c = g_ptr_array_index(sim->callers, action->u.answer.token.a);
     const msg_placed_t *const placed = &action->u.answer.placed;
-    c->answered++;
+    c->answers++;
     sim->result.checks++;
-    if (c->answered > c->asked)
+    if (c->answers > c->calls)
         report_violation(sim, "a call was answered twice");
-    const bool latest = action->u.answer.token.b == c->asked;
+    const bool latest = action->u.answer.token.b == c->calls;
     if (!latest)
-        return; /* an older call of a caller who came again */
+        return; /* answer to an older call of a caller that reconnected */
     if (!placed->granted) {
         sim->result.refused++;
         if (c->state == CALLER_TRANSFER)
-            quit_caller(sim, c); /* no other decode engine */
+            quit_caller(sim, c); /* there is no other decode engine */
         else
             c->state = CALLER_GONE;
         return;
@@ -275,7 +275,7 @@
     if (!placed->resume &&
         (is_closed(sim, c, placed->decode) || (c->state == CALLER_WAITING && is_closed(sim, c, placed->prefill))))
         report_violation(sim, "an engine that wants no calls of a box is granted to it");
-    if (c->state == CALLER_GONE) { /* died, or left, while it waited: the lease lapses */
+    if (c->state == CALLER_GONE) { /* it is gone since it called: the lease will expire */
         c->placed = *placed;
         return;
     }
@@ -298,7 +298,7 @@
     sim->result.checks++;
     sim->result.cancels++;
     /* Promise: nothing that a live caller uses is freed. */
-    if (current && !c->quit && !c->unsure && !sim->options.freezes && entry_is_live(sim, c->entry))
+    if (current && !c->quit && !c->reconnected && !sim->options.freezes && entry_is_live(sim, c->entry))
         report_violation(sim, "memory in use by a live caller was cancelled");
     const bool confirmed = !once_in(sim->chooser, 5);
     if (confirmed)
@@ -319,14 +319,14 @@
 
 /* ===== Renewals, faults ===== */
 
-/** The entry box tells which engines want no calls of it. */
+/** The entry box reports which engines accept no calls of it. */
 static void send_notices(sim_t *sim, unsigned entry)
 {
     backend_notice_t list[ENGINES];
     char box[16];
     memset(list, 0, sizeof(list));
     snprintf(box, sizeof(box), "entry-%u", entry);
-    take_actions(sim); /* what was granted before rests on what was told before */
+    take_actions(sim); /* grants made so far rest on the former notices */
     for (unsigned i = 0; i < ENGINES; i++) {
         const tc_time_t left = sim->closed_until[entry][i] - sim->now;
         codec_copy_string(list[i].backend, sizeof(list[i].backend), sim->engines[i].name);
@@ -398,18 +398,18 @@
             renew(sim, i);
     for (guint i = 0; i < sim->callers->len; i++) {
         caller_t *const c = g_ptr_array_index(sim->callers, i);
-        c->answered = c->asked; /* calls to the old one are over */
+        c->answers = c->calls; /* calls to the former scheduler are over */
         if (c->state == CALLER_WAITING && entry_is_live(sim, c->entry))
             call_place(sim, c);
     }
 }
 
-/** Callers who wait are turned away and ask again once the scheduler acts. */
+/** Waiting callers are turned away and call again once the scheduler resumes. */
 static void suspend_scheduler(sim_t *sim)
 {
     sched_token_t token;
     while (sched_pop_waiting(sim->sched, &token))
-        ((caller_t *)g_ptr_array_index(sim->callers, token.a))->answered++;
+        ((caller_t *)g_ptr_array_index(sim->callers, token.a))->answers++;
     sim->suspended_until = sim->now + 500 + (tc_time_t)choose(sim->chooser, 4000);
 }
 
@@ -418,7 +418,7 @@
     sched_resume(sim->sched, sim->now);
     for (guint i = 0; i < sim->callers->len; i++) {
         caller_t *const c = g_ptr_array_index(sim->callers, i);
-        if (c->state == CALLER_WAITING && c->answered == c->asked && entry_is_live(sim, c->entry))
+        if (c->state == CALLER_WAITING && c->answers == c->calls && entry_is_live(sim, c->entry))
             call_place(sim, c);
     }
 }
@@ -512,7 +512,7 @@
 
 static void run(sim_t *sim)
 {
-    for (unsigned i = 0; i < sim->options.steps && !sim->result.broken && !chooser_empty(sim->chooser); i++) {
+    for (unsigned i = 0; i < sim->options.steps && !sim->result.violation && !chooser_empty(sim->chooser); i++) {
         run_step(sim, i);
         const bool suspended = sim->now < sim->suspended_until;
         if (!suspended && once_in(sim->chooser, 3)) {
@@ -543,7 +543,7 @@
         kill_entry(sim, i);
     sim->now = sim->suspended_until > sim->now ? sim->suspended_until : sim->now;
     sched_resume(sim->sched, sim->now);
-    for (unsigned i = 0; i < SETTLE_STEPS; i++)
+    for (unsigned i = 0; i < RELEASE_STEPS; i++)
         run_step(sim, i);
     const sched_stats_t stats = sched_stats(sim->sched);
     sim->result.checks += ENGINES;
@@ -564,7 +564,7 @@
     sim->now = 1000;
     init(sim);
     run(sim);
-    if (!sim->result.broken)
+    if (!sim->result.violation)
         check_all_released(sim);
     const sched_sim_result_t result = sim->result;
     sched_destroy(sim->sched);
--- a/tests/harness/sched_sim.h
+++ b/tests/harness/sched_sim.h
@@ -1,10 +1,9 @@
 /** @file sched_sim.h
- * One cell's scheduler between fake entries, callers and engines, with an oracle for each promise.
+ * Simulation of one cell: its scheduler with fake entry boxes, callers and engines, and an oracle for each promise.
  *
- * Entries die and freeze, messages get lost, engines restart and refuse cancels,
- * the scheduler itself is replaced. The oracle: engines' memory is never asked for
- * twice; what a live caller uses is never cancelled; every call is answered once;
- * when all callers are gone no engine holds anything.
+ * Entry boxes die and freeze, messages get lost, engines restart and refuse cancels, and the scheduler is replaced.
+ * The oracle checks that engine memory is never granted twice, that nothing a live caller uses is cancelled, that
+ * every call is answered once, and that no engine holds anything after all callers have gone.
  */
 #ifndef TRACKCOVE_TESTS_SCHED_SIM_H
 #define TRACKCOVE_TESTS_SCHED_SIM_H
@@ -13,13 +12,13 @@
 
 typedef struct {
     unsigned steps;   /* of 20 ms */
-    bool freezes;     /* entries freeze and wake: engines may then refuse for want of memory */
-    bool no_renewals; /* sabotage: live callers' reservations lapse */
+    bool freezes;     /* entry boxes freeze and resume: engines may then refuse requests for lack of memory */
+    bool no_renewals; /* fault for testing the oracle: reservations of live callers expire */
 } sched_sim_options_t;
 
 typedef struct {
     uint64_t operations, checks, granted, refused, finished, cancels, restarts;
-    const char *broken;
+    const char *violation;
 } sched_sim_result_t;
 
 sched_sim_result_t sched_sim_run(const sched_sim_options_t *options, chooser_t *chooser);
--- a/tests/platform/test_rebalancer.c
+++ b/tests/platform/test_rebalancer.c
@@ -1,5 +1,5 @@
-/* Orders to engines: who may give them and when, what they rest on, and what their answers mean. Engines are fakes on
- * 127.0.0.1; the rebalancer's time is the test's. */
+/* Orders to engines: who may send them and when, which reports they refer to, and how answers are handled. Engines
+ * are fakes on 127.0.0.1; the test sets the rebalancer's time. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -20,11 +20,11 @@
     backend_t list[ENGINES];
     rebalancer_input_t view;
     tc_time_t now;
-    GString *orders; /* all that came, one after the other */
+    GString *orders; /* all orders received, concatenated */
     unsigned queries, ordered;
-    unsigned orders_taken; /* that engines say they have taken */
-    const char *notice;    /* header lines of what engines say they are */
-    int status;            /* of an order's answer */
+    unsigned orders_taken; /* number of accepted orders that engines report */
+    const char *notice;    /* header lines of engines' reports */
+    int status;            /* of the answer to an order */
     bool silent;           /* orders get no answer */
 } fixture_t;
 
@@ -88,7 +88,7 @@
     g_string_free(f->orders, TRUE);
 }
 
-/** Let the rebalancer's time pass, with a look every 50 ms of it. The loop turns beside, so that calls are answered. */
+/** Advances the rebalancer's time with a tick every 50 ms of it, and runs the loop so that calls are answered. */
 static void advance(fixture_t *f, tc_time_t span)
 {
     for (const tc_time_t until = f->now + span; f->now < until; f->now += 50) {
@@ -109,7 +109,7 @@
     advance(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
     g_assert_nonnull(strstr(f->orders->str, "POST /order "));
-    g_assert_nonnull(strstr(f->orders->str, "Expect-Instance: e0\r\n")); /* where most of them are */
+    g_assert_nonnull(strstr(f->orders->str, "Expect-Instance: e0\r\n")); /* the data centre with most prefill engines */
     g_assert_nonnull(strstr(f->orders->str, "\"op\":\"stage\""));
     g_assert_nonnull(strstr(f->orders->str, "\"stage\":\"decode\""));
     g_assert_nonnull(strstr(f->orders->str, "\"holder\":\"box-1\""));
@@ -118,16 +118,16 @@
     g_assert_cmpuint(moving(f), ==, 1);
     codec_copy_string(f->list[0].stage, sizeof(f->list[0].stage), "decode");
     advance(f, 100);
-    g_assert_cmpuint(moving(f), ==, 0); /* the list shows it */
+    g_assert_cmpuint(moving(f), ==, 0); /* the list shows the new stage */
 }
 
-/** Promise: no order while an older leader's may still arrive. */
-static void test_waits_its_turn(fixture_t *f, gconstpointer data)
+/** Promise: no order is sent while one of an older leader may still arrive. */
+static void test_waits_for_order_delay(fixture_t *f, gconstpointer data)
 {
     (void)data;
     advance(f, ORDER_DELAY_MS);
     g_assert_cmpuint(f->queries, ==, 0);
-    f->view.term = 0; /* the lease was lost for a moment: somebody else may have led */
+    f->view.term = 0; /* the lease was lost for a moment: another box may have led */
     advance(f, 50);
     f->view.term = 7;
     advance(f, ORDER_DELAY_MS);
@@ -147,7 +147,7 @@
     g_assert_cmpuint(f->queries + f->ordered, ==, 0);
 }
 
-/** Promise: whoever was told that another has a higher fence orders no more. */
+/** Promise: after an engine has refused because of a higher fence, no more orders are sent. */
 static void test_fenced(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -156,19 +156,19 @@
     g_assert_cmpuint(f->ordered, ==, 1);
 }
 
-/** An order without an answer may still be carried out: the engine gets no second one, and no new work, meanwhile. */
+/** An order without an answer may still be carried out: meanwhile the engine gets no second order and no new work. */
 static void test_unknown_order_is_not_repeated(fixture_t *f, gconstpointer data)
 {
     (void)data;
     f->silent = true;
     advance(f, 6000);
     g_assert_cmpuint(f->ordered, ==, 1);
-    lab_run_for(f->loop, 1100); /* the call's own limit is in real time */
+    lab_run_for(f->loop, 1100); /* the call's time limit is in real time */
     advance(f, 10000);
     g_assert_cmpuint(moving(f), ==, 1);
     g_assert_cmpuint(f->ordered, ==, 1);
     advance(f, 10000);
-    g_assert_cmpuint(f->ordered, ==, 2); /* given up, and begun anew */
+    g_assert_cmpuint(f->ordered, ==, 2); /* given up, and started anew */
 }
 
 static void test_refused_engine_is_left_alone(fixture_t *f, gconstpointer data)
@@ -181,7 +181,7 @@
     g_assert_null(strstr(strstr(f->orders->str, "Expect-Instance: e0\r\n") + 1, "Expect-Instance: e0\r\n"));
 }
 
-/** An engine that says in its answer that it leaves is not ordered to become something else, nor asked again. */
+/** An engine whose report says that it is leaving gets no order, and is not queried again. */
 static void test_leaving_engine_gets_no_order(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -191,9 +191,8 @@
     g_assert_cmpuint(f->queries, <=, PREFILLS); /* each prefill engine once */
 }
 
-/** What others heard counts as well. */
-/** A data centre that had all prefill engines but one is evacuated: those there count for no pool and are asked for
- * nothing, and a decode engine elsewhere is to take their work over. */
+/** A data centre with all prefill engines but one is evacuated: its engines count in no pool and get no calls, and a
+ *  decode engine elsewhere is asked to replace them. */
 static void test_evacuated_data_centre(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -210,7 +209,7 @@
         g_assert_true(i >= PREFILLS || requests == 0);
         asked += requests;
     }
-    g_assert_cmpuint(asked, >=, 1); /* whether it may change */
+    g_assert_cmpuint(asked, >=, 1); /* the report that precedes an order */
 }
 
 static bool takes_calls(void *arg, const char *backend, call_purpose_t purpose)
@@ -219,6 +218,7 @@
     return strcmp(backend, "e0") != 0;
 }
 
+/** Notices that the gate has from elsewhere count as well. */
 static void test_engine_that_is_closed_by_others(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -234,10 +234,10 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-#define TEST(name, fn) g_test_add("/mover/" name, fixture_t, NULL, set_up, fn, tear_down)
+#define TEST(name, fn) g_test_add("/rebalancer/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("evacuated-data-centre", test_evacuated_data_centre);
     TEST("order", test_order);
-    TEST("waits-its-turn", test_waits_its_turn);
+    TEST("waits-for-order-delay", test_waits_for_order_delay);
     TEST("no-order-without-leading", test_no_order_without_leading);
     TEST("leaving-engine-gets-no-order", test_leaving_engine_gets_no_order);
     TEST("engine-that-is-closed-by-others", test_engine_that_is_closed_by_others);
--- a/tests/random/test_sched_random.c
+++ b/tests/random/test_sched_random.c
@@ -1,4 +1,4 @@
-/* Randomised runs of the scheduler core against the oracle. */
+/* Randomised runs of the scheduler against the oracle of the simulation. */
 
 #include <stdlib.h>
 
@@ -20,8 +20,8 @@
     uint64_t granted = 0, finished = 0, cancels = 0, checks = 0;
     for (guint32 seed = from; seed < from + count; seed++) {
         const sched_sim_result_t r = run(seed, freezes, false);
-        if (r.broken)
-            g_error("seed %u%s: %s", seed, freezes ? " with freezes" : "", r.broken);
+        if (r.violation)
+            g_error("seed %u%s: %s", seed, freezes ? " with freezes" : "", r.violation);
         granted += r.granted;
         finished += r.finished;
         cancels += r.cancels;
@@ -44,20 +44,21 @@
     run_seeds(5001, true);
 }
 
-/** Seed 247: a handover with nowhere to go left a request without a decode engine, and its caller came again.
- *  Seed 10: a new scheduler gave away pieces that an engine still held for the one before. */
+/** Seeds that found faults. Seed 247: a replan without another engine left a request without a decode engine, and
+ *  its caller reconnected. Seed 10: a new scheduler granted pieces that an engine still held for requests of the
+ *  former one. */
 static void test_found_before(void)
 {
-    g_assert_null(run(247, false, false).broken);
-    g_assert_null(run(10, false, false).broken);
+    g_assert_null(run(247, false, false).violation);
+    g_assert_null(run(10, false, false).violation);
 }
 
-/** Without renewals live callers lose their memory, and the oracle sees it: the check can fail. */
+/** Without renewals live callers lose their memory, and the oracle reports it: shows that the check can fail. */
 static void test_finds_missing_renewals(void)
 {
     bool found = false;
     for (guint32 seed = 1; seed < 20 && !found; seed++)
-        found = run(seed, false, true).broken != NULL;
+        found = run(seed, false, true).violation != NULL;
     g_assert_true(found);
 }
 
--- a/tests/unit/sched_fixture.h
+++ b/tests/unit/sched_fixture.h
@@ -1,5 +1,5 @@
 /** @file sched_fixture.h
- * Engines for the tests of the scheduler that need a few of them, by hand.
+ * Small sets of engines for scheduler tests.
  */
 #ifndef TRACKCOVE_TESTS_SCHED_FIXTURE_H
 #define TRACKCOVE_TESTS_SCHED_FIXTURE_H
@@ -9,8 +9,8 @@
 
 #include "sched/sched.h"
 
-/** Fill in engines e0, e1 and so on of cell "c" and model "m". @param prefills how many compute prompts, from the first
- *  @param like what else they have in common */
+/** Fills in engines e0, e1 and so on of cell "c" and model "m". @param prefills number of prefill engines, from the
+ *  first on @param like template for the other fields */
 static inline void sched_fixture_fill_engines(engine_cfg_t *engines, int n, int prefills, const engine_cfg_t *like)
 {
     for (int i = 0; i < n; i++) {
--- a/tests/unit/test_balance.c
+++ b/tests/unit/test_balance.c
@@ -1,4 +1,4 @@
-/* How many engines compute prompts. */
+/* Target size of the prefill pool. */
 
 #include <glib.h>
 
@@ -12,27 +12,26 @@
     return balance_target_prefills(&b);
 }
 
-/** A burst: prompts come at once, the memory they take follows seconds later. What is compared with memory has settled;
- *  what the prefill pool must be able to read has not. */
+/** A burst: prompts arrive at once, and the memory they take follows seconds later. The slow average is compared
+ *  with memory; the fast one tells what the prefill pool must be able to read. */
 static void test_burst(void)
 {
     role_pools_t b = {.prefills = 76, .decodes = 180, .load = {.prefill = 40, .prefill_slow = 28, .decode = 80}};
-    g_assert_cmpuint(balance_target_prefills(&b), ==,
-                     75); /* 0.53 at work now, but 0.37 of each pool before the burst */
+    g_assert_cmpuint(balance_target_prefills(&b), ==, 75); /* 0.53 in use now, but 0.37 of each pool before the burst */
     b.load.prefill_slow = 40;
     g_assert_cmpuint(balance_target_prefills(&b), ==, 76);
     b.load = (pool_load_t){.prefill = 50, .prefill_slow = 28, .decode = 80};
     g_assert_cmpuint(balance_target_prefills(&b), ==, 76); /* the burst needs them */
 }
 
-static void test_idle_engines_become_memory(void)
+static void test_idle_engines_become_decode(void)
 {
     g_assert_cmpuint(wanted(6, 12, 2.0, 7.0), ==, 5); /* 2.0 of 5 is little */
     g_assert_cmpuint(wanted(49, 91, 13.0, 48.0), ==, 48);
-    g_assert_cmpuint(wanted(4, 14, 2.0, 7.0), ==, 4); /* 2.0 of 3 leaves nothing for a burst */
+    g_assert_cmpuint(wanted(4, 14, 2.0, 7.0), ==, 4); /* 2.0 of 3 leaves no reserve for a burst */
 }
 
-/** In a burst, or after losses, memory leads: prompts that are read sooner would find none. */
+/** Memory is short in a burst or after losses: prompts that are read sooner would find none. */
 static void test_short_of_memory(void)
 {
     g_assert_cmpuint(wanted(6, 10, 3.5, 9.5), ==, 5);
@@ -42,8 +41,8 @@
 
 static void test_memory_is_not_needed(void)
 {
-    g_assert_cmpuint(wanted(6, 12, 2.0, 1.0), ==, 6); /* the decode pool is the idler one */
-    g_assert_cmpuint(wanted(6, 12, 0.1, 0.2), ==, 6); /* hardly any work: nothing is known */
+    g_assert_cmpuint(wanted(6, 12, 2.0, 1.0), ==, 6); /* the decode pool is less busy */
+    g_assert_cmpuint(wanted(6, 12, 0.1, 0.2), ==, 6); /* hardly any load: it says nothing */
 }
 
 static void test_pools_keep_what_a_loss_needs(void)
@@ -57,14 +56,14 @@
 static void test_short_of_prefill(void)
 {
     g_assert_cmpuint(wanted(2, 12, 1.95, 3.0), ==, 3);
-    g_assert_cmpuint(wanted(2, 12, 1.95, 9.0), ==, 2); /* nothing to spare */
+    g_assert_cmpuint(wanted(2, 12, 1.95, 9.0), ==, 2); /* the decode pool has none to spare */
     g_assert_cmpuint(wanted(2, 12, 1.5, 3.0), ==, 2);
 }
 
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/balance/idle-engines-become-memory", test_idle_engines_become_memory);
+    g_test_add_func("/balance/idle-engines-become-decode", test_idle_engines_become_decode);
     g_test_add_func("/balance/burst", test_burst);
     g_test_add_func("/balance/short-of-memory", test_short_of_memory);
     g_test_add_func("/balance/memory-is-not-needed", test_memory_is_not_needed);
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -1,4 +1,4 @@
-/* Requests that boxes placed by themselves: the scheduler counts them when it is told, at any time. */
+/* Requests that boxes place by themselves: the scheduler counts them at any time, once they are reported to it. */
 
 #include <glib.h>
 #include <string.h>
@@ -20,7 +20,7 @@
     (void)data;
     const sched_options_t options = {.cell = "c", .epoch = EPOCH, .piece_tokens = 16, .adopt_unknown = true};
     f->sched = sched_create(&options, 0);
-    /* Prompts take no time to speak of. */
+    /* Prefill time is negligible. */
     const engine_cfg_t like = {.pieces = PIECES, .max_batch = 8, .prefill_rate = 1000000};
     sched_fixture_fill_engines(f->engines, ENGINES, 1, &like);
     f->config = (config_t){.targets = {.max_queue = 16}, .engines = f->engines, .engines_n = ENGINES};
@@ -50,7 +50,7 @@
     sched_check(f->sched);
 }
 
-/** Ask for @p pieces on any decode engine. */
+/** Requests @p pieces on any decode engine. */
 static void place(fixture_t *f, const char *id, uint32_t pieces, tc_time_t now)
 {
     msg_place_t p = {.prompt_tokens = pieces * 16, .wait_ms = 20000};
@@ -62,7 +62,7 @@
     take_answers(f);
 }
 
-/** A box tells all that it holds: one request, or none when @p id is NULL. */
+/** A box lists all the requests it holds: one, or none when @p id is NULL. */
 static void renew_listed(fixture_t *f, const char *id, uint32_t attempt, const char *engine, tc_time_t now)
 {
     held_t held = {.attempt = attempt, .phase = PHASE_DECODE, .pieces = PIECES - 10};
@@ -82,7 +82,7 @@
     take_answers(f);
 }
 
-/** The request that was granted last is over. */
+/** Reports that the request granted last has finished. */
 static void finish(fixture_t *f, const char *id, tc_time_t now)
 {
     msg_progress_t over = {.attempt = f->placed.attempt, .phase = PHASE_FINISHED};
@@ -91,8 +91,7 @@
     take_answers(f);
 }
 
-/** The decode engine that was granted last does not take the request: ask for another. @param bad its name, filled in
- */
+/** The decode engine granted last refuses the request; asks for another. @param bad receives its name */
 static void replan(fixture_t *f, const char *id, trouble_t trouble, char bad[CODEC_STR_SIZE], tc_time_t now)
 {
     codec_copy_string(bad, CODEC_STR_SIZE, f->placed.decode);
@@ -110,7 +109,8 @@
     return views[engine].reserved;
 }
 
-/** Long after the scheduler began, a box placed by itself: its engine is counted as full, and nothing is sent there. */
+/** A box places a request by itself long after the scheduler started: its engine counts as full and gets nothing
+ *  else. */
 static void test_counted(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -121,7 +121,7 @@
     g_assert_cmpstr(f->placed.decode, ==, "e2");
 }
 
-/** The box moved the request by itself: it is counted where it is, and no longer where it was. */
+/** The box moves the request by itself: it is counted on its new engine, and no longer on the old one. */
 static void test_moved(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -131,7 +131,7 @@
     g_assert_cmpuint(reserved(f, 2), ==, PIECES - 10);
 }
 
-/** The box says that it is over. */
+/** The box reports that the request has finished. */
 static void test_over(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -143,29 +143,29 @@
     g_assert_cmpuint(reserved(f, 1), ==, 0);
 }
 
-/** An engine turned a request away: something is taken there that is not counted. It gets nothing of that size, but
- * what is smaller, and by and by more. */
+/** An engine refuses a request although it had room by the count, so something uncounted runs there. It gets no
+ *  request of that size, but smaller ones, and larger ones as time passes. */
 static void test_refusal_corrects_the_count(fixture_t *f, gconstpointer data)
 {
     (void)data;
     place(f, "first", 10, 10);
-    finish(f, "first", 1010); /* requests are held for a second */
+    finish(f, "first", 1010); /* requests run for one second */
     place(f, "second", 60, 2000);
     char bad[CODEC_STR_SIZE];
     replan(f, "second", TROUBLE_FULL, bad, 2010);
     g_assert_true(f->placed.granted);
     g_assert_cmpstr(f->placed.decode, !=, bad);
     place(f, "large", 60, 2010);
-    g_assert_false(f->answered); /* no room here, and none there */
+    g_assert_false(f->answered); /* neither engine has room */
     place(f, "small", 50, 2030);
     g_assert_cmpstr(f->placed.decode, ==, bad);
     finish(f, "small", 2040);
     sched_tick(f->sched, 2700);
     take_answers(f);
-    g_assert_cmpstr(f->placed.decode, ==, bad); /* the large one: most of what was not counted is over by now */
+    g_assert_cmpstr(f->placed.decode, ==, bad); /* the large one: most of what was not counted has ended by now */
 }
 
-/** An engine that is not what the scheduler takes it for gets nothing until the configuration may have told. */
+/** An engine that does not match the configuration gets nothing until the configuration can have caught up. */
 static void test_outdated_engine_is_left_alone(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -182,12 +182,12 @@
     }
     place(f, "stays", 10, 1000);
     sched_tick(f->sched, 4000);
-    place(f, "last", 95, 4000); /* more than the other one has left */
+    place(f, "last", 95, 4000); /* more than the other engine has left */
     g_assert_cmpstr(f->placed.decode, ==, bad);
 }
 
-/** An engine runs what nobody here placed: that memory is given to nobody until the engine tells that it is over. What
- *  is placed there, and what ended since, is not counted twice. */
+/** An engine runs a request that nobody placed here: its memory stays unavailable until the engine reports its end.
+ *  Requests that are placed there, or have ended since the report, are not counted twice. */
 static void test_engine_reports_its_requests(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -201,26 +201,26 @@
     g_assert_cmpstr(f->placed.decode, !=, engine);
     place(f, "fits", 30, 40); /* beside 10 and 60 */
     place(f, "too", 45, 50);
-    g_assert_true(f->answered); /* on the other one */
+    g_assert_true(f->answered); /* on the other engine */
     place(f, "waits", 20, 60);
     g_assert_false(f->answered);
-    finish(f, "too", 70); /* the engines' word is older than that */
+    finish(f, "too", 70); /* the engine's report is older than that */
     sched_set_engine_requests(f->sched, engine, held, 1, 80);
     sched_tick(f->sched, 90);
     take_answers(f);
     g_assert_true(f->answered && f->placed.granted);
 }
 
-/** Engines are asked often only while what they run may differ from what is counted. */
+/** Engines need frequent queries only while they may run requests that are not counted. */
 static void test_needs_reconcile(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    g_assert_true(sched_needs_reconcile(f->sched, 10)); /* it has just begun */
+    g_assert_true(sched_needs_reconcile(f->sched, 10)); /* the scheduler has just started */
     g_assert_false(sched_needs_reconcile(f->sched, 10000));
     renew_listed(f, NULL, 0, "", 10000);
     g_assert_false(sched_needs_reconcile(f->sched, 10100));
-    g_assert_true(sched_needs_reconcile(f->sched, 12000));  /* its box is silent, and may place by itself */
-    g_assert_false(sched_needs_reconcile(f->sched, 60000)); /* and is gone */
+    g_assert_true(sched_needs_reconcile(f->sched, 12000));  /* the box is silent, and may place requests by itself */
+    g_assert_false(sched_needs_reconcile(f->sched, 60000)); /* the box counts as gone */
 }
 
 int main(int argc, char **argv)
@@ -231,8 +231,8 @@
     TEST("moved", test_moved);
     TEST("over", test_over);
     TEST("outdated-engine-is-left-alone", test_outdated_engine_is_left_alone);
-    TEST("engine-tells-what-it-runs", test_engine_reports_its_requests);
-    TEST("doubt", test_needs_reconcile);
+    TEST("engine-reports-its-requests", test_engine_reports_its_requests);
+    TEST("needs-reconcile", test_needs_reconcile);
     TEST("refusal-corrects-the-count", test_refusal_corrects_the_count);
 #undef TEST
     return g_test_run();
--- a/tests/unit/test_sched_choose.c
+++ b/tests/unit/test_sched_choose.c
@@ -1,5 +1,5 @@
-/* The choice of engines: the same as an exhaustive search over all pairs, at a cost that grows with the engines, not
- * with their pairs, and not with the queue. */
+/* Choice of engines: it equals an exhaustive search over all pairs, and its cost grows with the number of engines,
+ * not with the number of pairs or the length of the queue. */
 
 #include <glib.h>
 #include <math.h>
@@ -11,7 +11,7 @@
 
 enum { ENGINES_MOST = 600, DCS_MOST = 6, FLEETS = 300, NOW = 10000 };
 
-/** As choose_pair weighs them. */
+/** As in sched_choose.c. */
 static const double BATCH_COST_MS = 3.0, SUSPECT_COST_MS = 1000.0, REMOTE_DC_COST_MS = 3.0;
 
 /* ===== A fleet by lot ===== */
@@ -41,7 +41,7 @@
     }
 }
 
-/** What engines are in the middle of, as any course of events may leave them. */
+/** Sets the state of an engine to random values that any course of events may produce. */
 static void randomize_engine_state(GRand *random, engine_t *e)
 {
     e->reserved = (uint32_t)g_rand_int_range(random, 0, 201);
@@ -84,7 +84,7 @@
     return s;
 }
 
-/** Engines that want no calls of a box, by lot. */
+/** A box with random engines that accept no calls of it. */
 static owner_t *make_box(sched_t *s, GRand *random, unsigned number)
 {
     backend_notice_t list[4];
@@ -96,7 +96,7 @@
         g_snprintf(list[i].backend, sizeof(list[i].backend), "e%d", g_rand_int_range(random, 0, 20));
         list[i].closed_ms = g_rand_int_range(random, 0, 3) ? 100 : 0;
     }
-    sched_set_notices(s, box, list, n, NOW - g_rand_int_range(random, 0, 2) * 100); /* some lapsed just now */
+    sched_set_notices(s, box, list, n, NOW - g_rand_int_range(random, 0, 2) * 100); /* some have just expired */
     return owner_get(s, box);
 }
 
@@ -123,15 +123,16 @@
     return false;
 }
 
-/** One under which two back ends have ended is beside no other under which one has, at either kind of engine. */
-static bool is_apart(const request_t *r, const engine_t *e)
+/** A request under which two back ends have ended shares no engine, of either role, with another under which one has
+ *  ended. */
+static bool may_share(const request_t *r, const engine_t *e)
 {
     return r->ends == 0 || (r->ends == 1 ? e->suspects_twice == 0 : e->suspects == 0);
 }
 
 static bool may_serve(const sched_t *s, const engine_t *e, const request_t *r, role_t role)
 {
-    return !is_closed(r, e) && is_apart(r, e) && e->role == role && strcmp(e->model->name, "m") == 0 &&
+    return !is_closed(r, e) && may_share(r, e) && e->role == role && strcmp(e->model->name, "m") == 0 &&
            engine_grantable(e, NOW) && strcmp(e->name, r->avoid) != 0 && s->share_count == 1;
 }
 
@@ -199,10 +200,10 @@
         sched_destroy(s);
         g_rand_free(random);
     }
-    g_assert_cmpuint(found, >, FLEETS / 3); /* else little was compared */
+    g_assert_cmpuint(found, >, FLEETS / 3); /* otherwise too few choices were compared */
 }
 
-/** Requests of a queue that are scanned at in one pass get what they would get each by itself. */
+/** Requests that are chosen for in one pass get the same engines as each would by itself. */
 static void test_pass_as_alone(void)
 {
     for (guint32 seed = 1; seed <= FLEETS; seed++) {
@@ -255,8 +256,9 @@
     return (double)(sched_stats(s).engines_scanned - before) / engines / requests;
 }
 
-/* Streams of a calm day ran in another data centre than their boxes in four of five cases: pairs of engines that cost
- * the same were taken in the order of their data centres, the first one's first. */
+/* Guards against streams that run in another data centre than their box while engines there are as free. Pairs of
+ * equal cost were taken in the order of their data centres, so that on a calm day four of five streams ran in
+ * another one. */
 static void test_near_the_box(void)
 {
     sched_t *const s = make_even_fleet(300);
@@ -275,7 +277,7 @@
     sched_destroy(s);
 }
 
-/** In calm a request is chosen for once: each engine is scanned at once at most. */
+/** Without a queue there is one choice per request: each engine is scanned at most once. */
 static void test_scans_when_idle(void)
 {
     static const uint32_t sizes[] = {30, 256, 2400};
@@ -289,9 +291,9 @@
     }
 }
 
-/* With 10,000 back ends the leader spent most of its half core on choosing: each placement scanned at all of them,
- * twice, and both grow with the fleet. A choice looks at so many that could be taken, beginning where the last one
- * ended. */
+/* Guards against a cost of placements that grows with the fleet. With 10,000 back ends each placement scanned all of
+ * them twice, which took most of the leader's half core. A scan is limited to a number of candidates and starts
+ * where the last one ended. */
 
 static void test_scans_do_not_grow(void)
 {
@@ -309,7 +311,7 @@
     g_assert_cmpuint(scans[1], <=, scans[0] + scans[0] / 20);
 }
 
-/** Choices that look at a part of the engines come to all of them in turn. */
+/** Limited scans still give all engines their turn. */
 static void test_all_engines_in_turn(void)
 {
     enum { N = 3000 };
@@ -321,12 +323,12 @@
         const engine_t *const e = g_ptr_array_index(s->engine_list, i);
         used += e->role == ROLE_DECODE && e->batch > 0;
     }
-    g_assert_cmpuint(used, >, N * 2 / 3 - N / 20); /* of two thirds */
+    g_assert_cmpuint(used, >, N * 2 / 3 - N / 20); /* two thirds are decode engines */
     sched_destroy(s);
 }
 
-/* Each new list of 10,000 back ends made the scheduler look at all of them 10,000 times while a request waited: every
- * engine of the list was marked as seen by itself, and each of these marks went through the queue. */
+/* Guards against one pass over the queue for each engine of a new list. Each engine was marked as seen by itself, so
+ * that a new list of 10,000 back ends made the scheduler scan all of them 10,000 times while a request waited. */
 static void test_scans_on_a_new_list(void)
 {
     static const uint32_t sizes[] = {300, 1200};
@@ -342,8 +344,8 @@
     }
 }
 
-/** A burst of more than twice what the prefill engines read: hundreds wait, and each event looks at the whole queue. It
- *  costs a few looks at each engine, however many wait. */
+/** A burst of more than twice what the prefill engines can read: hundreds of requests wait, and each event passes
+ *  over the whole queue. The number of scans per engine must not grow with the queue. */
 static void test_scans_in_a_burst(void)
 {
     static const uint32_t sizes[] = {30, 256, 2400};
@@ -361,7 +363,8 @@
     }
 }
 
-/** Boxes whose requests wait ask on every 220 ms. That costs no look at any engine, and they keep their places. */
+/** Boxes of waiting requests repeat their calls every 220 ms. This must scan no engine, and the requests keep their
+ *  places. */
 static void test_repeated_calls(void)
 {
     sched_t *const s = make_even_fleet(256);
@@ -380,7 +383,7 @@
     sched_action_t action;
     unsigned repeated = 0;
     while (sched_next_action(s, &action))
-        repeated += action.u.answer.repeated; /* of the call before */
+        repeated += action.u.answer.repeated; /* answers the superseded call */
     g_assert_cmpuint(repeated, ==, 100);
     g_assert_cmpuint(sched_stats(s).engines_scanned, ==, before.engines_scanned);
     g_assert_cmpuint(sched_stats(s).queued, ==, before.queued);
@@ -394,11 +397,11 @@
     g_test_add_func("/sched-choose/as-exhaustive", test_as_exhaustive);
     g_test_add_func("/sched-choose/pass-as-alone", test_pass_as_alone);
     g_test_add_func("/sched-choose/near-the-box", test_near_the_box);
-    g_test_add_func("/sched-choose/looks-in-calm", test_scans_when_idle);
-    g_test_add_func("/sched-choose/looks-do-not-grow", test_scans_do_not_grow);
+    g_test_add_func("/sched-choose/scans-when-idle", test_scans_when_idle);
+    g_test_add_func("/sched-choose/scans-do-not-grow", test_scans_do_not_grow);
     g_test_add_func("/sched-choose/all-engines-in-turn", test_all_engines_in_turn);
-    g_test_add_func("/sched-choose/looks-at-a-new-list", test_scans_on_a_new_list);
-    g_test_add_func("/sched-choose/looks-in-a-burst", test_scans_in_a_burst);
-    g_test_add_func("/sched-choose/asking-on", test_repeated_calls);
+    g_test_add_func("/sched-choose/scans-on-a-new-list", test_scans_on_a_new_list);
+    g_test_add_func("/sched-choose/scans-in-a-burst", test_scans_in_a_burst);
+    g_test_add_func("/sched-choose/repeated-calls", test_repeated_calls);
     return g_test_run();
 }
--- a/tests/unit/test_sched_local_prefill.c
+++ b/tests/unit/test_sched_local_prefill.c
@@ -1,4 +1,5 @@
-/* Decode engines that read prompts themselves where prefill engines are short. */
+/* Local prefill: decode engines read prompts themselves where prefill engines are scarce. Also engines closed to a
+ * box, abandoned requests, and engines that fail in a row. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -12,11 +13,11 @@
     sched_t *sched;
     config_t config;
     engine_cfg_t engines[ENGINES];
-    msg_placed_t placed[8]; /* by token */
+    msg_placed_t placed[8]; /* indexed by token */
     bool answered[8];
 } fixture_t;
 
-/** @param prefills how many of the engines compute prompts */
+/** @param prefills number of prefill engines among ENGINES */
 static void set_up(fixture_t *f, int prefills)
 {
     memset(f, 0, sizeof(*f));
@@ -66,7 +67,7 @@
     g_assert_true(f.answered[0]);
     g_assert_cmpstr(f.placed[0].prefill, ==, "e0");
     for (uint64_t i = 1; i <= 5; i++)
-        place(&f, i, 1); /* the prefill engine has half a second of work */
+        place(&f, i, 1); /* the prefill engine has a backlog of half a second */
     g_assert_false(f.answered[1]);
     tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     unsigned local_prefills = 0;
@@ -78,10 +79,10 @@
         g_assert_cmpstr(f.placed[i].prefill, ==, "");
         g_assert_cmpstr(f.placed[i].decode, !=, "");
     }
-    g_assert_cmpuint(local_prefills, ==, 3); /* one on each decode engine */
+    g_assert_cmpuint(local_prefills, ==, 3); /* one per decode engine */
     msg_progress_t first = {.attempt = f.placed[1].attempt, .phase = PHASE_DECODE};
     codec_copy_string(first.id, sizeof(first.id), "r1");
-    sched_progress(f.sched, &first, LOCAL_PREFILL_AFTER_MS + 2); /* its prompt is read: the next may come */
+    sched_progress(f.sched, &first, LOCAL_PREFILL_AFTER_MS + 2); /* its prompt has been read */
     take_answers(&f);
     g_assert_true(f.answered[4] || f.answered[5]);
     sched_destroy(f.sched);
@@ -99,7 +100,7 @@
     sched_destroy(f.sched);
 }
 
-/** Decode engines that want no calls of the box read no prompts for it, until their time is over. */
+/** Decode engines that accept no calls of the box read no prompts for it until their notices expire. */
 static void test_closed_to_the_box(void)
 {
     fixture_t f;
@@ -124,7 +125,7 @@
     sched_destroy(f.sched);
 }
 
-/** Where all prefill engines want no calls of the box, decode engines read its prompts. */
+/** Where no prefill engine accepts calls of the box, decode engines read its prompts. */
 static void test_prefills_closed_to_the_box(void)
 {
     fixture_t f;
@@ -149,23 +150,23 @@
     fixture_t f;
     set_up(&f, 0);
     place(&f, 0, 0);
-    g_assert_false(f.answered[0]); /* not refused: a decode engine can do it */
+    g_assert_false(f.answered[0]); /* not refused: a decode engine can serve it */
     tick(&f, LOCAL_PREFILL_AFTER_MS + 1);
     g_assert_true(f.answered[0] && f.placed[0].granted);
     sched_destroy(f.sched);
 }
 
-/** A box gives a request up in the moment in which it is granted: the grant holds nothing any more. */
+/** A box abandons a request while its grant is on the way: the grant must not hold its engines. */
 static void test_abandoned_while_granted(void)
 {
     fixture_t f;
     set_up(&f, 1);
     place(&f, 0, 0);
     g_assert_true(f.answered[0] && f.placed[0].granted);
-    msg_progress_t gone = {.phase = PHASE_FAILED}; /* it knows no attempt */
+    msg_progress_t gone = {.phase = PHASE_FAILED}; /* the box knows no attempt number yet */
     codec_copy_string(gone.id, sizeof(gone.id), "r0");
     codec_copy_string(gone.box, sizeof(gone.box), "another");
-    sched_progress(f.sched, &gone, 1); /* of a box that had the request before: not its to end */
+    sched_progress(f.sched, &gone, 1); /* a former box of the request must not end it */
     g_assert_cmpuint(sched_stats(f.sched).placed, ==, 1);
     codec_copy_string(gone.box, sizeof(gone.box), "box");
     sched_progress(f.sched, &gone, 2);
@@ -185,7 +186,7 @@
     take_answers(f);
 }
 
-/** An engine that hangs is tried again later each time, not once a second by every box. */
+/** An engine that hangs is retried at growing intervals, not once a second by every box. */
 static void test_failures_in_a_row(void)
 {
     fixture_t f;
@@ -196,13 +197,13 @@
     report_failed(&f, 0, 10);
     place(&f, 1, 20);
     g_assert_cmpstr(f.placed[1].prefill, !=, bad);
-    place(&f, 2, 1100); /* tried again after a second */
+    place(&f, 2, 1100); /* retried after a second */
     g_assert_cmpstr(f.placed[2].prefill, ==, bad);
     report_failed(&f, 2, 1200);
-    place(&f, 3, 2400); /* not so soon after the second failure */
+    place(&f, 3, 2400); /* too soon after the second failure */
     g_assert_cmpstr(f.placed[3].prefill, !=, bad);
     place(&f, 4, 2401);
-    g_assert_false(f.answered[4]); /* the other one is busy */
+    g_assert_false(f.answered[4]); /* the other engine is busy */
     sched_destroy(f.sched);
 }
 
@@ -214,7 +215,7 @@
     g_test_add_func("/sched-solo/no-prefill-engine", test_no_prefill_engine);
     g_test_add_func("/sched-solo/closed-to-the-box", test_closed_to_the_box);
     g_test_add_func("/sched-solo/prefills-closed-to-the-box", test_prefills_closed_to_the_box);
-    g_test_add_func("/sched-solo/given-up-while-granted", test_abandoned_while_granted);
+    g_test_add_func("/sched-solo/abandoned-while-granted", test_abandoned_while_granted);
     g_test_add_func("/sched-solo/failures-in-a-row", test_failures_in_a_row);
     return g_test_run();
 }
--- a/tests/unit/test_sched_pace.c
+++ b/tests/unit/test_sched_prefill_rate.c
@@ -1,29 +1,30 @@
-/* A burst during which engines are exchanged for new ones, all of which read prompts more slowly than settings say:
- * work must not pile up at the new ones, which never stand idle, while others have none.
+/* Guards against work that piles up at new engines while others are idle. It happens when engines are replaced
+ * during a burst by ones that prefill more slowly than configured: they are never idle, so their rate has to be
+ * measured under load.
  *
- * The load: prompts of 3,200 tokens in the mean, by lot, read at two thirds of the pace in the settings; two calm
- * seconds with a third of what the engines can read, then a burst of a third more than that, in the first second of
- * which half of the engines are exchanged. */
+ * Load: prompts of random length, 3,200 tokens on average, read at two thirds of the configured rate. Two calm
+ * seconds at a third of the engines' capacity, then a burst at a third above it; half of the engines are replaced in
+ * the first second of the burst. */
 
 #include "unit/reading_lab.h"
 
 enum {
     PREFILLS = 8,
-    NEW = 4,      /* of these, which come later and take the place of others */
-    DECODES = 12, /* with room for all */
+    NEW = 4,      /* of these, engines that come later and replace others */
+    DECODES = 12, /* with room for all requests */
     ENGINES = PREFILLS + NEW + DECODES,
-    SETTINGS_RATE = 50000, /* tokens a second */
+    SETTINGS_RATE = 50000, /* tokens/s */
     BURST_MS = 2000,
     CHANGE_MS = 3000,
     SPAN_MS = 8000,
     MEAN = 3200, /* tokens of a prompt */
     MOST = 5400,
-    /* The longest prompt, behind two others as long: some half of a usual aim, in which the rest of the way must fit.
-     */
+    /* Prefill of the longest prompt behind two others as long: about half of a usual latency target, which must
+     * leave time for the rest. */
     MOST_MS = 3 * MOST * 1000 / READING_RATE,
 };
 
-/** @param changed whether the new engines have come and the ones they replace are gone */
+/** @param changed whether the new engines have come and the ones they replace have gone */
 static void configure(reading_t *w, engine_cfg_t *all, bool changed)
 {
     engine_cfg_t list[ENGINES];
@@ -63,6 +64,6 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/sched-pace/engines-come-in-a-burst", test_engines_come_in_a_burst);
+    g_test_add_func("/sched-prefill-rate/engines-come-in-a-burst", test_engines_come_in_a_burst);
     return g_test_run();
 }
--- a/tests/unit/test_sched_workspaces.c
+++ b/tests/unit/test_sched_workspaces.c
@@ -1,21 +1,21 @@
-/* One workspace asks as much as all others together, within its usage cap, of engines that can serve half of what is
- * asked: it takes nobody's share, and has its own.
+/* One workspace sends as many requests as all others together, within its usage cap, to engines that can serve half
+ * of the total. It must not reduce the share of the others, and must get its own.
  *
- * The load: eight engines that read 83 prompts of 3,200 tokens a second; ten workspaces ask 166, one of them half of
- * that, for ten seconds, by lot. */
+ * Load: eight engines that read 83 prompts of 3,200 tokens/s; ten workspaces send 166 requests/s at random for ten
+ * seconds, one of them half of these. */
 
 #include "unit/reading_lab.h"
 
 enum {
-    WORKSPACES = 10, /* the first asks as much as the others together */
+    WORKSPACES = 10, /* the first sends as much as the others together */
     PREFILLS = 8,
-    DECODES = 12, /* with room for all */
+    DECODES = 12, /* with room for all requests */
     ENGINES = PREFILLS + DECODES,
     TOKENS = 3200,
     SPAN_MS = 10000
 };
 
-/** Of a workspace's requests at least half as many are served as of all. */
+/** The served fraction of each workspace is at least half of the overall one. */
 static void test_one_asks_much(void)
 {
     reading_t *const w = reading_create(11);
