--- a/lib/backend/engine.c
+++ b/lib/backend/engine.c
@@ -8,9 +8,15 @@
 
 /* ===== Request bodies ===== */
 
-enum { HTTP_CONFLICT = 409, HTTP_NOT_FOUND = 404, HTTP_GONE = 410, HTTP_BUSY = 429, HTTP_MISDIRECTED = 421 };
+enum {
+    HTTP_CONFLICT = 409,
+    HTTP_NOT_FOUND = 404,
+    HTTP_GONE = 410,
+    HTTP_TOO_MANY_REQUESTS = 429,
+    HTTP_MISDIRECTED = 421
+};
 
-/** The prompt is long and already JSON text: it is pasted, not parsed and written again. */
+/** Builds the body. The prompt is long and already JSON, so it is copied instead of parsed and encoded again. */
 static char *make_body(const engine_request_t *r, const json_t *kv, bool stream, uint32_t max_tokens, size_t *size)
 {
     json_t *const head = json_pack("{s:s,s:s,s:i,s:b,s:i,s:s,s:O}", "model", r->model, "request_id", r->engine_id,
@@ -38,15 +44,15 @@
     snprintf(to, size, "%s%s", base, path);
 }
 
-/** Turn an engine's refusal into our numbers. */
-static int refine(int rc, const http_result_t *result, tc_err_t *err)
+/** Maps the HTTP status of a refusal to an error code. */
+static int map_refusal(int rc, const http_result_t *result, tc_err_t *err)
 {
     if (rc != TC_E_REFUSED)
         return rc;
     switch (result->status) {
     case HTTP_NOT_FOUND: rc = TC_E_NOT_FOUND; break;
     case HTTP_GONE: rc = TC_E_CANCELLED; break;
-    case HTTP_BUSY: rc = TC_E_FULL; break;
+    case HTTP_TOO_MANY_REQUESTS: rc = TC_E_FULL; break;
     case HTTP_CONFLICT: rc = TC_E_CONFLICT; break;
     default: break;
     }
@@ -95,7 +101,7 @@
                               .on_idle = on_idle,
                               .arg = arg};
     http_result_t http;
-    int rc = refine(http_call(&call, &http, err), &http, err);
+    int rc = map_refusal(http_call(&call, &http, err), &http, err);
     if (rc == TC_OK)
         rc = read_prefill(request, &http, result, err);
     free(http.body);
@@ -109,45 +115,45 @@
 typedef struct {
     const engine_reader_t *reader;
     sse_t sse;
-    uint32_t place; /* of the last token that came, at first the one asked to go on behind */
-    bool done;      /* [DONE] came */
-    bool late;      /* a limit passed */
-    bool invalid;   /* an event that cannot be passed on came */
-    tc_time_t last; /* when the call began or the reader was done with the last token */
-    bool any;
+    uint32_t position; /* of the last token received, initially the one to continue after */
+    bool done;         /* [DONE] was received */
+    bool late;         /* a timeout passed */
+    bool invalid;      /* an invalid event was received */
+    tc_time_t last;    /* start of the call, or when the reader returned from the last token */
+    bool any;          /* a token was received */
 } stream_t;
 
-/** A place is what the whole id says; an id of another event says nothing of this one. @return 0 for none */
-static uint32_t read_place(const sse_event_t *event)
+/** The event's own id as a position; the id of an earlier event does not count. @return 0 if it is not one */
+static uint32_t read_position(const sse_event_t *event)
 {
     if (!event->has_id || event->id[0] < '1' || event->id[0] > '9')
         return 0;
     char *end;
-    const unsigned long long place = strtoull(event->id, &end, 10);
-    return *end == '\0' && place <= UINT32_MAX ? (uint32_t)place : 0;
+    const unsigned long long position = strtoull(event->id, &end, 10);
+    return *end == '\0' && position <= UINT32_MAX ? (uint32_t)position : 0;
 }
 
-/** How many tokens the choice holds: engines list them when an event has several. */
+/** Number of tokens in the choice: engines list them when an event has several. */
 static uint32_t count_tokens(const json_t *choice)
 {
     const json_t *const ids = json_object_get(choice, "token_ids");
     return json_is_array(ids) ? (uint32_t)json_array_size(ids) : 1;
 }
 
-/** Pass the tokens of an event on, if they are the next ones. */
-static bool take_tokens(stream_t *s, const sse_event_t *event, const json_t *choice)
+/** Passes the tokens of an event to the reader, if they are the next ones. */
+static bool handle_tokens(stream_t *s, const sse_event_t *event, const json_t *choice)
 {
     const char *const text = json_string_value(json_object_get(choice, "text"));
-    const uint32_t place = read_place(event), count = count_tokens(choice);
-    s->invalid = !text || count == 0 || place < count || place - count != s->place;
+    const uint32_t position = read_position(event), count = count_tokens(choice);
+    s->invalid = !text || count == 0 || position < count || position - count != s->position;
     if (s->invalid)
         return false;
     s->any = true;
-    s->place = place;
+    s->position = position;
     const char *const finish = json_string_value(json_object_get(choice, "finish_reason"));
-    const bool go_on = s->reader->on_token(s->reader->arg, place, text, finish);
-    s->last = tc_time_now(); /* what the reader took is not the engine's silence */
-    return go_on;
+    const bool proceed = s->reader->on_token(s->reader->arg, position, text, finish);
+    s->last = tc_time_now(); /* the reader's own time does not count towards the timeout */
+    return proceed;
 }
 
 static bool on_event(void *arg, const sse_event_t *event)
@@ -157,9 +163,9 @@
     if (s->done)
         return true;
     json_t *const body = json_loads(event->data, 0, NULL);
-    const bool go_on = take_tokens(s, event, json_array_get(json_object_get(body, "choices"), 0));
+    const bool proceed = handle_tokens(s, event, json_array_get(json_object_get(body, "choices"), 0));
     json_decref(body);
-    return go_on;
+    return proceed;
 }
 
 static bool on_stream_data(void *arg, const char *data, size_t size)
@@ -179,30 +185,30 @@
     return !s->reader->on_idle || s->reader->on_idle(s->reader->arg);
 }
 
-/** Longest answer in time; single gaps are bounded by the reader's limits. */
-#define STREAM_LIMIT_MS 3600000
+/** Longest duration of a stream; gaps between tokens are bounded by the reader's timeouts. */
+#define STREAM_TIMEOUT_MS 3600000
 
-/** @param from place that the stream is to go on behind */
+/** @param from position after which the stream is to continue */
 static int read_stream(const engine_request_t *r, const http_call_t *base, uint32_t from, const engine_reader_t *reader,
                        tc_err_t *err)
 {
-    stream_t stream = {.reader = reader, .place = from, .last = tc_time_now()};
+    stream_t stream = {.reader = reader, .position = from, .last = tc_time_now()};
     sse_init(&stream.sse, on_event, &stream);
     http_call_t call = *base;
-    call.timeout = STREAM_LIMIT_MS;
+    call.timeout = STREAM_TIMEOUT_MS;
     call.peer = r->name;
     call.on_data = on_stream_data;
     call.on_idle = on_stream_idle;
     call.arg = &stream;
     http_result_t http;
-    int rc = refine(http_call(&call, &http, err), &http, err);
+    int rc = map_refusal(http_call(&call, &http, err), &http, err);
     free(http.body);
     sse_free(&stream.sse);
     if (stream.done)
         return TC_OK;
     if (stream.invalid)
         return tc_err_set(err, TC_E_INVALID, call.step, r->name, "an event that is not what follows place %u",
-                          stream.place);
+                          stream.position);
     if (stream.late)
         return tc_err_set(err, stream.any ? TC_E_BROKEN : TC_E_STALLED, call.step, r->name, "no token in time");
     if (rc == TC_OK)
@@ -233,7 +239,8 @@
 
 /* ===== Small calls ===== */
 
-/** Call with JSON both ways. @param answer NULL or a new reference on success */
+/** Makes a call with a JSON body and answer. @param body NULL for none; its reference is taken
+ *  @param answer NULL, or set to a new reference on success */
 static int call_json(const char *name, const char *step, const char *method, const char *url, json_t *body,
                      tc_time_t limit, json_t **answer, tc_err_t *err)
 {
@@ -247,7 +254,7 @@
                               .peer = name,
                               .step = step};
     http_result_t http;
-    int rc = refine(http_call(&call, &http, err), &http, err);
+    int rc = map_refusal(http_call(&call, &http, err), &http, err);
     if (rc == TC_OK && answer) {
         *answer = json_loadb(http.body ? http.body : "", http.body_size, 0, NULL);
         if (!*answer)
--- a/lib/backend/http_client.c
+++ b/lib/backend/http_client.c
@@ -11,9 +11,9 @@
 
 /* ===== Pool ===== */
 
-enum { CONNECT_LIMIT_MS = 500, BODY_LIMIT = 16 * 1024 * 1024 };
+enum { CONNECT_TIMEOUT_MS = 500, BODY_MAX_BYTES = 16 * 1024 * 1024 };
 
-/** A transfer's handles; the multi handle keeps the connection between uses. */
+/** Handles of a transfer; the multi handle keeps the connection between transfers. */
 typedef struct {
     struct cds_list_head node;
     CURLM *multi;
@@ -30,7 +30,7 @@
     snprintf(dc_header, sizeof(dc_header), "X-Trackcove-Dc: %s", dc);
 }
 
-static handle_t *handle_take(void)
+static handle_t *handle_acquire(void)
 {
     handle_t *handle = NULL;
     pthread_mutex_lock(&pool_lock);
@@ -47,11 +47,11 @@
     handle->multi = curl_multi_init();
     handle->easy = curl_easy_init();
     if (!handle->multi || !handle->easy)
-        abort(); /* out of memory: nothing sensible can go on */
+        abort(); /* out of memory */
     return handle;
 }
 
-static void handle_give(handle_t *handle)
+static void handle_release(handle_t *handle)
 {
     curl_easy_reset(handle->easy);
     pthread_mutex_lock(&pool_lock);
@@ -77,13 +77,13 @@
     const http_call_t *call;
     http_result_t *result;
     CURL *easy;
-    bool given_up;
+    bool cancelled;
 } running_t;
 
 static bool collect(http_result_t *result, const char *data, size_t size)
 {
     char *const larger =
-        result->body_size + size <= BODY_LIMIT ? realloc(result->body, result->body_size + size + 1) : NULL;
+        result->body_size + size <= BODY_MAX_BYTES ? realloc(result->body, result->body_size + size + 1) : NULL;
     if (!larger)
         return false;
     memcpy(larger + result->body_size, data, size);
@@ -100,10 +100,10 @@
     long status = 0;
     curl_easy_getinfo(running->easy, CURLINFO_RESPONSE_CODE, &status);
     const bool stream = running->call->on_data && status < 400;
-    const bool go_on =
+    const bool proceed =
         stream ? running->call->on_data(running->call->arg, data, size) : collect(running->result, data, size);
-    running->given_up = running->given_up || !go_on;
-    return go_on ? size : 0;
+    running->cancelled = running->cancelled || !proceed;
+    return proceed ? size : 0;
 }
 
 static struct curl_slist *set_options(running_t *running)
@@ -126,7 +126,7 @@
     }
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_write);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, running);
-    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_LIMIT_MS);
+    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)call->timeout);
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
@@ -135,7 +135,7 @@
     return headers;
 }
 
-/** Drive the transfer until it ends or is given up. */
+/** Runs the transfer until it ends or is cancelled. */
 static CURLcode run(running_t *running, CURLM *multi)
 {
     const http_call_t *const call = running->call;
@@ -146,7 +146,7 @@
         if (!active)
             break;
         if (call->on_idle && !call->on_idle(call->arg)) {
-            running->given_up = true;
+            running->cancelled = true;
             return CURLE_ABORTED_BY_CALLBACK;
         }
         curl_multi_poll(multi, NULL, 0, HTTP_CLIENT_IDLE_MS, NULL);
@@ -156,11 +156,11 @@
     return message ? message->data.result : CURLE_FAILED_INIT;
 }
 
-static int judge(const running_t *running, CURLcode code, tc_err_t *err)
+static int classify_result(const running_t *running, CURLcode code, tc_err_t *err)
 {
     const http_call_t *const call = running->call;
     http_result_t *const result = running->result;
-    if (running->given_up)
+    if (running->cancelled)
         return tc_err_set(err, TC_E_CANCELLED, call->step, call->peer, "given up");
     if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST || (code != CURLE_OK && !result->sent))
         return tc_err_set(err, TC_E_UNREACHABLE, call->step, call->peer, "%s", curl_easy_strerror(code));
@@ -188,7 +188,7 @@
 int http_call(const http_call_t *call, http_result_t *result, tc_err_t *err)
 {
     memset(result, 0, sizeof(*result));
-    handle_t *const handle = handle_take();
+    handle_t *const handle = handle_acquire();
     running_t running = {.call = call, .result = result, .easy = handle->easy};
     struct curl_slist *const headers = set_options(&running);
     curl_multi_add_handle(handle->multi, handle->easy);
@@ -199,9 +199,9 @@
     result->status = (int)status;
     result->retry_after = retry_after(handle->easy, status);
     result->sent = request_size > 0;
-    const int rc = judge(&running, code, err);
+    const int rc = classify_result(&running, code, err);
     curl_multi_remove_handle(handle->multi, handle->easy);
     curl_slist_free_all(headers);
-    handle_give(handle);
+    handle_release(handle);
     return rc;
 }
--- a/lib/backend/sse.c
+++ b/lib/backend/sse.c
@@ -26,7 +26,7 @@
 /* ===== Lines ===== */
 
 /** The value of a field if the line is that field, else NULL. */
-static const char *field(const char *line, const char *name)
+static const char *field_value(const char *line, const char *name)
 {
     const size_t length = strlen(name);
     if (strncmp(line, name, length) != 0 || line[length] != ':')
@@ -34,21 +34,21 @@
     return line[length + 1] == ' ' ? line + length + 2 : line + length + 1;
 }
 
-/** A shortened id would be another one. */
-static bool take_id(sse_t *sse, const char *id)
+/** Fails on an id that is too long: a truncated one could equal another id. */
+static bool set_id(sse_t *sse, const char *id)
 {
     const size_t length = strlen(id);
     if (length >= sizeof(sse->id))
         return false;
     memcpy(sse->id, id, length + 1);
-    sse->own_id = true;
+    sse->has_id = true;
     return true;
 }
 
-static bool take_data(sse_t *sse, const char *data)
+static bool append_data(sse_t *sse, const char *data)
 {
     const size_t length = strlen(data);
-    if (sse->data_used + length + 2 > SSE_LINE_MAX) /* a line end before it, an end mark behind it */
+    if (sse->data_used + length + 2 > SSE_LINE_MAX) /* room for a newline before and a terminator after it */
         return false;
     if (sse->has_data)
         sse->data[sse->data_used++] = '\n';
@@ -58,16 +58,16 @@
     return true;
 }
 
-/** An event is whole with its blank line, wherever in it its fields stand; none of them reaches the next event. */
+/** Completes the event at its blank line. Fields may come in any order, and are reset for the next event. */
 static bool end_event(sse_t *sse)
 {
-    const sse_event_t event = {.id = sse->id, .has_id = sse->own_id, .name = sse->name, .data = sse->data};
-    const bool go_on = !sse->has_data || sse->on_event(sse->arg, &event);
+    const sse_event_t event = {.id = sse->id, .has_id = sse->has_id, .name = sse->name, .data = sse->data};
+    const bool proceed = !sse->has_data || sse->on_event(sse->arg, &event);
     sse->name[0] = '\0';
-    sse->own_id = false;
+    sse->has_id = false;
     sse->has_data = false;
     sse->data_used = 0;
-    return go_on;
+    return proceed;
 }
 
 static bool handle_line(sse_t *sse)
@@ -79,14 +79,14 @@
     sse->used = 0;
     if (blank)
         return end_event(sse);
-    const char *const id = field(sse->line, "id");
-    const char *const name = field(sse->line, "event");
-    const char *const data = field(sse->line, "data");
+    const char *const id = field_value(sse->line, "id");
+    const char *const name = field_value(sse->line, "event");
+    const char *const data = field_value(sse->line, "data");
     if (name)
         snprintf(sse->name, sizeof(sse->name), "%s", name);
     if (id)
-        return take_id(sse, id);
-    return !data || take_data(sse, data);
+        return set_id(sse, id);
+    return !data || append_data(sse, data);
 }
 
 /* ===== Bytes ===== */
--- a/lib/cap/cap_window.c
+++ b/lib/cap/cap_window.c
@@ -3,10 +3,10 @@
 #include <assert.h>
 #include <glib.h>
 
-/** Move on to the slice of @p now, emptying those in between. */
+/** Advances to the slice of @p now and clears the slices in between. */
 static void slide(cap_window_t *w, tc_time_t window, tc_time_t now)
 {
-    assert(window >= CAP_WINDOW_MIN); /* a slice has at least a ms */
+    assert(window >= CAP_WINDOW_MIN); /* a slice is at least 1 ms */
     const tc_time_t number = now / (window / CAP_SLICES);
     const tc_time_t passed = MIN(number - w->slice, CAP_KEPT);
     for (tc_time_t i = 0; i < passed; i++)
--- a/lib/cap/cap_window.h
+++ b/lib/cap/cap_window.h
@@ -1,5 +1,5 @@
 /** @file cap_window.h
- * Units that were let in over a sliding window, in slices. No clock.
+ * Counter of admitted units over a sliding window, in slices. No clock: the time is passed in.
  */
 #ifndef TRACKCOVE_CAP_WINDOW_H
 #define TRACKCOVE_CAP_WINDOW_H
@@ -13,11 +13,11 @@
 enum {
     CAP_SLICES = 16, /**< of a window */
     CAP_KEPT =
-        CAP_SLICES + 1, /**< the newest one has only begun: with one less a window is not covered at any moment */
-    CAP_WINDOW_MIN = CAP_SLICES /**< shortest window, ms */
+        CAP_SLICES + 1, /**< slices stored: the newest one is incomplete, so that one more is needed for a window */
+    CAP_WINDOW_MIN = CAP_SLICES /**< shortest window, ms: a slice of 1 ms */
 };
 
-/** What was counted. Zeroed before use. */
+/** Counts of the slices; zero-initialised. */
 typedef struct {
     tc_time_t slice; /**< number of the newest slice, counted from time 0 */
     double units[CAP_KEPT];
@@ -25,11 +25,12 @@
 
 /* ===== Public functions ===== */
 
-/** Count units that are let in now; below 0 to take some back. @param window its length, at least CAP_WINDOW_MIN */
+/** Counts units that are admitted now; negative to take some back. @param window length in ms, at least CAP_WINDOW_MIN
+ */
 void cap_window_add(cap_window_t *w, tc_time_t window, double units, tc_time_t now);
-/** The same spread evenly over the last window, when it is not known when in it they were. */
+/** Spreads units evenly over the last window, for units whose time in it is unknown. */
 void cap_window_spread(cap_window_t *w, tc_time_t window, double units, tc_time_t now);
-/** Units of the last window, or of up to a slice longer. */
+/** Units of the last window, or of up to one slice more. */
 double cap_window_sum(cap_window_t *w, tc_time_t window, tc_time_t now);
 
 #endif
--- a/lib/forward/account.h
+++ b/lib/forward/account.h
@@ -1,9 +1,9 @@
 /** @file account.h
- * Which callers were served late or not at all, and why: from the log lines of entry boxes.
+ * Counts, from the log lines of entry boxes, which callers were served late or not at all, and why.
  *
- * A caller that asks again gets a new request id. Its tries are put together by the last part of the prompt, which is
- * the caller's own, as long as they follow each other; a request without a prompt stands alone. Times are those of the
- * boxes' wall clocks, so that tries at two boxes whose clocks differ may seem nearer or farther apart than they were.
+ * A caller that retries gets a new request id. Its attempts are matched by the last part of the prompt, which is unique
+ * to the caller, within the longest time that a caller waits; a request without a prompt stands alone. Times are the
+ * boxes' wall clocks, so the distance between attempts at two boxes is off by the difference of their clocks.
  */
 #ifndef TRACKCOVE_FORWARD_ACCOUNT_H
 #define TRACKCOVE_FORWARD_ACCOUNT_H
@@ -14,30 +14,30 @@
 
 /* ===== Types ===== */
 
-/** What came of a caller's tries. Where several causes meet, the first in this order is told: the one that a router can
- *  do most about. */
+/** Outcome of a caller's attempts. Of several causes the first in this order is reported: the one that a router can
+ *  influence most. */
 typedef enum {
-    CAUSE_SERVED,       /**< in time */
-    CAUSE_FULL_LATE,    /**< refused for want of room, served late on return */
-    CAUSE_FULL,         /**< refused for want of room, and not served */
-    CAUSE_REFUSED_LATE, /**< refused for another reason, served late on return */
+    CAUSE_SERVED,       /**< served in time */
+    CAUSE_FULL_LATE,    /**< refused for lack of capacity, served late by a retry */
+    CAUSE_FULL,         /**< refused for lack of capacity, and not served */
+    CAUSE_REFUSED_LATE, /**< refused for another reason, served late by a retry */
     CAUSE_REFUSED,      /**< refused for another reason, and not served */
-    CAUSE_BOX_LATE,     /**< its box ended in the middle, taken up again with too long a pause, or late */
-    CAUSE_BOX,          /**< its box ended in the middle, and it was not taken up again */
-    CAUSE_ENGINE_LATE,  /**< its back end broke off, or turned it away: served late */
-    CAUSE_ENGINE,       /**< the same, and not served */
-    CAUSE_FIRST_LATE,   /**< nothing of that, and its first event or answer was late */
-    CAUSE_PAUSED,       /**< nothing of that, and a later event was late */
-    CAUSE_BACKEND,      /**< the back end's own failure was delivered */
-    CAUSE_CALLER_LEFT,  /**< the caller left */
+    CAUSE_BOX_LATE,     /**< its box ended during the request; resumed with too long a pause, or late */
+    CAUSE_BOX,          /**< its box ended during the request, and it was not resumed */
+    CAUSE_ENGINE_LATE,  /**< its back end broke off or refused it; served late */
+    CAUSE_ENGINE,       /**< its back end broke off or refused it; not served */
+    CAUSE_FIRST_LATE,   /**< none of the above; its first event or answer was late */
+    CAUSE_PAUSED,       /**< none of the above; a later event was late */
+    CAUSE_BACKEND,      /**< the back end answered with an error, which was delivered */
+    CAUSE_CALLER_LEFT,  /**< the caller disconnected */
     CAUSE_OTHER,
     CAUSE_COUNT
 } cause_t;
 
-/** Names of the causes, for people. */
+/** Human-readable names of the causes. */
 extern const char *const account_cause_names[CAUSE_COUNT];
 
-/** Requests shown as examples of each cause. */
+/** Example requests kept for each cause. */
 enum { ACCOUNT_EXAMPLES = 3 };
 
 /** Callers of one service. */
@@ -45,7 +45,7 @@
     const char *service;
     unsigned callers;
     unsigned count[CAUSE_COUNT];
-    const char *examples[CAUSE_COUNT][ACCOUNT_EXAMPLES]; /**< ids of first requests; NULL for none */
+    const char *examples[CAUSE_COUNT][ACCOUNT_EXAMPLES]; /**< ids of the callers' first requests; NULL for none */
 } account_service_t;
 
 typedef struct account account_t;
@@ -55,13 +55,13 @@
 account_t *account_create(void);
 void account_destroy(account_t *account);
 
-/** Take one line of a log, in any order of boxes but the order of one box's lines. What stands before the line's JSON,
- *  as a collector adds, is passed over, and so are lines of other kinds. */
+/** Adds one log line. Lines of one box must come in their order; boxes may be interleaved. Text before the JSON object,
+ *  as log collectors add, is skipped, and so are lines of other kinds. */
 void account_add_line(account_t *account, const char *text);
 
-/** Put the tries of each caller together and count them by service and cause.
- * @return account_service_t in the order in which services were met first, for g_array_free; its texts stay the
- *         account's */
+/** Groups the attempts of each caller and counts callers by service and cause.
+ * @return account_service_t in the order in which services first appear, for g_array_free; its strings are owned by
+ *         the account */
 GArray *account_classify(account_t *account);
 
 #endif
--- a/lib/forward/discover.c
+++ b/lib/forward/discover.c
@@ -13,8 +13,8 @@
                "Of these, those that the platform refused, since there were too many")
 COUNTER_DEFINE(c_failed, "counter", "trackcove_discover_failed_total", "Readings of that list that failed")
 
-enum { CONNECT_MS = 400, PAGE_MS = 1000, PAGE_BYTES_MAX = 4 * 1024 * 1024 };
-enum { STATUS_OK = 200, STATUS_TOO_MANY = 429 };
+enum { CONNECT_TIMEOUT_MS = 400, PAGE_TIMEOUT_MS = 1000, PAGE_MAX_BYTES = 4 * 1024 * 1024 };
+enum { STATUS_OK = 200, STATUS_TOO_MANY_REQUESTS = 429 };
 
 struct discover {
     loop_t *loop;
@@ -23,16 +23,16 @@
     discover_fn_t fn;
     void *arg;
     paged_read_t *read;
-    web_ask_t ask;     /* for the page under way */
-    loop_timer_t wait; /* for the next one */
-    GArray *page;      /* backend_t, of an answer */
-    bool failing;
+    web_ask_t ask;     /* the page request in progress */
+    loop_timer_t wait; /* until the next page may be requested */
+    GArray *page;      /* backend_t, entries of the last page */
+    bool failing;      /* the last read failed */
 };
 
-/* ===== Ends of readings ===== */
+/* ===== Results ===== */
 
-/** One line for as long as it fails, whatever for. */
-static void note_failed(discover_t *d, tc_err_t *err)
+/** Logs only the first of several failures in a row, whatever their cause. */
+static void report_failure(discover_t *d, tc_err_t *err)
 {
     counter_add(&c_failed, 1);
     codec_copy_string(err->peer, sizeof(err->peer), d->addr);
@@ -41,7 +41,7 @@
     d->failing = true;
 }
 
-static void note_whole(discover_t *d)
+static void report_list(discover_t *d)
 {
     const GArray *const list = paged_read_list(d->read);
     if (d->failing) {
@@ -56,49 +56,49 @@
 
 /* ===== Pages ===== */
 
-static void go_on(discover_t *d);
+static void request_next_page(discover_t *d);
 
-static void settle(discover_t *d, paged_read_outcome_t outcome, tc_err_t *err)
+static void handle_outcome(discover_t *d, paged_read_outcome_t outcome, tc_err_t *err)
 {
     switch (outcome) {
-    case PAGED_READ_MORE: go_on(d); break;
-    case PAGED_READ_COMPLETE: note_whole(d); break;
-    case PAGED_READ_FAILED: note_failed(d, err); break;
+    case PAGED_READ_MORE: request_next_page(d); break;
+    case PAGED_READ_COMPLETE: report_list(d); break;
+    case PAGED_READ_FAILED: report_failure(d, err); break;
     }
 }
 
-/** No answer, or none that can be read. */
-static void fail(discover_t *d, tc_err_t *err)
+/** Ends the read for lack of a usable answer. */
+static void abort_read(discover_t *d, tc_err_t *err)
 {
     paged_read_end(d->read);
-    note_failed(d, err);
+    report_failure(d, err);
 }
 
-static void take_page(discover_t *d)
+static void handle_page(discover_t *d)
 {
     tc_err_t err = {0};
     char *next = NULL;
     g_array_set_size(d->page, 0);
     if (dialect_read_list((const char *)d->ask.body->data, d->ask.body->len, d->page, &next, &err) < 0) {
-        fail(d, &err);
+        abort_read(d, &err);
         return;
     }
     const paged_read_outcome_t outcome = paged_read_page(d->read, d->page, next, &err);
     g_free(next);
-    settle(d, outcome, &err);
+    handle_outcome(d, outcome, &err);
 }
 
-static void take_answer(discover_t *d)
+static void handle_answer(discover_t *d)
 {
     tc_err_t err = {0};
-    if (d->ask.status == STATUS_TOO_MANY) {
+    if (d->ask.status == STATUS_TOO_MANY_REQUESTS) {
         counter_add(&c_refused, 1);
-        settle(d, paged_read_refused(d->read, tc_time_now(), &err), &err);
+        handle_outcome(d, paged_read_refused(d->read, tc_time_now(), &err), &err);
     } else if (d->ask.status == STATUS_OK) {
-        take_page(d);
+        handle_page(d);
     } else {
         tc_err_set(&err, TC_E_REFUSED, "read list of back ends", d->addr, "status %d", d->ask.status);
-        fail(d, &err);
+        abort_read(d, &err);
     }
 }
 
@@ -107,40 +107,40 @@
     discover_t *const d = arg;
     tc_err_t err = {0};
     switch (how) {
-    case WEB_ASK_WHOLE: take_answer(d); return;
+    case WEB_ASK_WHOLE: handle_answer(d); return;
     case WEB_ASK_LATE:
-        tc_err_set(&err, TC_E_TIMEOUT, "read list of back ends", d->addr, "no answer in %d ms", PAGE_MS);
+        tc_err_set(&err, TC_E_TIMEOUT, "read list of back ends", d->addr, "no answer in %d ms", PAGE_TIMEOUT_MS);
         break;
     case WEB_ASK_BROKEN:
         tc_err_set(&err, TC_E_UNREACHABLE, "read list of back ends", d->addr, "no whole answer");
         break;
     }
-    fail(d, &err);
+    abort_read(d, &err);
 }
 
-static void ask_page(discover_t *d)
+static void request_page(discover_t *d)
 {
     counter_add(&c_calls, 1);
     const web_ask_where_t where = {.loop = d->loop,
                                    .client = d->client,
                                    .addr = d->addr,
-                                   .connect_ms = CONNECT_MS,
-                                   .limit_ms = PAGE_MS,
-                                   .body_bytes = PAGE_BYTES_MAX};
+                                   .connect_ms = CONNECT_TIMEOUT_MS,
+                                   .limit_ms = PAGE_TIMEOUT_MS,
+                                   .body_bytes = PAGE_MAX_BYTES};
     web_ask(&d->ask, &where, dialect_write_list(d->addr, paged_read_token(d->read)), on_page, d);
 }
 
 static void on_wait_over(void *arg)
 {
-    go_on(arg);
+    request_next_page(arg);
 }
 
-/** Take the reader's next step. */
-static void go_on(discover_t *d)
+/** Requests the next page now, or when the rate allows it. */
+static void request_next_page(discover_t *d)
 {
     tc_time_t until = 0;
     switch (paged_read_next(d->read, tc_time_now(), &until)) {
-    case PAGED_READ_REQUEST: ask_page(d); break;
+    case PAGED_READ_REQUEST: request_page(d); break;
     case PAGED_READ_WAIT: loop_arm(d->loop, &d->wait, until, on_wait_over, d); break;
     case PAGED_READ_PENDING:
     case PAGED_READ_IDLE: break;
@@ -154,7 +154,7 @@
     if (d->ask.call || d->wait.armed)
         return;
     paged_read_begin(d->read, tc_time_now());
-    go_on(d);
+    request_next_page(d);
 }
 
 void discover_stop(discover_t *d)
--- a/lib/forward/discover.h
+++ b/lib/forward/discover.h
@@ -1,8 +1,9 @@
 /** @file discover.h
- * Reads the platform's list of back ends: paged, some hundred ms behind, with a bounded rate of calls (paged_read.h).
+ * Reads the platform's list of back ends. The list is paged, lags by some hundred ms, and is read with a bounded rate
+ * of calls (paged_read.h).
  *
- * One reader tells everyone (the leader of the control boxes); an entry box reads
- * by itself only while it hears nothing. Runs in the loop's thread.
+ * The leader of the control boxes reads it and distributes it to all boxes; an entry box reads it itself only while it
+ * gets no list from the leader. Runs in the loop's thread.
  */
 #ifndef TRACKCOVE_FORWARD_DISCOVER_H
 #define TRACKCOVE_FORWARD_DISCOVER_H
@@ -17,33 +18,33 @@
 
 typedef struct discover discover_t;
 
-/** A whole list was read. @param started when its first page was asked for: nothing in it is older than that less
+/** Called with each complete list. @param started when its first page was requested: no entry is older than that minus
  *  the platform's own lag */
 typedef void (*discover_fn_t)(void *arg, const backend_t *list, uint32_t n, tc_time_t started);
 
-/** Where the list is. */
+/** The platform that serves the list. */
 typedef struct {
-    const char *addr; /**< of the platform, copied */
-    double rate;      /**< calls a second that it takes from all boxes together, above 0 */
+    const char *addr; /**< address of the platform, copied */
+    double rate;      /**< calls per second that it accepts from all boxes together, above 0 */
 } discover_platform_t;
 
 /* ===== Public functions ===== */
 
-/** @param fn is told every list that was read whole */
+/** @param fn called with each complete list, in the loop's thread */
 discover_t *discover_create(loop_t *loop, web_client_t *client, const discover_platform_t *platform, discover_fn_t fn,
                             void *arg);
-/** A reading under way ends without a report. */
+/** Drops the read in progress without a callback. */
 void discover_destroy(discover_t *discover);
 
-/** Read the list now, unless a reading is under way. */
+/** Starts a read, unless one is in progress. */
 void discover_start(discover_t *discover);
-/** Drop the reading under way, if there is one. */
+/** Drops the read in progress, if any. */
 void discover_stop(discover_t *discover);
-/** So many boxes read by themselves now, this one included. */
+/** Sets how many boxes read the list now, this one included: they share the rate. */
 void discover_set_readers(discover_t *discover, unsigned readers);
-/** When the last reading was begun, 0 for never. */
+/** When the last read was started, 0 for never. */
 tc_time_t discover_last_started(const discover_t *discover);
-/** As paged_read_interval and paged_read_calls. */
+/** See paged_read_interval and paged_read_calls. */
 tc_time_t discover_interval(const discover_t *discover);
 unsigned discover_calls(const discover_t *discover);
 
--- a/lib/forward/fingerprint.c
+++ b/lib/forward/fingerprint.c
@@ -5,7 +5,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/** The length goes in as well: "ab" and "c" are not "a" and "bc". */
+/** The length is hashed as well, so that "ab", "c" and "a", "bc" differ. */
 static uint64_t add(uint64_t hash, const void *data, size_t size)
 {
     return XXH3_64bits_withSeed(data, size, hash ^ size);
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -10,24 +10,25 @@
 /* ===== Constants ===== */
 
 enum {
-    AVOID_FIRST_MS = 300, /* a restarted back end is back within a few hundred ms */
-    AVOID_MAX_MS = 3000,  /* a crashed one leaves the platform's list after some seconds */
-    OUTDATED_MS = 2500,   /* the platform's list lags by about a second, and is read once a second */
-    REFUSED_MS = 60,      /* about one request's work: a place may be free again */
-    SLOTS_DEFAULT = 8     /* of back ends whose list entry names none */
+    FIRST_BACKOFF_MS = 300, /* a restarted back end is back within a few hundred ms */
+    MAX_BACKOFF_MS = 3000,  /* a crashed one leaves the platform's list after some seconds */
+    OUTDATED_MS = 2500,     /* the platform's list lags by about a second, and is read once a second */
+    REFUSED_MS = 60,        /* about the time of one request: a slot may be free again */
+    DEFAULT_SLOTS = 8       /* of back ends whose list entry has none */
 };
 
-/** Cost of another data centre, as a share of a back end's places: distance decides between equals, not against
- *  load. A starting point: about one request of eight places; other values were not measured. */
-static const double FAR_COST = 0.12;
-/** Cost of a request under which a back end has ended, to another one like it: they are spread, so that if one of them
- * is the cause the others need not be there when it ends the next. More than a full back end costs. */
+/** Cost of another data centre, as a share of a back end's slots: about one request of eight slots, so that distance
+ *  decides between back ends of equal load and does not outweigh load. */
+static const double REMOTE_DC_COST = 0.12;
+/** Cost of each suspect request at a back end for another suspect one (a back end has ended under it). Spreads them, so
+ *  that one that makes back ends end does not end others with it. More than the cost of a full back end. */
 static const double SUSPECT_COST = 1.5;
 /** A prompt of this many tokens counts as one request when prefill engines are compared. */
 static const double PROMPT_TOKENS = 5000.0;
 
-/** Choices look at so many that fit, from a place by lot on, and at no more: of a few hundred back ends at all. */
-enum { FITTING_ENOUGH = 512 };
+/** A choice stops at this many matching instances, starting at a random index. Pools of a few hundred back ends are
+ *  examined completely. */
+enum { MAX_MATCHES = 512 };
 
 /* ===== Types ===== */
 
@@ -39,9 +40,9 @@
 
 struct fleet {
     GPtrArray *instances; /* listed ones */
-    GHashTable *pools;    /* the same by service and stage, as pool_key makes -> GPtrArray, owned */
-    uint64_t looks;
-    GHashTable *by_id; /* the same, instance_t.listed.id -> instance_t */
+    GHashTable *pools;    /* the same by service and stage: text of pool_key_t -> GPtrArray, owned */
+    uint64_t examined;    /* instances that queries have examined */
+    GHashTable *by_id;    /* the same, instance_t.listed.id -> instance_t */
     evacuations_t evacuations;
     cold_t *cold;
     tc_time_t listed_at, loads_at; /* 0: never */
@@ -75,7 +76,7 @@
     return availability_accepts(&instance->availability, CALL_MAINTENANCE, now);
 }
 
-static void drop(void *instance)
+static void unref_instance(void *instance)
 {
     instance_unref(instance);
 }
@@ -90,7 +91,7 @@
 
 void instance_end(instance_t *instance, uint64_t tokens, unsigned ends)
 {
-    g_assert(instance->running > 0 && instance->tokens >= tokens); /* ends what it began */
+    g_assert(instance->running > 0 && instance->tokens >= tokens); /* pairs with instance_begin */
     instance->running--;
     instance->tokens -= tokens;
     instance->suspects -= ends >= 1;
@@ -117,11 +118,11 @@
 void instance_failed(instance_t *instance, tc_time_t now)
 {
     const unsigned doublings = instance->failures < 4 ? instance->failures : 4;
-    const tc_time_t pause = (tc_time_t)AVOID_FIRST_MS << doublings;
+    const tc_time_t pause = (tc_time_t)FIRST_BACKOFF_MS << doublings;
     instance->failures++;
     if (!mechanism_is_on(MECHANISM_AVOIDANCE))
         return;
-    instance->avoid_until = now + (pause < AVOID_MAX_MS ? pause : AVOID_MAX_MS);
+    instance->avoid_until = now + (pause < MAX_BACKOFF_MS ? pause : MAX_BACKOFF_MS);
 }
 
 void instance_outdated(instance_t *instance, tc_time_t now)
@@ -137,7 +138,7 @@
 
 /* ===== Pools ===== */
 
-/** Of a service and a stage: one key for both. */
+/** Hash key of a service and a stage. */
 typedef struct {
     char text[CODEC_STR_SIZE + 8];
 } pool_key_t;
@@ -165,24 +166,24 @@
     return pool;
 }
 
-/** Those that are what is asked for, by their kind; empty when there is none. */
-static pool_t pool_of(const fleet_t *f, const fleet_query_t *wish)
+/** The listed instances of the query's service and stage; may be empty. */
+static pool_t pool_of(const fleet_t *f, const fleet_query_t *query)
 {
-    const pool_key_t key = pool_key(wish->service, wish->stage);
+    const pool_key_t key = pool_key(query->service, query->stage);
     const GPtrArray *const pool = g_hash_table_lookup(f->pools, key.text);
     return pool ? (pool_t){.instances = (instance_t *const *)pool->pdata, .n = pool->len} : (pool_t){0};
 }
 
-/** One of them, at a place counted from @p from on and around. */
-static instance_t *pool_at(fleet_t *f, const pool_t *pool, guint from, guint place)
+/** The instance at @p index after @p from, with wrap-around. */
+static instance_t *pool_at(fleet_t *f, const pool_t *pool, guint from, guint index)
 {
-    f->looks++;
-    return pool->instances[(from + place) % pool->n];
+    f->examined++;
+    return pool->instances[(from + index) % pool->n];
 }
 
 uint64_t fleet_instances_examined(const fleet_t *f)
 {
-    return f->looks;
+    return f->examined;
 }
 
 /* ===== The list ===== */
@@ -190,7 +191,7 @@
 fleet_t *fleet_create(void)
 {
     fleet_t *const f = g_new0(fleet_t, 1);
-    f->instances = g_ptr_array_new_with_free_func(drop);
+    f->instances = g_ptr_array_new_with_free_func(unref_instance);
     f->by_id = g_hash_table_new(g_str_hash, g_str_equal);
     f->pools = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, pool_free);
     f->cold = cold_create();
@@ -219,17 +220,17 @@
     return g_hash_table_lookup(f->by_id, id);
 }
 
-instance_t *fleet_at(const fleet_t *f, unsigned place)
+instance_t *fleet_at(const fleet_t *f, unsigned index)
 {
-    g_assert(place < f->instances->len); /* callers count up to fleet_size */
-    return g_ptr_array_index(f->instances, place);
+    g_assert(index < f->instances->len); /* contract of fleet_at */
+    return g_ptr_array_index(f->instances, index);
 }
 
 void fleet_set_list(fleet_t *f, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
     f->listed_at = fetched;
     (void)cold_update_list(f->cold, fetched);
-    GPtrArray *const fresh = g_ptr_array_new_with_free_func(drop);
+    GPtrArray *const listed = g_ptr_array_new_with_free_func(unref_instance);
     for (uint32_t i = 0; i < n; i++) {
         instance_t *const known = fleet_find(f, list[i].id);
         instance_t *const instance = known ? instance_ref(known) : g_new0(instance_t, 1);
@@ -238,30 +239,30 @@
             instance->ring = ring_place(list[i].id);
         }
         if (known && strcmp(known->listed.stage, list[i].stage) != 0)
-            instance->avoid_until = 0; /* what it refused, it refused in its other role */
+            instance->avoid_until = 0; /* refusals and failures were those of its former stage */
         instance->listed = list[i];
         instance->stage = stage_of(list[i].stage);
         instance->evacuated = evacuations_has(&f->evacuations, list[i].dc);
         instance->cold = cold_is(f->cold, &list[i]);
         if (!list[i].draining)
             availability_listed_ready(&instance->availability, fetched);
-        g_ptr_array_add(fresh, instance);
+        g_ptr_array_add(listed, instance);
     }
     for (guint i = 0; i < f->instances->len; i++)
         ((instance_t *)g_ptr_array_index(f->instances, i))->present = false;
     g_hash_table_remove_all(f->by_id);
     g_hash_table_remove_all(f->pools);
-    for (guint i = 0; i < fresh->len; i++) {
-        instance_t *const instance = g_ptr_array_index(fresh, i);
+    for (guint i = 0; i < listed->len; i++) {
+        instance_t *const instance = g_ptr_array_index(listed, i);
         instance->present = true;
         g_hash_table_insert(f->by_id, instance->listed.id, instance);
         g_ptr_array_add(pool_get(f, instance), instance);
     }
     g_ptr_array_free(f->instances, TRUE);
-    f->instances = fresh;
+    f->instances = listed;
 }
 
-static void look_for_cold(const fleet_t *f)
+static void update_cold(const fleet_t *f)
 {
     for (guint i = 0; i < f->instances->len; i++) {
         instance_t *const instance = g_ptr_array_index(f->instances, i);
@@ -273,7 +274,7 @@
 {
     f->listed_at = fetched;
     if (cold_update_list(f->cold, fetched))
-        look_for_cold(f);
+        update_cold(f);
     for (guint i = 0; i < f->instances->len; i++) {
         instance_t *const instance = g_ptr_array_index(f->instances, i);
         if (!instance->listed.draining)
@@ -304,7 +305,7 @@
         instance_t *const instance = g_ptr_array_index(f->instances, i);
         instance->evacuated = evacuations_has(evacuations, instance->listed.dc);
     }
-    look_for_cold(f);
+    update_cold(f);
 }
 
 /* ===== Loads ===== */
@@ -346,188 +347,189 @@
     return loads;
 }
 
-/* ===== Choosing ===== */
+/* ===== Queries ===== */
 
-/** As the scheduler does: a request under which two back ends have ended runs beside no other one under which one has.
- */
-static bool keeps_apart(const instance_t *instance, unsigned ends)
+/** As in the scheduler: a request that two back ends have ended under does not run beside another suspect one. */
+static bool allows_suspects(const instance_t *instance, unsigned ends)
 {
     if (ends >= 2)
         return instance->suspects == 0;
     return ends == 0 || instance->repeat_suspects == 0;
 }
 
-/** Whether it takes one more connection, each request being one: of all boxes, as far as they are known, and of this
- *  box's part of them, whatever is known of the others. Engines take fewer requests than connections. */
-static bool has_connection(const instance_t *instance, const fleet_query_t *wish)
+/** Whether one more connection (one per request) is within the limit: that of all boxes together, as far as their loads
+ *  are known, and this box's equal share of it. Engines accept fewer requests than connections. */
+static bool has_connection(const instance_t *instance, const fleet_query_t *query)
 {
-    if (wish->connections == 0 || instance->stage != STAGE_NONE)
+    if (query->connections == 0 || instance->stage != STAGE_NONE)
         return true;
-    const unsigned part = MAX(wish->connections / wish->boxes, 1);
-    return instance->running < part && instance->running + instance->remote_running < wish->connections;
+    const unsigned part = MAX(query->connections / query->boxes, 1);
+    return instance->running < part && instance->running + instance->remote_running < query->connections;
 }
 
-/** Whether one of its kind is what is asked for, whatever it takes now. */
-static bool suits(const instance_t *instance, const fleet_query_t *wish)
+/** Whether it meets the query's requirements, whether or not it accepts work now. */
+static bool is_suitable(const instance_t *instance, const fleet_query_t *query)
 {
     return !instance->listed.draining && !instance->evacuated && instance->availability.leaving_since == 0 &&
-           keeps_apart(instance, wish->ends) && has_connection(instance, wish);
+           allows_suspects(instance, query->ends) && has_connection(instance, query);
 }
 
-static bool was_tried(const instance_t *instance, const fleet_query_t *wish)
+static bool was_tried(const instance_t *instance, const fleet_query_t *query)
 {
-    return wish->tried && g_ptr_array_find((GPtrArray *)(uintptr_t)wish->tried, instance, NULL);
+    return query->tried && g_ptr_array_find((GPtrArray *)(uintptr_t)query->tried, instance, NULL);
 }
 
-static bool fits(const instance_t *instance, const fleet_query_t *wish)
+static bool matches(const instance_t *instance, const fleet_query_t *query)
 {
-    if (wish->now < instance->limited_until || (wish->exclude_limited && instance->limit.is_set))
+    if (query->now < instance->limited_until || (query->exclude_limited && instance->limit.is_set))
         return false;
-    return suits(instance, wish) && instance_accepts_work(instance, wish->now) && !was_tried(instance, wish);
+    return is_suitable(instance, query) && instance_accepts_work(instance, query->now) && !was_tried(instance, query);
 }
 
-tc_time_t fleet_next_available_at(fleet_t *f, const fleet_query_t *wish)
+tc_time_t fleet_next_available_at(fleet_t *f, const fleet_query_t *query)
 {
-    const pool_t pool = pool_of(f, wish);
-    tc_time_t soonest = TC_TIME_NEVER;
+    const pool_t pool = pool_of(f, query);
+    tc_time_t earliest = TC_TIME_NEVER;
     for (guint i = 0; i < pool.n; i++) {
         const instance_t *const instance = pool_at(f, &pool, 0, i);
         const tc_time_t opens = MAX(instance->limited_until, instance->availability.closed_until);
-        if (!suits(instance, wish))
+        if (!is_suitable(instance, query))
             continue;
-        if (wish->now >= opens)
+        if (query->now >= opens)
             return TC_TIME_NEVER;
-        soonest = MIN(soonest, opens);
+        earliest = MIN(earliest, opens);
     }
-    return soonest;
+    return earliest;
 }
 
-tc_time_t fleet_closed_until(fleet_t *f, const fleet_query_t *wish)
+tc_time_t fleet_closed_until(fleet_t *f, const fleet_query_t *query)
 {
-    const pool_t pool = pool_of(f, wish);
-    tc_time_t soonest = 0;
+    const pool_t pool = pool_of(f, query);
+    tc_time_t earliest = 0;
     for (guint i = 0; i < pool.n; i++) {
         const instance_t *const instance = pool_at(f, &pool, 0, i);
-        if (!suits(instance, wish))
+        if (!is_suitable(instance, query))
             continue;
-        if (wish->now >= instance->availability.closed_until)
+        if (query->now >= instance->availability.closed_until)
             return 0;
-        soonest = soonest ? MIN(soonest, instance->availability.closed_until) : instance->availability.closed_until;
+        earliest = earliest ? MIN(earliest, instance->availability.closed_until) : instance->availability.closed_until;
     }
-    return soonest;
+    return earliest;
 }
 
-bool fleet_is_evacuated(fleet_t *f, const fleet_query_t *wish)
+bool fleet_is_evacuated(fleet_t *f, const fleet_query_t *query)
 {
-    const pool_t pool = f->evacuations.list_n > 0 ? pool_of(f, wish) : (pool_t){0};
+    const pool_t pool = f->evacuations.list_n > 0 ? pool_of(f, query) : (pool_t){0};
     for (guint i = 0; i < pool.n; i++)
         if (!pool_at(f, &pool, 0, i)->evacuated)
             return false;
     return pool.n > 0;
 }
 
-void fleet_each(fleet_t *f, const fleet_query_t *wish, void (*fn)(void *arg, instance_t *instance), void *arg)
+void fleet_each(fleet_t *f, const fleet_query_t *query, void (*fn)(void *arg, instance_t *instance), void *arg)
 {
-    const pool_t pool = pool_of(f, wish);
-    const guint from = pool.n > 0 ? wish->random % pool.n : 0;
+    const pool_t pool = pool_of(f, query);
+    const guint from = pool.n > 0 ? query->random % pool.n : 0;
     for (guint i = 0; i < pool.n; i++) {
         instance_t *const instance = pool_at(f, &pool, from, i);
-        if (fits(instance, wish))
+        if (matches(instance, query))
             fn(arg, instance);
     }
 }
 
-unsigned fleet_count(const fleet_t *f, const fleet_query_t *wish)
+unsigned fleet_count(const fleet_t *f, const fleet_query_t *query)
 {
-    return pool_of(f, wish).n;
+    return pool_of(f, query).n;
 }
 
-/** Keep the nearest ones, nearest first. @param most room in @p nearest @return how many there are now */
-static unsigned keep_nearest(instance_t **nearest, unsigned n, unsigned most, uint64_t place, instance_t *instance)
+/** Inserts the instance into the sorted array of the nearest ones. @param max capacity of @p nearest @return their new
+ *  number */
+static unsigned insert_nearest(instance_t **nearest, unsigned n, unsigned max, uint64_t position, instance_t *instance)
 {
-    const uint64_t distance = ring_distance(place, instance->ring);
+    const uint64_t distance = ring_distance(position, instance->ring);
     unsigned at = n;
-    while (at > 0 && distance < ring_distance(place, nearest[at - 1]->ring))
+    while (at > 0 && distance < ring_distance(position, nearest[at - 1]->ring))
         at--;
-    if (at == most)
+    if (at == max)
         return n;
-    const unsigned kept = n < most ? n : most - 1;
+    const unsigned kept = n < max ? n : max - 1;
     memmove(&nearest[at + 1], &nearest[at], (kept - at) * sizeof(*nearest));
     nearest[at] = instance;
     return kept + 1;
 }
 
-void fleet_each_successor(fleet_t *f, const fleet_query_t *wish, uint64_t place, unsigned most,
+void fleet_each_successor(fleet_t *f, const fleet_query_t *query, uint64_t position, unsigned max,
                           void (*fn)(void *arg, instance_t *instance), void *arg)
 {
-    const pool_t pool = pool_of(f, wish);
-    instance_t **const nearest = g_new0(instance_t *, most + 1);
+    const pool_t pool = pool_of(f, query);
+    instance_t **const nearest = g_new0(instance_t *, max + 1);
     unsigned n = 0;
-    for (guint i = 0; i < pool.n && most > 0; i++) {
+    for (guint i = 0; i < pool.n && max > 0; i++) {
         instance_t *const instance = pool_at(f, &pool, 0, i);
-        if (fits(instance, wish))
-            n = keep_nearest(nearest, n, most, place, instance);
+        if (matches(instance, query))
+            n = insert_nearest(nearest, n, max, position, instance);
     }
     for (unsigned i = 0; i < n; i++)
         fn(arg, nearest[i]);
     g_free(nearest);
 }
 
-/** Share of a back end's capacity that is in use, 0 for idle; more than 1 means that requests queue there. */
+/** Used share of a back end's capacity: 0 is idle, above 1 requests queue there. */
 static double load_of(const instance_t *instance)
 {
     if (instance->stage == STAGE_PREFILL)
         return (double)(instance->tokens + instance->remote_tokens) / PROMPT_TOKENS;
-    const unsigned slots = instance->listed.slots ? instance->listed.slots : SLOTS_DEFAULT;
+    const unsigned slots = instance->listed.slots ? instance->listed.slots : DEFAULT_SLOTS;
     return (double)(instance->running + instance->remote_running) / slots;
 }
 
-static double cost_of(const instance_t *instance, const fleet_query_t *wish)
+static double cost_of(const instance_t *instance, const fleet_query_t *query)
 {
-    const double far = strcmp(instance->listed.dc, wish->dc) != 0 ? FAR_COST : 0;
-    const double beside = wish->ends >= 1 ? SUSPECT_COST * instance->suspects : 0;
-    return load_of(instance) + far + beside;
+    const double remote = strcmp(instance->listed.dc, query->dc) != 0 ? REMOTE_DC_COST : 0;
+    const double suspects = query->ends >= 1 ? SUSPECT_COST * instance->suspects : 0;
+    return load_of(instance) + remote + suspects;
 }
 
-static instance_t *better_of(instance_t *one, instance_t *two, const fleet_query_t *wish)
+static instance_t *cheaper_of(instance_t *one, instance_t *two, const fleet_query_t *query)
 {
-    return cost_of(one, wish) <= cost_of(two, wish) ? one : two;
+    return cost_of(one, query) <= cost_of(two, query) ? one : two;
 }
 
-/** A number that follows from another by lot. */
-static uint32_t draw_again(uint32_t draw)
+/** Derives another pseudo-random number. */
+static uint32_t next_random(uint32_t draw)
 {
     enum { MULTIPLIER = 0x9e3779b1u, SHIFT = 15 };
     return (draw ^ (draw >> SHIFT)) * MULTIPLIER;
 }
 
-/** Two of all by lot, and one of the near ones.
- *  @param good those that fit, at least one @param near of them, those in the wished data centre */
-static instance_t *choose_by_lot(const GPtrArray *good, const GPtrArray *near, uint32_t draw, const fleet_query_t *wish)
+/** The best of two random ones of all and a random one of the preferred data centre.
+ *  @param good the matching ones, at least one @param near those of them in the preferred data centre */
+static instance_t *choose_random(const GPtrArray *good, const GPtrArray *near, uint32_t draw,
+                                 const fleet_query_t *query)
 {
     instance_t *const one = g_ptr_array_index(good, draw % good->len);
     instance_t *const two = g_ptr_array_index(good, (draw / good->len) % good->len);
-    instance_t *const best = better_of(one, two, wish);
+    instance_t *const best = cheaper_of(one, two, query);
     if (near->len == 0)
         return best;
-    return better_of(best, g_ptr_array_index(near, draw_again(draw) % near->len), wish);
+    return cheaper_of(best, g_ptr_array_index(near, next_random(draw) % near->len), query);
 }
 
-/** A few of those that fit, drawn by lot, and the best of them: what is known of the other boxes' requests is some
- *  hundred ms old, and if all boxes took the one that looks best, it would be swamped until they hear of it. */
-instance_t *fleet_choose(fleet_t *f, const fleet_query_t *wish)
+/** Takes the best of a few random matching instances. The loads of the other boxes are some hundred ms old: if all
+ * boxes took the instance with the lowest known load, it would be overloaded before they learn of it. */
+instance_t *fleet_choose(fleet_t *f, const fleet_query_t *query)
 {
-    const pool_t pool = pool_of(f, wish);
-    const guint from = pool.n > FITTING_ENOUGH ? wish->random % pool.n : 0;
+    const pool_t pool = pool_of(f, query);
+    const guint from = pool.n > MAX_MATCHES ? query->random % pool.n : 0;
     GPtrArray *const good = g_ptr_array_new(), *const near = g_ptr_array_new();
-    instance_t *last_resort = NULL; /* the one that is to be avoided for the shortest time */
-    for (guint i = 0; i < pool.n && good->len < FITTING_ENOUGH; i++) {
+    instance_t *last_resort = NULL; /* the avoided one whose backoff ends first */
+    for (guint i = 0; i < pool.n && good->len < MAX_MATCHES; i++) {
         instance_t *const instance = pool_at(f, &pool, from, i);
-        if (!fits(instance, wish))
+        if (!matches(instance, query))
             continue;
-        if (instance->avoid_until <= wish->now) {
+        if (instance->avoid_until <= query->now) {
             g_ptr_array_add(good, instance);
-            if (strcmp(instance->listed.dc, wish->dc) == 0)
+            if (strcmp(instance->listed.dc, query->dc) == 0)
                 g_ptr_array_add(near, instance);
         } else if (!last_resort || instance->avoid_until < last_resort->avoid_until) {
             last_resort = instance;
@@ -535,7 +537,7 @@
     }
     instance_t *best = last_resort;
     if (good->len > 0)
-        best = choose_by_lot(good, near, from > 0 ? wish->random / pool.n : wish->random, wish);
+        best = choose_random(good, near, from > 0 ? query->random / pool.n : query->random, query);
     g_ptr_array_free(good, TRUE);
     g_ptr_array_free(near, TRUE);
     return best ? instance_ref(best) : NULL;
--- a/lib/forward/paged_read.c
+++ b/lib/forward/paged_read.c
@@ -10,52 +10,52 @@
 
 enum {
     MS_PER_S = 1000,
-    PAGES_MAX = 2000,             /* of one reading: a platform that names a next page for ever is given up */
-    ENTRIES_MAX = CODEC_LIST_MAX, /* of one list: no more can be told to other boxes */
-    REFUSALS_MAX = 6,             /* in a row: then the platform takes no calls of this reader */
-    REFUSED_PAUSE_MS = 100,       /* after a refusal, doubled with each in a row */
-    INTERVAL_MIN_MS = 1000, /* each call is priced, and a leaving back end must be known within 3 s at every box */
-    INTERVAL_MAX_MS = 2000  /* of the only reader, for the same reason */
+    MAX_PAGES = 2000,             /* of one read: bounds a list that always names a next page */
+    MAX_ENTRIES = CODEC_LIST_MAX, /* of one list: messages to other boxes hold no more */
+    MAX_REFUSALS = 6,             /* in a row: then the read fails */
+    REFUSAL_BACKOFF_MS = 100,     /* after the first refusal, doubled with each further one in a row */
+    MIN_INTERVAL_MS = 1000,       /* between the starts of two reads: each call is priced */
+    MAX_INTERVAL_MS = 2000        /* of a single reader: every box must know of a leaving back end within 3 s */
 };
 
-/** Of the platform's rate, for the readers of the control boxes together: a new one may begin while the last one is not
- *  over. */
-static const double READ_PART = 0.4;
-/** Of that part, for one reading after the other, over time. */
-static const double STEADY_PART = 0.25;
+/** Share of the platform's rate for the readers of the control boxes together. Below one half, since a new leader may
+ *  start to read before the last one has ended. */
+static const double READ_SHARE = 0.4;
+/** Part of that share that reads may use on average over time. */
+static const double STEADY_SHARE = 0.25;
 
 /* ===== Types ===== */
 
 struct paged_read {
-    double rate;      /* calls a second of all boxes together */
-    unsigned readers; /* that share it */
-    bool reading, asked;
-    tc_time_t begun;
-    double next_at;     /* ms: not before then */
+    double rate;      /* calls per second of all boxes together */
+    unsigned readers; /* boxes that share it */
+    bool reading, pending;
+    tc_time_t started_at;
+    double next_at;     /* ms: no call before then */
     unsigned refusals;  /* in a row */
-    unsigned pages;     /* of this reading, whole */
-    char *token;        /* of the page that is to be asked for, or is */
-    GHashTable *tokens; /* of this reading, owned */
-    GArray *fresh;      /* backend_t, of this reading */
-    GArray *list;       /* of the last whole one */
-    GArray *seen;       /* the same without what only the one before had */
-    unsigned calls;     /* that the last whole one took */
+    unsigned pages;     /* received in this read */
+    char *token;        /* of the page to request, or requested */
+    GHashTable *tokens; /* of the pages received in this read, owned */
+    GArray *entries;    /* backend_t, of this read */
+    GArray *list;       /* backend_t, result of the last complete read */
+    GArray *listed;     /* the same without the entries that only the read before it had */
+    unsigned calls;     /* that the last complete read took */
 };
 
-/* ===== Life ===== */
+/* ===== Creation ===== */
 
 paged_read_t *paged_read_create(double rate)
 {
-    assert(rate > 0); /* else nothing could ever be read */
+    assert(rate > 0); /* intervals divide by it */
     paged_read_t *const r = g_new0(paged_read_t, 1);
     r->rate = rate;
     r->readers = 1;
     r->calls = 1;
     r->token = g_strdup("");
     r->tokens = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    r->fresh = g_array_new(FALSE, TRUE, sizeof(backend_t));
+    r->entries = g_array_new(FALSE, TRUE, sizeof(backend_t));
     r->list = g_array_new(FALSE, TRUE, sizeof(backend_t));
-    r->seen = g_array_new(FALSE, TRUE, sizeof(backend_t));
+    r->listed = g_array_new(FALSE, TRUE, sizeof(backend_t));
     return r;
 }
 
@@ -63,9 +63,9 @@
 {
     g_free(r->token);
     g_hash_table_destroy(r->tokens);
-    g_array_free(r->fresh, TRUE);
+    g_array_free(r->entries, TRUE);
     g_array_free(r->list, TRUE);
-    g_array_free(r->seen, TRUE);
+    g_array_free(r->listed, TRUE);
     g_free(r);
 }
 
@@ -74,19 +74,20 @@
     r->readers = readers > 0 ? readers : 1;
 }
 
-/* ===== Pace ===== */
+/* ===== Rate ===== */
 
-static double part(const paged_read_t *r)
+static double rate_share(const paged_read_t *r)
 {
-    return READ_PART * r->rate / r->readers;
+    return READ_SHARE * r->rate / r->readers;
 }
 
 tc_time_t paged_read_interval(const paged_read_t *r)
 {
-    const double steady = r->calls * MS_PER_S / (STEADY_PART * part(r));
-    const tc_time_t most = r->readers > 1 ? TC_TIME_NEVER : INTERVAL_MAX_MS;
-    const tc_time_t least =
-        r->calls * MS_PER_S / part(r) > INTERVAL_MAX_MS ? (tc_time_t)(r->calls * MS_PER_S / part(r)) : INTERVAL_MIN_MS;
+    const double steady = r->calls * MS_PER_S / (STEADY_SHARE * rate_share(r));
+    const tc_time_t most = r->readers > 1 ? TC_TIME_NEVER : MAX_INTERVAL_MS;
+    const tc_time_t least = r->calls * MS_PER_S / rate_share(r) > MAX_INTERVAL_MS
+                                ? (tc_time_t)(r->calls * MS_PER_S / rate_share(r))
+                                : MIN_INTERVAL_MS;
     return MAX(least, MIN((tc_time_t)steady, most));
 }
 
@@ -97,7 +98,7 @@
 
 tc_time_t paged_read_started_at(const paged_read_t *r)
 {
-    return r->begun;
+    return r->started_at;
 }
 
 /* ===== Reading ===== */
@@ -113,33 +114,33 @@
     if (r->reading)
         return;
     r->reading = true;
-    r->asked = false;
-    r->begun = now;
+    r->pending = false;
+    r->started_at = now;
     r->pages = 0;
     r->refusals = 0;
-    g_array_set_size(r->fresh, 0);
+    g_array_set_size(r->entries, 0);
     g_hash_table_remove_all(r->tokens);
     set_token(r, "");
 }
 
 void paged_read_end(paged_read_t *r)
 {
-    r->reading = r->asked = false;
-    g_array_set_size(r->fresh, 0);
+    r->reading = r->pending = false;
+    g_array_set_size(r->entries, 0);
 }
 
 paged_read_step_t paged_read_next(paged_read_t *r, tc_time_t now, tc_time_t *until)
 {
     if (!r->reading)
         return PAGED_READ_IDLE;
-    if (r->asked)
+    if (r->pending)
         return PAGED_READ_PENDING;
     if ((double)now < r->next_at) {
         *until = (tc_time_t)ceil(r->next_at);
         return PAGED_READ_WAIT;
     }
-    r->asked = true;
-    r->next_at = MAX(r->next_at + MS_PER_S / part(r), (double)now);
+    r->pending = true;
+    r->next_at = MAX(r->next_at + MS_PER_S / rate_share(r), (double)now);
     return PAGED_READ_REQUEST;
 }
 
@@ -150,35 +151,35 @@
 
 /* ===== Answers ===== */
 
-static paged_read_outcome_t fail(paged_read_t *r, tc_err_t *err, int code, const char *why)
+static paged_read_outcome_t fail_read(paged_read_t *r, tc_err_t *err, int code, const char *why)
 {
     tc_err_set(err, code, "read list of back ends", NULL, "%s", why);
     paged_read_end(r);
     return PAGED_READ_FAILED;
 }
 
-/** A back end that moved from page to page between two calls is told once, as the later one told of it. */
-static void drop_repeated(GArray *list)
+/** Keeps one entry of a back end that moved to another page between two calls: the later one. */
+static void remove_duplicates(GArray *list)
 {
-    GHashTable *const places = g_hash_table_new(g_str_hash, g_str_equal); /* id, in the list -> place */
-    backend_t *const told = (backend_t *)(void *)list->data;
+    GHashTable *const indexes = g_hash_table_new(g_str_hash, g_str_equal); /* id, borrowed from the list -> index */
+    backend_t *const entries = (backend_t *)(void *)list->data;
     guint kept = 0;
     for (guint i = 0; i < list->len; i++) {
-        gpointer place;
-        if (g_hash_table_lookup_extended(places, told[i].id, NULL, &place)) {
-            told[GPOINTER_TO_UINT(place)] = told[i];
+        gpointer index;
+        if (g_hash_table_lookup_extended(indexes, entries[i].id, NULL, &index)) {
+            entries[GPOINTER_TO_UINT(index)] = entries[i];
             continue;
         }
-        told[kept] = told[i];
-        g_hash_table_insert(places, told[kept].id, GUINT_TO_POINTER(kept));
+        entries[kept] = entries[i];
+        g_hash_table_insert(indexes, entries[kept].id, GUINT_TO_POINTER(kept));
         kept++;
     }
-    g_hash_table_destroy(places);
+    g_hash_table_destroy(indexes);
     g_array_set_size(list, kept);
 }
 
-/** Add what the reading before had and this one has not. */
-static void keep_missed(GArray *list, const GArray *before)
+/** Appends the entries of the read before that are missing in this one. */
+static void append_missed(GArray *list, const GArray *before)
 {
     GHashTable *const known = g_hash_table_new(g_str_hash, g_str_equal);
     GArray *const missed = g_array_new(FALSE, TRUE, sizeof(backend_t));
@@ -193,51 +194,51 @@
     g_array_free(missed, TRUE);
 }
 
-static void end_whole(paged_read_t *r)
+static void finish_read(paged_read_t *r)
 {
-    GArray *const before = r->seen;
-    drop_repeated(r->fresh);
+    GArray *const before = r->listed;
+    remove_duplicates(r->entries);
     r->calls = r->pages;
-    r->seen = r->fresh;
+    r->listed = r->entries;
     g_array_set_size(r->list, 0);
-    if (r->seen->len > 0)
-        g_array_append_vals(r->list, r->seen->data, r->seen->len);
+    if (r->listed->len > 0)
+        g_array_append_vals(r->list, r->listed->data, r->listed->len);
     if (r->pages > 1)
-        keep_missed(r->list, before);
-    r->fresh = before;
+        append_missed(r->list, before);
+    r->entries = before;
     paged_read_end(r);
 }
 
 paged_read_outcome_t paged_read_page(paged_read_t *r, const GArray *page, const char *next, tc_err_t *err)
 {
-    assert(r->reading && r->asked); /* it answers the page that was asked for */
-    r->asked = false;
+    assert(r->reading && r->pending); /* an answer needs a pending request */
+    r->pending = false;
     r->refusals = 0;
     r->pages++;
-    if (page->len > ENTRIES_MAX - r->fresh->len)
-        return fail(r, err, TC_E_INVALID, "more entries than a list can have");
+    if (page->len > MAX_ENTRIES - r->entries->len)
+        return fail_read(r, err, TC_E_INVALID, "more entries than a list may have");
     if (page->len > 0)
-        g_array_append_vals(r->fresh, page->data, page->len);
+        g_array_append_vals(r->entries, page->data, page->len);
     if (!next) {
-        end_whole(r);
+        finish_read(r);
         return PAGED_READ_COMPLETE;
     }
-    if (r->pages >= PAGES_MAX)
-        return fail(r, err, TC_E_INVALID, "more pages than a list can have");
+    if (r->pages >= MAX_PAGES)
+        return fail_read(r, err, TC_E_INVALID, "more pages than a list may have");
     g_hash_table_add(r->tokens, g_strdup(r->token));
     if (g_hash_table_contains(r->tokens, next))
-        return fail(r, err, TC_E_INVALID, "a page names one before it as the next");
+        return fail_read(r, err, TC_E_INVALID, "the next page token repeats an earlier one");
     set_token(r, next);
     return PAGED_READ_MORE;
 }
 
 paged_read_outcome_t paged_read_refused(paged_read_t *r, tc_time_t now, tc_err_t *err)
 {
-    assert(r->reading && r->asked);
-    r->asked = false;
-    if (++r->refusals >= REFUSALS_MAX)
-        return fail(r, err, TC_E_REFUSED, "the platform takes no more calls");
-    const tc_time_t pause = (tc_time_t)REFUSED_PAUSE_MS << (r->refusals - 1);
+    assert(r->reading && r->pending);
+    r->pending = false;
+    if (++r->refusals >= MAX_REFUSALS)
+        return fail_read(r, err, TC_E_REFUSED, "too many calls refused in a row by the platform");
+    const tc_time_t pause = (tc_time_t)REFUSAL_BACKOFF_MS << (r->refusals - 1);
     r->next_at = MAX(r->next_at, (double)(now + pause));
     return PAGED_READ_MORE;
 }
--- a/lib/forward/paged_read.h
+++ b/lib/forward/paged_read.h
@@ -1,8 +1,8 @@
 /** @file paged_read.h
- * One reader of the platform's list of back ends: which page is asked for, and when. The platform takes so many calls a
- * second from all boxes together and refuses the rest; a reading keeps to a part of that, and asks for a page that was
- * refused once more instead of beginning anew. A list is one reading's, whole, or there is none. Pure: answers and the
- * time go in.
+ * State machine of one reader of the platform's list of back ends: which page to request, and when. The platform
+ * accepts a fixed rate of calls from all boxes together and refuses the rest; a read stays within a share of that rate,
+ * and requests a refused page again instead of starting over. A list is always the complete result of one read. No I/O,
+ * no clock: answers and the time are passed in.
  */
 #ifndef TRACKCOVE_FORWARD_PAGED_READ_H
 #define TRACKCOVE_FORWARD_PAGED_READ_H
@@ -20,55 +20,55 @@
 
 typedef struct paged_read paged_read_t;
 
-/** What comes next. */
+/** Next action of the caller. */
 typedef enum {
-    PAGED_READ_IDLE,    /**< no reading is under way */
-    PAGED_READ_REQUEST, /**< ask for paged_read_token now; it counts as asked */
-    PAGED_READ_WAIT,    /**< not before a time */
-    PAGED_READ_PENDING  /**< a page has been asked for and not been answered */
+    PAGED_READ_IDLE,    /**< no read is in progress */
+    PAGED_READ_REQUEST, /**< request the page of paged_read_token now; it counts as requested */
+    PAGED_READ_WAIT,    /**< call again at the given time */
+    PAGED_READ_PENDING  /**< a page was requested and not answered yet */
 } paged_read_step_t;
 
-/** What came of an answer. */
+/** Effect of an answer. */
 typedef enum {
-    PAGED_READ_MORE,     /**< the reading goes on */
-    PAGED_READ_COMPLETE, /**< the list is whole: see paged_read_list */
-    PAGED_READ_FAILED    /**< the reading is over, and what was read is dropped */
+    PAGED_READ_MORE,     /**< the read continues */
+    PAGED_READ_COMPLETE, /**< the list is complete: see paged_read_list */
+    PAGED_READ_FAILED    /**< the read has ended, and its pages are dropped */
 } paged_read_outcome_t;
 
 /* ===== Public functions ===== */
 
-/** @param rate calls a second that the platform takes from all boxes together, above 0 */
+/** @param rate calls per second that the platform accepts from all boxes together, above 0 */
 paged_read_t *paged_read_create(double rate);
 void paged_read_destroy(paged_read_t *read);
 
-/** So many boxes read by themselves now, this one included: each keeps to an equal part. */
+/** Sets how many boxes read the list now, this one included: each gets an equal share of the rate. */
 void paged_read_set_readers(paged_read_t *read, unsigned readers);
-/** Begin a reading, unless one is under way. */
+/** Starts a read, unless one is in progress. */
 void paged_read_begin(paged_read_t *read, tc_time_t now);
-/** Drop the reading under way, if there is one. */
+/** Drops the read in progress, if any. */
 void paged_read_end(paged_read_t *read);
 
-/** @param until filled in with the time to wait for */
+/** @param until set to the time to wait for on PAGED_READ_WAIT */
 paged_read_step_t paged_read_next(paged_read_t *read, tc_time_t now, tc_time_t *until);
-/** The page to ask for, "" for the first. Borrowed until its answer. */
+/** Token of the page to request, "" for the first. Borrowed until its answer. */
 const char *paged_read_token(const paged_read_t *read);
 
-/** The page came. @param page backend_t, its entries @param next token of the next one, NULL on the last
- *  @param err why, when it fails: a token that came before, or more than a list can have */
+/** Adds the requested page. @param page backend_t, its entries @param next token of the next page, NULL on the last
+ *  @param err set on failure: a repeated token, or more pages or entries than a list may have */
 paged_read_outcome_t paged_read_page(paged_read_t *read, const GArray *page, const char *next, tc_err_t *err);
-/** The platform refused the call, since there were too many: the page is asked for again, later each time.
- *  @return MORE, or FAILED after several refusals in a row */
+/** The platform refused the call for its rate limit: the page is requested again, with exponential backoff.
+ *  @return PAGED_READ_MORE, or PAGED_READ_FAILED after several refusals in a row */
 paged_read_outcome_t paged_read_refused(paged_read_t *read, tc_time_t now, tc_err_t *err);
 
-/** The list of the last whole reading, each back end once; of one in several pages also those that only the reading
- *  before has: what moves from page to page while it is read may be missed. Borrowed until the next reading is whole.
- *  @return backend_t */
+/** The list of the last complete read, each back end once. If it has several pages, it also holds the back ends that
+ *  only the read before it had: a read can miss entries that move between pages meanwhile. Borrowed until the next read
+ *  is complete. @return backend_t */
 const GArray *paged_read_list(const paged_read_t *read);
-/** When the reading that is under way, or the last one, was begun; 0 for never. */
+/** When the read in progress, or else the last one, was started; 0 for never. */
 tc_time_t paged_read_started_at(const paged_read_t *read);
-/** Calls that a reading takes, by the last whole one; 1 before that. */
+/** Calls that a read takes, by the last complete one; 1 before that. */
 unsigned paged_read_calls(const paged_read_t *read);
-/** Least time between the beginnings of two readings by which this reader keeps to its part, ms. */
+/** Shortest time between the starts of two reads with which this reader stays within its share, ms. */
 tc_time_t paged_read_interval(const paged_read_t *read);
 
 #endif
--- a/lib/forward/read_schedule.h
+++ b/lib/forward/read_schedule.h
@@ -1,7 +1,8 @@
 /** @file read_schedule.h
- * When a box reads the platform's list of back ends by itself. Ordinarily the leader reads it for all; while nobody
- * tells it, some boxes read it and the others hear of it from them, so that the calls of all boxes together grow
- * neither with their number nor with the length of the list. Pure: the time and the lot go in.
+ * Decides when a box reads the platform's list of back ends itself. Normally the leader reads it for all boxes. While
+ * no leader distributes it, a few boxes read it and pass it on to the others, so that the calls of all boxes together
+ * grow neither with their number nor with the length of the list. No I/O, no clock: the time and a random number are
+ * passed in.
  */
 #ifndef TRACKCOVE_FORWARD_READ_SCHEDULE_H
 #define TRACKCOVE_FORWARD_READ_SCHEDULE_H
@@ -15,30 +16,30 @@
 
 /* ===== Constants ===== */
 
-/** A list older than this is stale: within the time in which a leaving back end must be left alone. */
+/** A list older than this is stale. Less than the time within which a leaving back end must get no more requests. */
 #define READ_SCHEDULE_STALE_MS 2200
 
 /* ===== Types ===== */
 
-/** Zeroed before its first use. */
+/** State of one box; zero-initialised. */
 typedef struct {
     bool stale;
-    tc_time_t next; /**< not before then, once stale */
+    tc_time_t next; /**< earliest time of the next read while the list is stale */
 } read_schedule_t;
 
-/** What the readings of all boxes cost. */
+/** Cost of the reads of all boxes. */
 typedef struct {
-    uint32_t boxes; /**< how many there are, this one included; 0 when it has heard of none */
-    unsigned calls; /**< that a reading takes, at least 1 */
-    double rate;    /**< calls a second that the platform takes from all boxes together, above 0 */
+    uint32_t boxes; /**< number of boxes, this one included; 0 if unknown */
+    unsigned calls; /**< that a read takes, at least 1 */
+    double rate;    /**< calls per second that the platform accepts from all boxes together, above 0 */
 } read_schedule_load_t;
 
 /* ===== Public functions ===== */
 
-/** Whether to read the list now; it counts as read then.
+/** Whether to read the list now; if so, it counts as read.
  * @param age of the list, in ms; TC_TIME_NEVER when this box has none
- * @param draw by lot */
-bool read_schedule_is_due(read_schedule_t *turn, tc_time_t age, const read_schedule_load_t *load, uint32_t draw,
+ * @param draw a random number */
+bool read_schedule_is_due(read_schedule_t *schedule, tc_time_t age, const read_schedule_load_t *load, uint32_t draw,
                           tc_time_t now);
 
 #endif
--- a/lib/workspace/workspace.c
+++ b/lib/workspace/workspace.c
@@ -17,17 +17,17 @@
 
 /* ===== Digests ===== */
 
-/** What this process digests keys under. */
+/** This process's random key for the digests of API keys. */
 static const unsigned char *own_key(void)
 {
     static unsigned char key[crypto_generichash_KEYBYTES];
-    static bool is_drawn;
-    if (is_drawn)
+    static bool is_initialized;
+    if (is_initialized)
         return key;
     if (sodium_init() < 0)
-        abort(); /* without random numbers a key's digest could be computed by others */
+        abort(); /* without random numbers others could compute the digests */
     randombytes_buf(key, sizeof(key));
-    is_drawn = true;
+    is_initialized = true;
     return key;
 }
 
@@ -36,7 +36,7 @@
     crypto_generichash(to, DIGEST_SIZE, (const unsigned char *)key, size, own_key(), crypto_generichash_KEYBYTES);
 }
 
-/** Any of its bytes will do: they are as good as random to whoever does not know the process's key. */
+/** Uses the first bytes of the digest: they are random to anyone without the process's key. */
 static guint hash_digest(gconstpointer digest)
 {
     guint hash;
@@ -49,7 +49,7 @@
     return sodium_memcmp(a, b, DIGEST_SIZE) == 0; /* in constant time */
 }
 
-/* ===== Life ===== */
+/* ===== Creation ===== */
 
 static void workspace_free(void *workspace)
 {
@@ -101,7 +101,7 @@
     return true;
 }
 
-/* ===== Looking up ===== */
+/* ===== Look-up ===== */
 
 const workspace_t *workspaces_by_key(const workspaces_t *all, const char *key, size_t size)
 {
--- a/lib/workspace/workspace.h
+++ b/lib/workspace/workspace.h
@@ -1,9 +1,9 @@
 /** @file workspace.h
- * Workspaces and their keys: whose request it is, how urgent its requests are and how much it may ask. Built once from
- * a configuration, then read only.
+ * Workspaces and their API keys: which workspace a request belongs to, its priority and its usage cap. Built once from
+ * a configuration, then read-only.
  *
- * Keys are secrets. Only keyed digests of them are held, under a key that each process draws for itself, so that
- * neither a core dump nor the time that a look-up takes tells any of them.
+ * API keys are secrets. Only keyed digests of them are stored, under a random key of each process, so that neither a
+ * core dump nor the timing of a look-up reveals them.
  */
 #ifndef TRACKCOVE_WORKSPACE_WORKSPACE_H
 #define TRACKCOVE_WORKSPACE_WORKSPACE_H
@@ -18,7 +18,7 @@
 
 /* ===== Constants ===== */
 
-/** Longest key, bytes: a longer one is nobody's. */
+/** Longest API key, bytes; a longer one is never found. */
 enum { WORKSPACE_KEY_MAX = 512 };
 
 /* ===== Types ===== */
@@ -27,7 +27,7 @@
 typedef struct {
     char *name;
     bool has_priority;
-    uint32_t priority; /**< goes before the route's; 0 is the most urgent */
+    uint32_t priority; /**< overrides the route's; 0 is the most urgent */
     cap_t cap;
 } workspace_t;
 
@@ -36,22 +36,23 @@
 
 /* ===== Public functions ===== */
 
-/** None yet. @return for workspaces_free */
+/** Creates an empty set. @return for workspaces_free */
 workspaces_t *workspaces_create(void);
-/** NULL is none. */
+/** @p all may be NULL. */
 void workspaces_free(workspaces_t *all);
 
-/** Take over a workspace. @return it, borrowed; NULL, with it freed, when its name is taken */
+/** Adds a workspace and takes ownership of it, with its name in g_malloc memory. @return it, borrowed; NULL if its name
+ *  exists already, and it is freed */
 const workspace_t *workspaces_add(workspaces_t *all, workspace_t *workspace);
-/** Give a workspace one of its keys, 1 to WORKSPACE_KEY_MAX bytes. @return false when the key is taken, by whichever */
+/** Adds an API key to a workspace, 1 to WORKSPACE_KEY_MAX bytes. @return false if any workspace has that key already */
 bool workspaces_add_key(workspaces_t *all, const workspace_t *workspace, const char *key, size_t size);
 
-/** The workspace that holds the key, or NULL. */
+/** The workspace with that API key, borrowed, or NULL. */
 const workspace_t *workspaces_by_key(const workspaces_t *all, const char *key, size_t size);
 
-/** How many there are. */
+/** Number of workspaces. */
 unsigned workspaces_count(const workspaces_t *all);
-/** One of them, in order of the configuration. */
+/** The workspace at index @p i, in the order of the configuration; borrowed. */
 const workspace_t *workspaces_at(const workspaces_t *all, unsigned i);
 
 #endif
