--- a/tests/harness/windows.c
+++ b/tests/harness/windows.c
@@ -10,7 +10,8 @@
     return n;
 }
 
-/** What the requests of the window allow, or those of the window before it or of the one half a window earlier. */
+/** Retries that are allowed by the requests of the window, of the one before it, or of the one half a window earlier,
+ *  whichever has the most. */
 static double allowed_from(const GArray *requests, tc_time_t from, const retry_rules_t *rules)
 {
     const unsigned now = count_from(requests, from, rules->window);
@@ -22,7 +23,7 @@
 double windows_worst_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules)
 {
     double worst = -G_MAXDOUBLE;
-    for (guint i = 0; i < extras->len; i++) { /* windows that begin with a further arrival hold the most */
+    for (guint i = 0; i < extras->len; i++) { /* windows that start at a retry hold the most */
         const tc_time_t from = g_array_index(extras, tc_time_t, i);
         const double excess = count_from(extras, from, rules->window) - allowed_from(requests, from, rules);
         worst = MAX(worst, excess);
--- a/tests/harness/windows.h
+++ b/tests/harness/windows.h
@@ -1,6 +1,6 @@
 /** @file windows.h
- * The promise of a retry budget, judged from outside: no window, wherever it begins, holds more further arrivals at
- * back ends than its requests, or those of a window before it, allow.
+ * Independent check of a retry budget: no window, wherever it starts, holds more retries at back ends than the requests
+ * of that window, or of one before it, allow.
  */
 #ifndef TRACKCOVE_TESTS_WINDOWS_H
 #define TRACKCOVE_TESTS_WINDOWS_H
@@ -9,8 +9,8 @@
 
 #include "common/retry_budget.h"
 
-/** @param requests, extras tc_time_t: when requests came, and their further arrivals
- *  @return by how many arrivals the worst window goes beyond what is allowed; at most 0 when none does */
+/** @param requests tc_time_t, arrivals of requests @param extras tc_time_t, arrivals of their retries,
+ *  @return retries above the allowance in the worst window; at most 0 if no window exceeds it */
 double windows_worst_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules);
 
 #endif
--- a/tests/platform/test_availability.c
+++ b/tests/platform/test_availability.c
@@ -1,15 +1,13 @@
-/* Back ends that ask a box for no calls for a while, or say that they leave, in their answers.
+/* Back ends whose answers ask a box for no calls for a while (Retry-After), or announce that they leave.
  *
- * Seen: one of three back ends of a plain service turned a box away and asked it for 3 s without requests; it got 9
- * more from that box meanwhile, each of which it turned away again. How it came about: a refusal closed a back end for
- * a fixed 60 ms, whatever its answer said, and what it said was read nowhere; the same held for back ends that say that
- * they leave. Cause: what a back end tells of itself reached no gate that all calls pass. What proved it: the lines of
- * these calls name the time that was left, and here, over each kind of call, the calls arrive all the same.
+ * Guards against calls that ignore such answers: a refusal closed a back end for a fixed 60 ms, and no check that all
+ * calls pass read what the answer stated. A back end that asked for 3 s without requests got 9 more from the same box
+ * in that time. Each kind of call is tested.
  */
 
 #include "platform/leader_lab.h"
 
-/** What 'w' asks for. */
+/** Retry-After of the answer 'w', ms. */
 enum { CLOSED_MS = 1000 };
 
 /* ===== Waiting ===== */
@@ -34,7 +32,7 @@
     return is_closed(arg, "i-0");
 }
 
-/** Serve calls until the back end's time is over, and then until it gets one. @return how many it got before */
+/** Makes calls until the back end's closed time is over, and then until it gets one. @return how many it got before */
 static unsigned serve_while_closed(fixture_t *f, const char *path, int i, const char *id)
 {
     unsigned before = requests(f, i);
@@ -53,9 +51,9 @@
     return count_part(f->plan[i].seen->str, part);
 }
 
-/* ===== Calls that are wanted none ===== */
+/* ===== No calls wanted ===== */
 
-/** One that asks for no calls gets none until its time is over, and its share again behind that. */
+/** A back end that asks for no calls gets none until that time is over, and its share again after that. */
 static void test_plain_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -66,8 +64,8 @@
     g_assert_cmpuint(requests(f, 0), ==, 2);
 }
 
-/** Of a request that must run once, too: the back end said that it did not run it. */
-static void test_once_closed(fixture_t *f, gconstpointer data)
+/** The same for a request that must run at most once: the refusal states that it was not run. */
+static void test_run_once_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "wo", false, false}, {"app", "", "o", true, false}}, 2);
@@ -75,9 +73,8 @@
     g_assert_cmpuint(serve_while_closed(f, "/once/x", 0, "i-0"), ==, 1);
 }
 
-/** One asks for no calls and the other fails: the caller isn't told to wait for the first, since the second takes
- * calls.
- */
+/** One back end asks for no calls and the other fails: the caller's Retry-After does not wait for the first, since the
+ *  second accepts calls. */
 static void test_closed_and_failing(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -91,7 +88,7 @@
     g_assert_cmpuint(requests(f, 1), ==, 2);
 }
 
-/** All ask for no calls: callers are refused at once and told when the first one takes calls again. */
+/** All ask for no calls: callers are refused at once, with the time when the first one accepts calls again. */
 static void test_all_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -109,7 +106,7 @@
     g_assert_cmpuint(requests(f, 1), ==, 1);
 }
 
-/** A prefill engine and a decode engine ask for no calls: others read and run what comes meanwhile. */
+/** A prefill engine and a decode engine ask for no calls: the other engines serve the requests meanwhile. */
 static void test_engines_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -128,7 +125,7 @@
     }
 }
 
-/** All decode engines ask for no calls: no prompt is read for nothing. */
+/** All decode engines ask for no calls: no prompt is prefilled in vain. */
 static void test_decodes_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -142,7 +139,7 @@
     g_assert_cmpuint(requests(f, 2), ==, 1);
 }
 
-/** A question for memory is a call, and its answer is one, too. */
+/** A memory reservation (hold) is a call as well, and its answer counts. */
 static void test_hold_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -153,8 +150,8 @@
     g_assert_cmpuint(requests(f, 2), ==, 4);
 }
 
-/** So is the question which prompts an engine keeps. */
-static void test_kept_closed(fixture_t *f, gconstpointer data)
+/** So is the query for the prompts that an engine caches. */
+static void test_cache_query_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "wS", "SlU");
@@ -167,7 +164,7 @@
     g_assert_cmpuint(count_calls(f, 2, "GET /kv-list "), ==, 1);
 }
 
-/** And that an engine may drop what it read for somebody: it does so by itself soon after. */
+/** So is the release of a prefill result: without it the engine drops the result itself soon after. */
 static void test_release_closed(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -187,7 +184,8 @@
 
 /* ===== Leaving ===== */
 
-/** One that says that it leaves gets no request from then on, whatever the list says, and what it runs is delivered. */
+/** A back end that announces that it leaves gets no further request, whatever the list says; its current one is
+ *  delivered. */
 static void test_plain_leaving(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -197,7 +195,7 @@
     g_assert_cmpuint(requests(f, 0), ==, 1);
 }
 
-/** Engines that say so with a prompt that they have read, or with a stream, get no further one. */
+/** Engines that announce it with a prefill result, or with a stream, get no further request. */
 static void test_engines_leaving(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -218,7 +216,7 @@
     return count_calls(arg, 0, "DELETE ") > 0;
 }
 
-/** One that says so where the answer changes nothing else, to a release. */
+/** An announcement in the answer to a release, which has no other effect, counts too. */
 static void test_release_leaving(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -231,14 +229,14 @@
     lab_run_until(f->loop, has_decode, f);
     web_call_cancel(c->call);
     lab_run_until(f->loop, has_release, f);
-    lab_run_for(f->loop, 30); /* its answer is read */
+    lab_run_for(f->loop, 30); /* the answer is received */
     expect(f, "/lm/x", 200, FIRST SECOND);
     g_assert_cmpuint(count_calls(f, 0, "Stage: prefill"), ==, 1);
     g_assert_cmpuint(requests(f, 2), ==, 1);
     lab_call_free(c);
 }
 
-/** An engine that sets memory aside and says in that answer that it leaves gets no request for it. */
+/** An engine that reserves memory and announces in the same answer that it leaves gets no request for it. */
 static void test_hold_leaving(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -248,15 +246,15 @@
     g_assert_cmpuint(count_calls(f, 1, "POST /hold-take "), ==, 1);
 }
 
-/** The list shows it as ready, as read a while after the answer. */
+/** Lists the back end as ready, with a list read @p after ms from now. */
 static void list_again(fixture_t *f, tc_time_t after)
 {
     backend_t listed = fleet_at(f->fleet, 0)->listed;
     fleet_set_list(f->fleet, &listed, 1, tc_time_now() + after);
 }
 
-/** It is listed as leaving soon after it says so. A list that was read long after and shows it as ready is one of a new
- *  start under its name. */
+/** A leaving back end is listed as leaving soon after its announcement. A list that is read much later and shows it as
+ *  ready means a restart under the same name. */
 static void test_started_again(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -268,7 +266,7 @@
     expect(f, "/safe/x", 200, "ok");
 }
 
-/** All say that they leave: the list will show others. */
+/** All announce that they leave: requests are refused until the list shows others. */
 static void test_all_leaving(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -278,18 +276,18 @@
     g_assert_cmpuint(requests(f, 0), ==, 1);
 }
 
-/* ===== The leader ===== */
+/* ===== Leader ===== */
 
-/** A box with a leader that names the same engines for each placement. */
+/** A box with a leader that places every request on the same engines. */
 typedef struct {
     fixture_t f;
     leader_t leader;
     unsigned placed;
-    bool hears_leaving; /* a report named i-1 as leaving, */
-    bool hears_closed;  /* and as one that wants no calls */
-} world_t;
+    bool is_leaving_reported; /* a report stated that i-1 leaves */
+    bool is_closed_reported;  /* a report stated that i-1 wants no calls */
+} leader_fixture_t;
 
-static void grant(world_t *w, peer_call_t call)
+static void grant(leader_fixture_t *w, peer_call_t call)
 {
     msg_placed_t placed = {.granted = true, .attempt = ++w->placed};
     codec_copy_string(placed.prefill, sizeof(placed.prefill), "i-0");
@@ -297,26 +295,26 @@
     peer_reply(w->leader.net, call, MSG_PLACED, &placed);
 }
 
-static void hear_notices(world_t *w, const msg_report_t *report)
+static void record_notices(leader_fixture_t *w, const msg_report_t *report)
 {
     for (uint32_t i = 0; i < report->notices_n; i++) {
         const backend_notice_t *const notice = &report->notices[i];
         if (strcmp(notice->backend, "i-1") != 0)
             continue;
-        w->hears_leaving |= notice->leaving;
-        w->hears_closed |= notice->closed_ms > 0 && notice->closed_ms <= CLOSED_MS;
+        w->is_leaving_reported |= notice->leaving;
+        w->is_closed_reported |= notice->closed_ms > 0 && notice->closed_ms <= CLOSED_MS;
     }
 }
 
 static void on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
-    world_t *const w = arg;
+    leader_fixture_t *const w = arg;
     tc_err_t err = {0};
     (void)from;
     switch (type) {
     case MSG_REPORT: {
         const msg_report_ack_t ack = leader_ack(&w->leader);
-        hear_notices(w, message);
+        record_notices(w, message);
         peer_reply(w->leader.net, call, MSG_REPORT_ACK, &ack);
         break;
     }
@@ -324,7 +322,7 @@
     default:
         if (call.call == 0)
             break;
-        tc_err_set(&err, TC_E_REFUSED, "test", "", "not played");
+        tc_err_set(&err, TC_E_REFUSED, "test", "", "not supported");
         peer_reply_error(w->leader.net, call, &err);
         break;
     }
@@ -332,24 +330,24 @@
 
 static void fill_report(void *arg, msg_report_t *report)
 {
-    forwarder_fill_report(((world_t *)arg)->f.forwarder, report);
+    forwarder_fill_report(((leader_fixture_t *)arg)->f.forwarder, report);
 }
 
-static void set_up_world(world_t *w, gconstpointer data)
+static void set_up_world(leader_fixture_t *w, gconstpointer data)
 {
     set_up(&w->f, data);
     leader_join(&w->leader, &w->f, on_message, (reporter_events_t){.fill_report = fill_report}, w);
 }
 
-static void tear_down_world(world_t *w, gconstpointer data)
+static void tear_down_world(leader_fixture_t *w, gconstpointer data)
 {
     lab_run_until(w->f.loop, is_idle, &w->f);
     leader_leave(&w->leader);
     tear_down(&w->f, data);
 }
 
-/** The scheduler counts for all boxes: that it names an engine doesn't open it to a box that is to make no calls. */
-static void test_placed_closed(world_t *w, gconstpointer data)
+/** The scheduler places for all boxes: its placement does not permit calls of a box that the engine asked for none. */
+static void test_placed_closed(leader_fixture_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(&w->f, "lm", "p", "w", "S");
@@ -358,11 +356,11 @@
     g_assert_cmpuint(w->placed, ==, 5);
     g_assert_cmpuint(requests(&w->f, 1), ==, 1);
     g_assert_cmpuint(requests(&w->f, 2), ==, 5);
-    lab_run_until_true(w->f.loop, &w->hears_closed);
+    lab_run_until_true(w->f.loop, &w->is_closed_reported);
 }
 
-/** The same of one that leaves. */
-static void test_placed_leaving(world_t *w, gconstpointer data)
+/** The same for an engine that leaves. */
+static void test_placed_leaving(leader_fixture_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(&w->f, "lm", "p", "Z", "S");
@@ -370,7 +368,7 @@
         expect(&w->f, "/lm/x", 200, FIRST SECOND);
     g_assert_cmpuint(requests(&w->f, 1), ==, 1);
     g_assert_cmpuint(requests(&w->f, 2), ==, 4);
-    lab_run_until_true(w->f.loop, &w->hears_leaving);
+    lab_run_until_true(w->f.loop, &w->is_leaving_reported);
 }
 
 int main(int argc, char **argv)
@@ -378,13 +376,13 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/availability/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("plain-closed", test_plain_closed);
-    TEST("once-closed", test_once_closed);
+    TEST("once-closed", test_run_once_closed);
     TEST("closed-and-failing", test_closed_and_failing);
     TEST("all-closed", test_all_closed);
     TEST("engines-closed", test_engines_closed);
     TEST("decodes-closed", test_decodes_closed);
     TEST("hold-closed", test_hold_closed);
-    TEST("kept-closed", test_kept_closed);
+    TEST("kept-closed", test_cache_query_closed);
     TEST("release-closed", test_release_closed);
     TEST("plain-leaving", test_plain_leaving);
     TEST("engines-leaving", test_engines_leaving);
@@ -392,7 +390,7 @@
     TEST("hold-leaving", test_hold_leaving);
     TEST("all-leaving", test_all_leaving);
     TEST("started-again", test_started_again);
-#define PLACED(name, fn) g_test_add("/availability/" name, world_t, NULL, set_up_world, fn, tear_down_world)
+#define PLACED(name, fn) g_test_add("/availability/" name, leader_fixture_t, NULL, set_up_world, fn, tear_down_world)
     PLACED("placed-closed", test_placed_closed);
     PLACED("placed-leaving", test_placed_leaving);
     return g_test_run();
--- a/tests/platform/test_call_gate.c
+++ b/tests/platform/test_call_gate.c
@@ -1,4 +1,4 @@
-/* Calls to engines beside requests: which of them take any, by their answers. */
+/* Calls to engines other than requests: engines get none while their answers ask for none. */
 
 #include <glib.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 
 enum { ENGINES = 2 };
 
-/* ===== The gate ===== */
+/* ===== Gate ===== */
 
 static void test_gate(void)
 {
@@ -26,18 +26,19 @@
     const backend_t list[] = {{.id = "b"}};
     call_gate_update(g, "a", &closed, 2000);
     call_gate_set_list(g, list, 1, 2000);
-    g_assert_true(call_gate_accepts(g, "a", CALL_MAINTENANCE, 2001)); /* it is gone: a new one may have its name */
+    g_assert_true(
+        call_gate_accepts(g, "a", CALL_MAINTENANCE, 2001)); /* not listed any more: a new one may reuse its name */
     g_assert_false(call_gate_accepts(g, "b", CALL_NEW_WORK, 2001));
     call_gate_set_list(g, list, 1, 1000 + AVAILABILITY_LISTED_MS);
     g_assert_true(call_gate_accepts(g, "b", CALL_NEW_WORK, 2001));
     call_gate_destroy(g);
 }
 
-/* ===== Questions to engines ===== */
+/* ===== Status queries to engines ===== */
 
 typedef struct {
-    unsigned asked[ENGINES], answers;
-} seen_t;
+    unsigned queries[ENGINES], answers;
+} counts_t;
 
 static lab_reply_t refuse(void *arg, const char *request)
 {
@@ -46,7 +47,7 @@
     return (lab_reply_t){.bytes = g_strdup("HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")};
 }
 
-static lab_reply_t tell(void *arg, const char *request)
+static lab_reply_t send_runs(void *arg, const char *request)
 {
     (void)request;
     ++*(unsigned *)arg;
@@ -56,7 +57,7 @@
 static void on_read(void *arg, const char *engine, const sched_engine_request_t *held, uint32_t n)
 {
     (void)engine, (void)held, (void)n;
-    ((seen_t *)arg)->answers++;
+    ((counts_t *)arg)->answers++;
 }
 
 static void tick(loop_t *loop, engine_poller_t *reader, const backend_t *list)
@@ -65,14 +66,14 @@
     lab_run_for(loop, 5);
 }
 
-/** An engine that asked for no calls is not asked what it runs until its time is over; the others are. */
+/** An engine that asked for no calls gets no status query until that time is over; the other engines do. */
 static void test_reader(void)
 {
     loop_t *const loop = loop_create();
     web_client_t *const client = web_client_create(loop);
     call_gate_t *const gate = call_gate_create(NULL, NULL);
-    seen_t seen = {0};
-    engine_poller_t *const reader = engine_poller_create(loop, client, gate, on_read, &seen);
+    counts_t counts = {0};
+    engine_poller_t *const reader = engine_poller_create(loop, client, gate, on_read, &counts);
     backend_t list[ENGINES];
     lab_backend_t *engines[ENGINES];
     memset(list, 0, sizeof(list));
@@ -82,18 +83,18 @@
         char addr[32];
         lab_free_addr(addr);
         codec_copy_string(list[i].addr, sizeof(list[i].addr), addr);
-        engines[i] = lab_backend_start(loop, addr, i == 0 ? refuse : tell, &seen.asked[i]);
+        engines[i] = lab_backend_start(loop, addr, i == 0 ? refuse : send_runs, &counts.queries[i]);
     }
     while (call_gate_accepts(gate, "e0", CALL_MAINTENANCE, tc_time_now()))
         tick(loop, reader, list);
-    g_assert_cmpuint(seen.asked[0], ==, 1);
-    const unsigned before = seen.asked[1];
+    g_assert_cmpuint(counts.queries[0], ==, 1);
+    const unsigned before = counts.queries[1];
     while (!call_gate_accepts(gate, "e0", CALL_MAINTENANCE, tc_time_now())) {
-        g_assert_cmpuint(seen.asked[0], ==, 1);
+        g_assert_cmpuint(counts.queries[0], ==, 1);
         tick(loop, reader, list);
     }
-    g_assert_cmpuint(seen.asked[1], >, before);
-    g_assert_cmpuint(seen.answers, >, 0);
+    g_assert_cmpuint(counts.queries[1], >, before);
+    g_assert_cmpuint(counts.answers, >, 0);
     engine_poller_destroy(reader);
     call_gate_destroy(gate);
     for (int i = 0; i < ENGINES; i++)
--- a/tests/platform/test_discover.c
+++ b/tests/platform/test_discover.c
@@ -1,4 +1,4 @@
-/* Readings of the platform's list of back ends, page by page: a list is one reading's, whole, or there is none. */
+/* Reads of the platform's list of back ends, page by page: a list is always the complete result of one read. */
 
 #include <glib.h>
 #include <string.h>
@@ -6,16 +6,16 @@
 #include "forward/discover.h"
 #include "harness/lab.h"
 
-enum { RATE = 100000 /* calls a second that the platform takes */ };
+enum { RATE = 100000 /* calls per second that the platform accepts */ };
 
 typedef struct {
     loop_t *loop;
     web_client_t *client;
     lab_backend_t *platform;
     discover_t *discover;
-    const char *const *answers; /* one a call; the last one goes on for ever */
+    const char *const *answers; /* one per call; the last one repeats */
     unsigned calls, lists;
-    GString *ids; /* of the last list, a blank behind each */
+    GString *ids; /* of the last list, each followed by a space */
 } fixture_t;
 
 static lab_reply_t answer(void *arg, const char *request)
@@ -83,7 +83,7 @@
     return c->f->calls >= c->calls;
 }
 
-/** Read, until so many calls were answered and what follows of that has come. */
+/** Starts a read and runs the loop until that many calls were answered, and briefly beyond. */
 static void read_list(fixture_t *f, unsigned calls)
 {
     calls_t wanted = {.f = f, .calls = f->calls + calls};
@@ -93,8 +93,8 @@
     g_assert_cmpuint(f->calls, ==, wanted.calls);
 }
 
-/** A page that is refused for there being too many calls is asked for again: what was read before it stands. */
-static void test_refused_page_is_asked_again(fixture_t *f, gconstpointer data)
+/** A page that is refused for its rate is requested again; the pages before it are kept. */
+static void test_refused_page_is_requested_again(fixture_t *f, gconstpointer data)
 {
     static const char *const answers[] = {"", PAGE(READY("a"), "\"p1\""), "", "", PAGE(READY("b"), "null"), NULL};
     (void)data;
@@ -104,8 +104,8 @@
     g_assert_cmpstr(f->ids->str, ==, "a b ");
 }
 
-/** Pages of a reading that failed are not in the next one. */
-static void test_failed_reading_leaves_nothing(fixture_t *f, gconstpointer data)
+/** Pages of a failed read do not appear in the next one. */
+static void test_failed_read_leaves_nothing(fixture_t *f, gconstpointer data)
 {
     static const char *const answers[] = {PAGE(READY("a"), "\"p1\""),
                                           "{}",
@@ -127,8 +127,8 @@
     g_assert_cmpstr(f->ids->str, ==, "d e ");
 }
 
-/** A reading that is under way is not begun again. */
-static void test_one_reading_at_a_time(fixture_t *f, gconstpointer data)
+/** A read in progress is not started again. */
+static void test_one_read_at_a_time(fixture_t *f, gconstpointer data)
 {
     static const char *const answers[] = {PAGE(READY("a"), "\"p1\""), PAGE(READY("b"), "null"), NULL};
     (void)data;
@@ -139,8 +139,8 @@
     g_assert_cmpstr(f->ids->str, ==, "a b ");
 }
 
-/** A list whose pages name each other is given up with the first that comes again, and is not taken for a whole one:
- *  back ends that it leaves out would be taken for gone. */
+/** A list whose pages form a cycle fails at the first repeated page. It must not count as complete: back ends that are
+ *  missing in it would count as removed. */
 static void test_list_without_an_end(fixture_t *f, gconstpointer data)
 {
     static const char *const answers[] = {PAGE(READY("a"), "\"p1\""), NULL};
@@ -150,7 +150,7 @@
     g_assert_cmpuint(f->lists, ==, 0);
 }
 
-/** Back ends come and go between two pages, so that one moves from page to page: it is told once, as last told. */
+/** A back end that moves to the next page between two calls is listed once, by its later entry. */
 static void test_back_end_on_two_pages(fixture_t *f, gconstpointer data)
 {
     static const char *const answers[] = {PAGE(READY("a") "," READY("b"), "\"p1\""),
@@ -166,9 +166,9 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/discover/" name, fixture_t, NULL, set_up, fn, tear_down)
-    TEST("refused-page-is-asked-again", test_refused_page_is_asked_again);
-    TEST("failed-reading-leaves-nothing", test_failed_reading_leaves_nothing);
-    TEST("one-reading-at-a-time", test_one_reading_at_a_time);
+    TEST("refused-page-is-requested-again", test_refused_page_is_requested_again);
+    TEST("failed-read-leaves-nothing", test_failed_read_leaves_nothing);
+    TEST("one-read-at-a-time", test_one_read_at_a_time);
     TEST("list-without-an-end", test_list_without_an_end);
     TEST("back-end-on-two-pages", test_back_end_on_two_pages);
     return g_test_run();
--- a/tests/platform/test_workspaces.c
+++ b/tests/platform/test_workspaces.c
@@ -1,11 +1,10 @@
-/* Whose request it is, end to end over loopback: keys are checked, back ends get the workspace and never the key, a box
- * that may not know the newest configuration does not say that a key is nobody's, and caps are asked. The leader is a
- * fake one. */
+/* Workspaces end to end over loopback, with a simulated leader: API keys are checked, back ends get the workspace and
+ * never the key, a box that may not have the newest configuration does not reject a key as unknown, and caps apply. */
 
 #include "common/log.h"
 #include "platform/leader_lab.h"
 
-/** Marked, so that one can be found in whatever was written. */
+/** Recognisable keys, so that a leaked one can be found in any output. */
 #define KEY_A1 "secret-one-of-a"
 #define KEY_A2 "secret-two-of-a"
 #define KEY_B "secret-one-of-b"
@@ -14,13 +13,14 @@
 typedef struct {
     fixture_t f;
     leader_t leader;
-    document_head_t head; /* that the leader tells of */
-    bool silent;          /* the leader answers no report */
-    cap_state_t state;    /* that it tells, when it names a workspace */
-    peer_call_t asked;    /* for a placement, not answered yet */
-    unsigned asked_n, awaited;
-    msg_place_t place; /* the question, without its lists */
-} world_t;
+    document_head_t head; /* that the leader announces */
+    bool silent;          /* the leader does not reply to reports */
+    cap_state_t state;    /* that it sends, if it names a workspace */
+    peer_call_t asked;    /* placement request that is not answered yet */
+    unsigned asked_n;     /* placement requests so far */
+    unsigned awaited;     /* placement requests that was_asked waits for */
+    msg_place_t place;    /* the last one, without its lists */
+} workspace_fixture_t;
 
 /* ===== Configuration ===== */
 
@@ -28,8 +28,8 @@
     "{\"host\":\"h\",\"path_prefix\":\"/open/\",\"kind\":\"safe\",\"timeout_ms\":3000,"
     "\"max_attempts\":2,\"service\":\"app\",\"auth_exempt\":true}";
 
-/** Have the box act on a version with these workspaces. */
-static void act_on(fixture_t *f, int version, const char *workspaces)
+/** Applies a configuration version with these workspaces at the box. */
+static void apply_config(fixture_t *f, int version, const char *workspaces)
 {
     char *const routes_text = g_strjoinv(",", (char **)(uintptr_t)routes);
     char *const services_text = g_strjoinv(",", (char **)(uintptr_t)services);
@@ -52,9 +52,9 @@
     "{\"name\":\"a\",\"api_keys\":[\"" KEY_A1 "\"],\"unit\":\"token_stream\",\"plain_tokens\":20,"                     \
     "\"rate_per_s\":1000,\"burst_size\":500}"
 
-/* ===== The leader ===== */
+/* ===== Leader ===== */
 
-static void reply_report(const world_t *w, peer_call_t call)
+static void reply_report(const workspace_fixture_t *w, peer_call_t call)
 {
     msg_report_ack_t ack = leader_ack(&w->leader);
     ack.head = w->head;
@@ -65,7 +65,7 @@
 
 static void on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
-    world_t *const w = arg;
+    workspace_fixture_t *const w = arg;
     (void)from;
     switch (type) {
     case MSG_REPORT:
@@ -77,17 +77,17 @@
         w->place = *(const msg_place_t *)message;
         w->asked_n++;
         break;
-    default: break; /* nobody waits for long */
+    default: break; /* callers time out soon */
     }
 }
 
 static bool was_asked(void *arg)
 {
-    const world_t *const w = arg;
+    const workspace_fixture_t *const w = arg;
     return w->asked_n >= w->awaited;
 }
 
-/* ===== Life ===== */
+/* ===== Fixture ===== */
 
 static bool on_document(void *arg, const document_t *document)
 {
@@ -97,7 +97,7 @@
 
 static bool is_current(void *arg)
 {
-    return reporter_is_current(((const world_t *)arg)->leader.reporter, 1200);
+    return reporter_is_current(((const workspace_fixture_t *)arg)->leader.reporter, 1200);
 }
 
 static bool is_not_current(void *arg)
@@ -105,24 +105,24 @@
     return !is_current(arg);
 }
 
-/** A box with a leader that tells of the document that the box has: one that other boxes have fetched it from. */
-static void join_leader(world_t *w)
+/** Joins a leader that announces the document that the box has, and that other boxes have fetched from it. */
+static void join_leader(workspace_fixture_t *w)
 {
     leader_join(&w->leader, &w->f, on_message, (reporter_events_t){.on_document = on_document}, w);
 }
 
-static void set_up_world(world_t *w, gconstpointer data)
+static void set_up_world(workspace_fixture_t *w, gconstpointer data)
 {
     set_up(&w->f, data);
-    act_on(&w->f, 4, A "," B);
+    apply_config(&w->f, 4, A "," B);
 }
 
 static bool is_idle(void *arg)
 {
-    return forwarder_in_flight(((world_t *)arg)->f.forwarder) == 0;
+    return forwarder_in_flight(((workspace_fixture_t *)arg)->f.forwarder) == 0;
 }
 
-static void tear_down_world(world_t *w, gconstpointer data)
+static void tear_down_world(workspace_fixture_t *w, gconstpointer data)
 {
     lab_run_until(w->f.loop, is_idle, w);
     leader_leave(&w->leader);
@@ -131,7 +131,7 @@
 
 /* ===== Checks ===== */
 
-/** A call with these header lines gets that status. */
+/** Makes a call with these header lines and checks its status. */
 static void expect_with(fixture_t *f, const char *path, const char *more, int status)
 {
     lab_call_t *const c = begin_with(f, path, more);
@@ -143,7 +143,7 @@
     lab_call_free(c);
 }
 
-/** Promise: no back end got a key, in whatever line. */
+/** Checks that no back end got a key, in any line. */
 static void expect_no_key(const fixture_t *f)
 {
     for (int i = 0; i < BACKENDS; i++) {
@@ -156,7 +156,7 @@
 
 /* ===== Keys ===== */
 
-static void test_workspace_replaces_key(world_t *w, gconstpointer data)
+static void test_workspace_replaces_key(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -174,7 +174,7 @@
     expect_no_key(f);
 }
 
-static void test_no_key_nothing_runs(world_t *w, gconstpointer data)
+static void test_invalid_key_runs_nothing(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -201,8 +201,8 @@
     g_free(long_key);
 }
 
-/** An open route serves whoever asks; who shows a key is known by it, and the key goes no further there either. */
-static void test_open_route(world_t *w, gconstpointer data)
+/** An open route serves any caller; a caller with a key is still identified by it, and the key is not passed on. */
+static void test_open_route(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -216,8 +216,8 @@
     expect_no_key(f);
 }
 
-/** A key in a trailer is none, and goes no further. */
-static void test_trailer(world_t *w, gconstpointer data)
+/** A key in a trailer does not count, and is not passed on. */
+static void test_trailer(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -238,9 +238,9 @@
     expect_no_key(f);
 }
 
-/** Every call that a stream takes to the back ends: the prompt, the decode engine that breaks off, the one that goes
- * on, and memory set aside. */
-static void test_every_call_of_a_stream(world_t *w, gconstpointer data)
+/** All calls of a stream to back ends: prefill, the decode engine that breaks off, the one that resumes, and memory
+ * reservations. */
+static void test_every_call_of_a_stream(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -251,11 +251,11 @@
     lab_run_until_true(f->loop, &c->done);
     lab_call_free(c);
     expect_no_key(f);
-    g_assert_nonnull(strstr(f->plan[0].seen->str, "\r\nTenant: a\r\n")); /* the prompt's call too */
+    g_assert_nonnull(strstr(f->plan[0].seen->str, "\r\nTenant: a\r\n")); /* the prefill call too */
 }
 
-/** Without workspaces a configuration asks for no key, and headers go on as they came. */
-static void test_no_workspaces(world_t *w, gconstpointer data)
+/** A configuration without workspaces requires no key, and headers are passed on unchanged. */
+static void test_no_workspaces(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
@@ -267,69 +267,69 @@
     g_assert_nonnull(strstr(f->plan[0].seen->str, "Authorization: Basic abc\r\nTenant: q\r\n"));
 }
 
-static void test_nobody_holds_a_key(world_t *w, gconstpointer data)
+static void test_no_keys(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
-    act_on(&w->f, 5, "");
+    apply_config(&w->f, 5, "");
     start_all(&w->f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
     expect_with(&w->f, "/safe/x", LINE(KEY_A1), 401);
     expect_with(&w->f, "/open/x", "", 200);
 }
 
-/* ===== Sure or not ===== */
+/* ===== Outdated configuration ===== */
 
-/** The leader tells of a document that this box has fetched. */
-static void hold_document(world_t *w)
+/** The leader announces a document that this box has fetched. */
+static void join_with_document(workspace_fixture_t *w)
 {
     w->head.version = 0;
     join_leader(w);
 }
 
-/** A box says that a key is nobody's only while it hears that it acts on the newest configuration; else that the
- * request has not run. */
-static void test_unsure(world_t *w, gconstpointer data)
+/** A box rejects a key as unknown only while the leader confirms that it has the newest configuration; else it answers
+ * that the request has not run. */
+static void test_config_outdated(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
-    hold_document(w);
-    g_assert_true(is_not_current(w)); /* it acts on no document that the leader knows */
+    join_with_document(w);
+    g_assert_true(is_not_current(w)); /* the leader does not know its document */
     expect_with(f, "/safe/x", "Authorization: Token secret-of-nobody\r\n", 503);
     expect_with(f, "/safe/x", "", 503);
     expect_with(f, "/nowhere/x", LINE(KEY_A1), 503);
-    expect_with(f, "/safe/x", LINE(KEY_A1), 200); /* what it knows it serves */
+    expect_with(f, "/safe/x", LINE(KEY_A1), 200); /* known keys are served */
     g_assert_cmpuint(requests(f, 0), ==, 1);
 }
 
-/* ===== Keys that are taken away ===== */
+/* ===== Revoked keys ===== */
 
-static void test_taken_away(world_t *w, gconstpointer data)
+static void test_key_revoked(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
     expect_with(f, "/safe/x", LINE(KEY_B), 200);
-    act_on(f, 5, A);
+    apply_config(f, 5, A);
     expect_with(f, "/safe/x", LINE(KEY_B), 401);
     expect_with(f, "/safe/x", LINE(KEY_A1), 200);
-    act_on(f, 6, "{\"name\":\"b\",\"api_keys\":[\"" KEY_A1 "\"]}"); /* it is somebody else's now */
+    apply_config(f, 6, "{\"name\":\"b\",\"api_keys\":[\"" KEY_A1 "\"]}"); /* moved to another workspace */
     expect_with(f, "/safe/x", LINE(KEY_A1), 200);
     g_assert_true(g_str_has_suffix(f->plan[0].seen->str, "body"));
     g_assert_nonnull(g_strrstr(f->plan[0].seen->str, "\r\nTenant: b\r\n"));
     g_assert_cmpuint(requests(f, 0), ==, 3);
 }
 
-/** A request that waits for its placement when its key is taken away begins nothing. */
-static void test_taken_away_while_it_waits(world_t *w, gconstpointer data)
+/** A request that waits for its placement when its key is revoked is not sent to a back end. */
+static void test_key_revoked_while_it_waits(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
     start_engines(f, "lm", "p", "S", NULL);
-    hold_document(w);
+    join_with_document(w);
     lab_call_t *const c = begin_with(f, "/placed/x", LINE(KEY_B));
     w->awaited = 1;
     lab_run_until(f->loop, was_asked, w);
-    act_on(f, 5, A);
+    apply_config(f, 5, A);
     msg_placed_t placed = {.granted = true, .attempt = 1};
     codec_copy_string(placed.prefill, sizeof(placed.prefill), "i-0");
     codec_copy_string(placed.decode, sizeof(placed.decode), "i-1");
@@ -342,19 +342,19 @@
 
 /* ===== Caps ===== */
 
-/** A stream is let in by the leader, which is told whose it is and how much; when it is over the cap it says when. */
-static void test_leader_lets_in(world_t *w, gconstpointer data)
+/** The leader admits streams, by their workspace and units; over the cap its answer has a Retry-After. */
+static void test_leader_admits(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
-    act_on(f, 5, A_WITH_CAP);
+    apply_config(f, 5, A_WITH_CAP);
     start_engines(f, "lm", "p", "S", NULL);
-    hold_document(w);
+    join_with_document(w);
     lab_call_t *const c = begin_with(f, "/placed/x", LINE(KEY_A1));
     w->awaited = 1;
     lab_run_until(f->loop, was_asked, w);
     g_assert_cmpstr(w->place.cap, ==, "a");
-    g_assert_cmpuint(w->place.cap_units, ==, 150); /* both numbers of its count */
+    g_assert_cmpuint(w->place.cap_units, ==, 150); /* prompt tokens and output tokens */
     const msg_placed_t placed = {.over_cap = true, .retry_after_ms = 2500};
     peer_reply(w->leader.net, w->asked, MSG_PLACED, &placed);
     lab_run_until_true(f->loop, &c->done);
@@ -364,41 +364,41 @@
     g_assert_cmpuint(requests(f, 0) + requests(f, 1), ==, 0);
 }
 
-static bool knows_state(void *arg)
+static bool is_reported(void *arg)
 {
-    world_t *const w = arg;
+    workspace_fixture_t *const w = arg;
     uint32_t n;
     free(cap_shares_report(forwarder_caps(w->f.forwarder), &n, tc_time_now()));
-    return n == 0 && w->asked_n == 0; /* all that was let in has been told */
+    return n == 0 && w->asked_n == 0; /* all admitted units were reported */
 }
 
-/** Requests that nobody places are let in until the leader says that their workspace is over its cap. */
-static void test_box_lets_in(world_t *w, gconstpointer data)
+/** Requests that the leader does not place are admitted until it states that their workspace is over its cap. */
+static void test_box_admits(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
-    act_on(f, 5, A_WITH_CAP);
+    apply_config(f, 5, A_WITH_CAP);
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
-    hold_document(w);
+    join_with_document(w);
     for (int i = 0; i < 5; i++)
         expect_with(f, "/safe/x", LINE(KEY_A1), 200);
-    lab_run_until(f->loop, knows_state, w);
+    lab_run_until(f->loop, is_reported, w);
     w->state = (cap_state_t){.over = true, .after_ms = 700};
     codec_copy_string(w->state.name, sizeof(w->state.name), "a");
     lab_run_for(f->loop, 700); /* two reports */
     expect_with(f, "/safe/x", LINE(KEY_A1), 429);
-    expect_with(f, "/open/x", LINE(KEY_A1), 429); /* its holder's cap counts there too */
+    expect_with(f, "/open/x", LINE(KEY_A1), 429); /* the cap of its workspace applies there too */
     expect_with(f, "/open/x", "", 200);
     g_assert_cmpuint(requests(f, 0), ==, 6);
 }
 
-/** A box alone keeps to its part of the cap: with a rate of 1,000, a burst of 500 and requests of 150 it lets in as
- * many in a moment as lie below a second's worth, and no more. */
-static void test_box_alone(world_t *w, gconstpointer data)
+/** A box without a leader stays within its share of the cap: with a rate of 1,000, a burst of 500 and requests of 150
+ * it admits at once only as many as one second allows. */
+static void test_box_alone(workspace_fixture_t *w, gconstpointer data)
 {
     (void)data;
     fixture_t *const f = &w->f;
-    act_on(f, 5, A_WITH_CAP);
+    apply_config(f, 5, A_WITH_CAP);
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
     unsigned refused = 0;
     for (int i = 0; i < 40; i++) {
@@ -415,19 +415,19 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-#define TEST(name, fn) g_test_add("/workspaces/" name, world_t, NULL, set_up_world, fn, tear_down_world)
+#define TEST(name, fn) g_test_add("/workspaces/" name, workspace_fixture_t, NULL, set_up_world, fn, tear_down_world)
     TEST("workspace-replaces-key", test_workspace_replaces_key);
-    TEST("no-key-nothing-runs", test_no_key_nothing_runs);
+    TEST("no-key-nothing-runs", test_invalid_key_runs_nothing);
     TEST("open-route", test_open_route);
     TEST("trailer", test_trailer);
     TEST("every-call-of-a-stream", test_every_call_of_a_stream);
     TEST("no-workspaces", test_no_workspaces);
-    TEST("nobody-holds-a-key", test_nobody_holds_a_key);
-    TEST("unsure", test_unsure);
-    TEST("taken-away", test_taken_away);
-    TEST("taken-away-while-it-waits", test_taken_away_while_it_waits);
-    TEST("leader-lets-in", test_leader_lets_in);
-    TEST("box-lets-in", test_box_lets_in);
+    TEST("nobody-holds-a-key", test_no_keys);
+    TEST("unsure", test_config_outdated);
+    TEST("taken-away", test_key_revoked);
+    TEST("taken-away-while-it-waits", test_key_revoked_while_it_waits);
+    TEST("leader-lets-in", test_leader_admits);
+    TEST("box-lets-in", test_box_admits);
     TEST("box-alone", test_box_alone);
     return g_test_run();
 }
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -1,8 +1,9 @@
-/* Caps over many boxes, of workspaces and of back ends: what all boxes and all leaders together let in stays within the
- * rules in every window, a workspace that asks less than its cap is refused next to nothing while control is in touch,
- * and a back end that names a limit gets most of what it takes. The ledger and the
- * parts are the real ones; boxes, leaders and callers are made up, and time passes in steps. What was let in is counted
- * from a list of every single request, not as the code counts.
+/* Caps over many boxes, of workspaces and of back ends. All boxes and leaders together stay within the rules in every
+ * window; while control is available, a workspace below its cap is hardly refused, and a back end that advertises a
+ * limit gets most of what it accepts.
+ *
+ * Uses the real ledger and shares; boxes, leaders and callers are simulated in time steps. Admitted units are counted
+ * from a list of all requests, independently of the code under test.
  */
 
 #include <glib.h>
@@ -14,85 +15,85 @@
 #include "cap/cap_shares.h"
 #include "common/sharers.h"
 
-/* ===== World ===== */
+/* ===== Simulation ===== */
 
 enum {
     STEP_MS = 10,
     SPAN_MS = 40000,
-    BOXES_MAX = 90,
+    MAX_BOXES = 90,
     REPORT_MS = 300,
     ELECTION_MS = 1000,
-    WORKSPACES = 6,
-    EVENTS_MAX = 8
+    SUBJECTS = 6,
+    MAX_EVENTS = 8
 };
 
 typedef struct {
     char name[CODEC_STR_SIZE];
     cap_t cap;
-    double usual;     /* part of the rate that is asked */
-    double stream;    /* part of the requests that are placed */
-    tc_time_t hot_at; /* it asks hot times as much for a while */
-    double hot;
-} space_t;
+    double usual;     /* usual load as a fraction of the rate */
+    double stream;    /* fraction of the requests that the leader places */
+    tc_time_t hot_at; /* start of an overload */
+    double hot;       /* multiple of the usual load in the overload */
+} subject_cap_t;
 
 typedef struct {
     char name[CODEC_STR_SIZE];
-    cap_shares_t *parts;
+    cap_shares_t *shares;
     uint64_t incarnation;
     tc_time_t report_at, cut_until, down_until;
-    tc_time_t closed_until[WORKSPACES]; /* of back ends: it was refused, and asks no more until then */
-    bool silent;                        /* it is cut off, and goes on serving */
-    bool told;                          /* by a leader, since it started: it knows how many boxes there are */
+    tc_time_t closed_until[SUBJECTS]; /* for back ends: refused, no further request before then */
+    bool partitioned;                 /* partitioned from the leader, and still serving */
+    bool had_reply;                   /* had a reply since its start: knows the number of boxes */
 } box_t;
 
-/** One request that was let in. */
+/** One admitted request. */
 typedef struct {
     tc_time_t at;
     double units;
 } event_t;
 
-/** What the caps are on. */
+/** Subjects of the caps. */
 typedef enum {
-    ON_WORKSPACES, /* some requests are placed by the leader, each of thousands of units */
-    ON_BACKENDS,   /* the leader is asked for each request, which is one unit; many more are wanted than are allowed */
-    ON_COLD        /* the same of back ends that have just started, within each second */
-} subject_t;
+    ON_WORKSPACES, /* the leader places some requests, each of thousands of units */
+    ON_BACKENDS,   /* the leader is asked for each request, of one unit; demand is far above the limits */
+    ON_COLD        /* the same for cold back ends, in windows of one second */
+} subject_kind_t;
 
 typedef struct {
     GRand *random;
-    subject_t subject;
+    subject_kind_t subject;
     cap_rules_t rules;
-    space_t spaces[WORKSPACES];
-    box_t boxes[BOXES_MAX];
+    subject_cap_t subjects[SUBJECTS];
+    box_t boxes[MAX_BOXES];
     unsigned boxes_n;
     cap_ledger_t *ledger; /* NULL: there is no leader */
     uint64_t term;
-    tc_time_t leader_at; /* the next one is there then */
+    tc_time_t leader_at; /* when the next leader is elected */
     tc_time_t now, unsettled_until;
-    GArray *let_in[WORKSPACES];
-    unsigned owed, refused; /* requests of workspaces that ask less than their cap while control is in touch */
-    double settled_s;       /* time in which it is, */
-    unsigned taken;         /* and what back ends got in it */
-} world_t;
+    GArray *admitted[SUBJECTS];
+    unsigned below_cap, refused; /* requests of workspaces below their caps while control is available, those refused */
+    double settled_s;            /* time in which control is available */
+    unsigned taken;              /* requests that back ends got in that time */
+} sim_t;
 
-static bool is_on_backends(const world_t *w)
+static bool is_on_backends(const sim_t *w)
 {
     return w->subject != ON_WORKSPACES;
 }
 
-static void configure(const world_t *w)
+static void configure(const sim_t *w)
 {
-    cap_cfg_t list[WORKSPACES];
+    cap_cfg_t list[SUBJECTS];
     memset(list, 0, sizeof(list));
-    for (unsigned i = 0; i < WORKSPACES; i++) {
-        codec_copy_string(list[i].name, sizeof(list[i].name), w->spaces[i].name);
-        list[i].rate = w->spaces[i].cap.rate;
-        list[i].burst = w->spaces[i].cap.burst;
+    for (unsigned i = 0; i < SUBJECTS; i++) {
+        codec_copy_string(list[i].name, sizeof(list[i].name), w->subjects[i].name);
+        list[i].rate = w->subjects[i].cap.rate;
+        list[i].burst = w->subjects[i].cap.burst;
     }
-    cap_ledger_configure(w->ledger, list, WORKSPACES, w->now);
+    cap_ledger_configure(w->ledger, list, SUBJECTS, w->now);
 }
 
-static void new_leader(world_t *w)
+static void start_leader(sim_t *w)
 {
     w->ledger = cap_ledger_create(&w->rules);
     w->term++;
@@ -100,7 +101,7 @@
     cap_ledger_start_term(w->ledger, w->now);
 }
 
-static void lose_leader(world_t *w)
+static void lose_leader(sim_t *w)
 {
     if (!w->ledger)
         return;
@@ -110,87 +111,87 @@
     w->unsettled_until = w->leader_at + 2 * w->rules.window;
 }
 
-static void start_box(world_t *w, box_t *b)
+static void start_box(sim_t *w, box_t *b)
 {
-    b->parts = cap_shares_create(&w->rules);
+    b->shares = cap_shares_create(&w->rules);
     b->incarnation = (uint64_t)w->now + 1;
-    b->told = false;
+    b->had_reply = false;
     b->report_at = w->now + g_rand_int_range(w->random, 0, REPORT_MS);
 }
 
-static void make_backends(world_t *w)
+static void make_backends(sim_t *w)
 {
-    for (unsigned i = 0; i < WORKSPACES; i++) {
-        space_t *const s = &w->spaces[i];
+    for (unsigned i = 0; i < SUBJECTS; i++) {
+        subject_cap_t *const s = &w->subjects[i];
         g_snprintf(s->name, sizeof(s->name), "backend-%u", i);
-        const double rate = 0.5 * pow(100, g_rand_double(w->random)); /* 0.5 to 50 a second */
+        const double rate = 0.5 * pow(100, g_rand_double(w->random)); /* 0.5 to 50 per second */
         s->cap = (cap_t){.unit = CAP_REQUESTS, .rate = rate};
         s->usual = 2 + 8 * g_rand_double(w->random);
         s->stream = 1;
         s->hot_at = TC_TIME_NEVER;
-        w->let_in[i] = g_array_new(FALSE, FALSE, sizeof(event_t));
+        w->admitted[i] = g_array_new(FALSE, FALSE, sizeof(event_t));
     }
 }
 
-static void make_spaces(world_t *w)
+static void make_workspaces(sim_t *w)
 {
-    for (unsigned i = 0; i < WORKSPACES; i++) {
-        space_t *const s = &w->spaces[i];
+    for (unsigned i = 0; i < SUBJECTS; i++) {
+        subject_cap_t *const s = &w->subjects[i];
         g_snprintf(s->name, sizeof(s->name), "space-%u", i);
-        const double rate = 20000 * pow(12, g_rand_double(w->random)); /* 20,000 to 240,000 a second */
+        const double rate = 20000 * pow(12, g_rand_double(w->random)); /* 20,000 to 240,000 per second */
         s->cap = (cap_t){.unit = CAP_TOKENS, .rate = rate, .burst = rate, .default_cost = 200};
         s->usual = 0.1 + 0.7 * g_rand_double(w->random);
         s->stream = 0.3 + 0.4 * g_rand_double(w->random);
         s->hot_at = i < 2 ? g_rand_int_range(w->random, 2000, SPAN_MS) : TC_TIME_NEVER;
         s->hot = 4 + 4 * g_rand_double(w->random);
-        w->let_in[i] = g_array_new(FALSE, FALSE, sizeof(event_t));
+        w->admitted[i] = g_array_new(FALSE, FALSE, sizeof(event_t));
     }
 }
 
-/* ===== What happens ===== */
+/* ===== Events ===== */
 
-static void hear_reports(world_t *w, box_t *b)
+static void send_report(sim_t *w, box_t *b)
 {
     b->report_at = w->now + REPORT_MS;
     uint32_t n;
-    cap_use_t *const used = cap_shares_report(b->parts, &n, w->now);
-    if (w->ledger && !b->silent) {
+    cap_use_t *const used = cap_shares_report(b->shares, &n, w->now);
+    if (w->ledger && !b->partitioned) {
         cap_ledger_apply_report(w->ledger, b->name, b->incarnation, used, n, w->now);
-        uint32_t told;
-        const cap_state_t *const states = cap_ledger_get_states(w->ledger, &told, w->now);
-        if (g_rand_double(w->random) > 0.02) { /* an answer may be lost */
-            b->told = true;
+        uint32_t n_states;
+        const cap_state_t *const states = cap_ledger_get_states(w->ledger, &n_states, w->now);
+        if (g_rand_double(w->random) > 0.02) { /* a reply may be lost */
+            b->had_reply = true;
             b->report_at =
-                cap_shares_apply_reply(b->parts, w->term, states, told, w->now) ? w->now + STEP_MS : b->report_at;
+                cap_shares_apply_reply(b->shares, w->term, states, n_states, w->now) ? w->now + STEP_MS : b->report_at;
         }
     }
     free(used);
 }
 
-/** Everything is killed, and there again a second later, but for a leader. */
-static void restart_all(world_t *w)
+/** Kills all processes and starts them a second later; the next leader takes longer. */
+static void restart_all(sim_t *w)
 {
     lose_leader(w);
     for (unsigned i = 0; i < w->boxes_n; i++) {
         box_t *const b = &w->boxes[i];
-        if (b->parts)
-            cap_shares_destroy(b->parts);
-        b->parts = NULL;
+        if (b->shares)
+            cap_shares_destroy(b->shares);
+        b->shares = NULL;
         b->down_until = w->now + 1000;
     }
     w->leader_at = MAX(w->leader_at, w->now + 1500);
 }
 
-static unsigned count_present(const world_t *w)
+static unsigned count_present(const sim_t *w)
 {
     unsigned n = 0;
     for (unsigned i = 0; i < w->boxes_n; i++)
-        n += w->boxes[i].parts && !w->boxes[i].silent;
+        n += w->boxes[i].shares && !w->boxes[i].partitioned;
     return n;
 }
 
-/** Something goes wrong now and then: the leader goes, a box is killed, or some are cut off and serve on. */
-static void disturb(world_t *w)
+/** Injects random faults: the leader is lost, a box or all are killed, or some are partitioned and keep serving. */
+static void inject_fault(sim_t *w)
 {
     if (g_rand_double(w->random) > 0.0015)
         return;
@@ -202,9 +203,9 @@
     box_t *const b = &w->boxes[g_rand_int_range(w->random, 0, (gint32)w->boxes_n)];
     if (what < 0.4) {
         lose_leader(w);
-    } else if (what < 0.7 && b->parts) {
-        cap_shares_destroy(b->parts);
-        b->parts = NULL;
+    } else if (what < 0.7 && b->shares) {
+        cap_shares_destroy(b->shares);
+        b->shares = NULL;
         b->down_until = w->now + 800;
     } else {
         for (unsigned i = 0; i < w->boxes_n / 12 + 1; i++)
@@ -213,97 +214,97 @@
     }
 }
 
-static bool is_settled(const world_t *w)
+static bool is_settled(const sim_t *w)
 {
     return w->now > w->unsettled_until && w->now > 2 * w->rules.window;
 }
 
-static bool is_let_in(world_t *w, box_t *b, unsigned i, bool placed, double units)
+static bool is_admitted(sim_t *w, box_t *b, unsigned i, bool placed, double units)
 {
-    space_t *const s = &w->spaces[i];
-    const cap_request_t ask = {.name = s->name, .cap = &s->cap, .units = units, .leader_decides = placed};
-    if (placed && w->ledger && !b->silent) {
+    subject_cap_t *const s = &w->subjects[i];
+    const cap_request_t request = {.name = s->name, .cap = &s->cap, .units = units, .leader_decides = placed};
+    if (placed && w->ledger && !b->partitioned) {
         tc_time_t after;
         if (!cap_ledger_take(w->ledger, s->name, units, w->now, &after)) {
             g_assert_cmpint(after, >, 0);
             b->closed_until[i] = w->now + after;
             return false;
         }
-        cap_shares_record(b->parts, &ask, w->now);
+        cap_shares_record(b->shares, &request, w->now);
         return true;
     }
-    cap_decision_t verdict;
-    if (cap_shares_take(b->parts, &ask, b->told ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random), w->now,
-                        &verdict))
+    cap_decision_t decision;
+    if (cap_shares_take(b->shares, &request, b->had_reply ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random),
+                        w->now, &decision))
         return true;
-    g_assert_cmpint(verdict.after, >, 0);
-    b->closed_until[i] = w->now + verdict.after;
+    g_assert_cmpint(decision.after, >, 0);
+    b->closed_until[i] = w->now + decision.after;
     return false;
 }
 
-static void ask(world_t *w, unsigned i, bool is_hot)
+static void send_request(sim_t *w, unsigned i, bool is_hot)
 {
-    space_t *const s = &w->spaces[i];
+    subject_cap_t *const s = &w->subjects[i];
     box_t *const b = &w->boxes[g_rand_int_range(w->random, 0, (gint32)w->boxes_n)];
     const bool placed = g_rand_double(w->random) < s->stream;
     const double large = placed ? floor(1000 + 5000 * g_rand_double(w->random)) : s->cap.default_cost;
     const double units = is_on_backends(w) ? 1 : large;
-    if (!b->parts || (is_on_backends(w) && w->now < b->closed_until[i]))
+    if (!b->shares || (is_on_backends(w) && w->now < b->closed_until[i]))
         return;
-    const bool passed = is_let_in(w, b, i, placed, units);
+    const bool passed = is_admitted(w, b, i, placed, units);
     if (passed) {
         const event_t event = {.at = w->now, .units = units};
-        g_array_append_val(w->let_in[i], event);
+        g_array_append_val(w->admitted[i], event);
     }
     if (!is_hot && s->hot_at == TC_TIME_NEVER && is_settled(w)) {
-        w->owed++;
+        w->below_cap++;
         w->refused += !passed;
         w->taken += passed;
     }
 }
 
-/** Requests of one step, by lot. */
-static void ask_all(world_t *w)
+/** Sends the random requests of one step. */
+static void send_requests(sim_t *w)
 {
-    for (unsigned i = 0; i < WORKSPACES; i++) {
-        const space_t *const s = &w->spaces[i];
+    for (unsigned i = 0; i < SUBJECTS; i++) {
+        const subject_cap_t *const s = &w->subjects[i];
         const bool is_hot = w->now >= s->hot_at && w->now < s->hot_at + 10000;
         const double mean = is_on_backends(w) ? 1 : s->stream * 3500 + (1 - s->stream) * s->cap.default_cost;
         double due = s->usual * (is_hot ? s->hot : 1) * s->cap.rate / mean * STEP_MS / 1000;
         while (due > 0) {
             if (g_rand_double(w->random) < due)
-                ask(w, i, is_hot);
+                send_request(w, i, is_hot);
             due -= 1;
         }
     }
 }
 
-static void step(world_t *w)
+static void step(sim_t *w)
 {
     w->now += STEP_MS;
-    disturb(w);
+    inject_fault(w);
     if (!w->ledger && w->now >= w->leader_at)
-        new_leader(w);
+        start_leader(w);
     if (w->ledger) {
         cap_ledger_set_boxes(w->ledger, count_present(w), w->now);
         cap_ledger_tick(w->ledger, w->now);
     }
     for (unsigned i = 0; i < w->boxes_n; i++) {
         box_t *const b = &w->boxes[i];
-        b->silent = w->now < b->cut_until;
-        if (!b->parts && w->now >= b->down_until)
+        b->partitioned = w->now < b->cut_until;
+        if (!b->shares && w->now >= b->down_until)
             start_box(w, b);
-        if (b->parts && w->now >= b->report_at)
-            hear_reports(w, b);
+        if (b->shares && w->now >= b->report_at)
+            send_report(w, b);
     }
-    ask_all(w);
+    send_requests(w);
     w->settled_s += is_settled(w) ? STEP_MS / 1000.0 : 0;
 }
 
-/* ===== Judging ===== */
+/* ===== Checks ===== */
 
-/** The most that any window holds: one begins at each request. */
-static double most_in_window(const GArray *events, tc_time_t window)
+/** Most units in any window; a window starts at each request. */
+static double max_in_window(const GArray *events, tc_time_t window)
 {
     double sum = 0, most = 0;
     guint from = 0;
@@ -317,59 +318,59 @@
     return most;
 }
 
-static void check(const world_t *w, uint32_t seed)
+static void check(const sim_t *w, uint32_t seed)
 {
-    for (unsigned i = 0; i < WORKSPACES; i++) {
-        const cap_t *const cap = &w->spaces[i].cap;
+    for (unsigned i = 0; i < SUBJECTS; i++) {
+        const cap_t *const cap = &w->subjects[i].cap;
         const double units = cap->rate * (double)w->rules.window / 1000 + cap->burst;
         const double limit = units * (1 + w->rules.overrun) + w->rules.slack;
-        const double most = most_in_window(w->let_in[i], w->rules.window);
+        const double most = max_in_window(w->admitted[i], w->rules.window);
         if (most > limit)
-            g_error("seed %u: workspace %u (rate %.0f): %.0f in a window, %.0f are allowed", seed, i, cap->rate, most,
+            g_error("seed %u: subject %u (rate %.0f): %.0f units in a window, limit %.0f", seed, i, cap->rate, most,
                     limit);
     }
 }
 
-/** What came of days. */
+/** Results over all seeds. */
 typedef struct {
-    unsigned owed, refused;
-    double taken, takeable; /* of back ends, while control is in touch */
+    unsigned below_cap, refused;
+    double taken, limit_units; /* of back ends, while control is available */
 } outcome_t;
 
-static void play(subject_t subject, uint32_t seed, outcome_t *outcome)
+static void run_seed(subject_kind_t subject, uint32_t seed, outcome_t *outcome)
 {
     static const cap_rules_t rules[] = {[ON_WORKSPACES] = {.window = 8000, .overrun = 0.1, .slack = 190000},
                                         [ON_BACKENDS] = {.window = 4000, .overrun = 0.5, .slack = 5, .strict = true},
                                         [ON_COLD] = {.window = 1000, .overrun = 0.5, .slack = 5, .strict = true}};
-    world_t w = {.random = g_rand_new_with_seed(seed), .subject = subject, .rules = rules[subject]};
-    w.boxes_n = (unsigned)g_rand_int_range(w.random, 9, BOXES_MAX);
+    sim_t w = {.random = g_rand_new_with_seed(seed), .subject = subject, .rules = rules[subject]};
+    w.boxes_n = (unsigned)g_rand_int_range(w.random, 9, MAX_BOXES);
     w.now = 1000000;
-    w.unsettled_until = w.now + 2 * w.rules.window; /* nothing is known yet */
+    w.unsettled_until = w.now + 2 * w.rules.window; /* the counts start empty */
     if (is_on_backends(&w))
         make_backends(&w);
     else
-        make_spaces(&w);
-    for (unsigned i = 0; i < WORKSPACES; i++)
-        w.spaces[i].hot_at += w.spaces[i].hot_at == TC_TIME_NEVER ? 0 : w.now;
+        make_workspaces(&w);
+    for (unsigned i = 0; i < SUBJECTS; i++)
+        w.subjects[i].hot_at += w.subjects[i].hot_at == TC_TIME_NEVER ? 0 : w.now;
     for (unsigned i = 0; i < w.boxes_n; i++) {
         g_snprintf(w.boxes[i].name, sizeof(w.boxes[i].name), "box-%u", i);
         start_box(&w, &w.boxes[i]);
     }
-    new_leader(&w);
+    start_leader(&w);
     const tc_time_t end = w.now + SPAN_MS;
     while (w.now < end)
         step(&w);
     check(&w, seed);
-    outcome->owed += w.owed;
+    outcome->below_cap += w.below_cap;
     outcome->refused += w.refused;
     outcome->taken += w.taken;
-    for (unsigned i = 0; i < WORKSPACES; i++)
-        outcome->takeable += w.settled_s * w.spaces[i].cap.rate;
+    for (unsigned i = 0; i < SUBJECTS; i++)
+        outcome->limit_units += w.settled_s * w.subjects[i].cap.rate;
     for (unsigned i = 0; i < w.boxes_n; i++)
-        if (w.boxes[i].parts)
-            cap_shares_destroy(w.boxes[i].parts);
-    for (unsigned i = 0; i < WORKSPACES; i++)
-        g_array_free(w.let_in[i], TRUE);
+        if (w.boxes[i].shares)
+            cap_shares_destroy(w.boxes[i].shares);
+    for (unsigned i = 0; i < SUBJECTS; i++)
+        g_array_free(w.admitted[i], TRUE);
     if (w.ledger)
         cap_ledger_destroy(w.ledger);
     g_rand_free(w.random);
@@ -381,31 +382,34 @@
     return text ? (unsigned)atoi(text) : 40;
 }
 
-static outcome_t play_all(subject_t subject)
+static outcome_t run_seeds(subject_kind_t subject)
 {
     outcome_t outcome = {0};
     for (uint32_t seed = 1; seed <= seeds(); seed++)
-        play(subject, seed, &outcome);
+        run_seed(subject, seed, &outcome);
     return outcome;
 }
 
-/** Within the rules whatever happens, and of what is owed while control is in touch less than 1 in 200 is refused. */
+/** Within the rules under all faults; while control is available, less than 1 in 200 requests below the caps is
+ * refused. */
 static void test_workspaces(void)
 {
-    const outcome_t outcome = play_all(ON_WORKSPACES);
-    g_test_message("%u seeds: %u owed, %u of them refused", seeds(), outcome.owed, outcome.refused);
-    g_assert_cmpuint(outcome.owed, >, 0);
-    g_assert_cmpuint(outcome.refused * 200, <, outcome.owed);
+    const outcome_t outcome = run_seeds(ON_WORKSPACES);
+    g_test_message("%u seeds: %u requests below the caps, %u of them refused", seeds(), outcome.below_cap,
+                   outcome.refused);
+    g_assert_cmpuint(outcome.below_cap, >, 0);
+    g_assert_cmpuint(outcome.refused * 200, <, outcome.below_cap);
 }
 
-/** Within the rules whatever happens, and a back end gets at least two thirds of what it takes while control is in
- * touch. @param data subject_t */
+/** Within the rules under all faults; while control is available, a back end gets at least two thirds of its limit.
+ * @param data subject_kind_t */
 static void test_backends(gconstpointer data)
 {
-    const outcome_t outcome = play_all((subject_t)GPOINTER_TO_INT(data));
-    g_test_message("%u seeds: %.0f could be taken, %.0f were", seeds(), outcome.takeable, outcome.taken);
-    g_assert_cmpfloat(outcome.takeable, >, 0);
-    g_assert_cmpfloat(outcome.taken, >, outcome.takeable * 2 / 3);
+    const outcome_t outcome = run_seeds((subject_kind_t)GPOINTER_TO_INT(data));
+    g_test_message("%u seeds: %.0f requests within the limits, %.0f admitted", seeds(), outcome.limit_units,
+                   outcome.taken);
+    g_assert_cmpfloat(outcome.limit_units, >, 0);
+    g_assert_cmpfloat(outcome.taken, >, outcome.limit_units * 2 / 3);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/reading_lab.h
+++ b/tests/unit/reading_lab.h
@@ -1,6 +1,6 @@
 /** @file reading_lab.h
- * The world of test_sched_pace.c and test_sched_workspaces.c, which alone include it: prefill engines that read prompts
- * one after the other, and a scheduler that is asked and told of it; time passes in ms.
+ * Simulation for test_sched_pace.c and test_sched_workspaces.c, the only users: prefill engines that process prompts
+ * one after the other, and a scheduler that places them and gets their progress. Time advances in steps of 1 ms.
  */
 #ifndef TRACKCOVE_TESTS_READING_LAB_H
 #define TRACKCOVE_TESTS_READING_LAB_H
@@ -12,9 +12,9 @@
 #include "unit/sched_fixture.h"
 
 enum {
-    READING_RATE = 33333, /* tokens a second that an engine reads */
+    READING_RATE = 33333, /* prefill rate of an engine, tokens per second */
     READING_FIXED_MS = 20,
-    READING_REPORT_MS = 5, /* a report's way */
+    READING_REPORT_MS = 5, /* latency of a report */
     READING_ENGINES = 32,
     READING_PROMPTS = 4096
 };
@@ -31,12 +31,12 @@
     GRand *random;
     prompt_t prompts[READING_PROMPTS];
     unsigned n;
-    tc_time_t now, free_at[READING_ENGINES]; /* when an engine has read all that it was sent */
-    tc_time_t longest;                       /* that a prompt took at its engine */
+    tc_time_t now, free_at[READING_ENGINES]; /* when an engine has finished all its prompts */
+    tc_time_t longest;                       /* longest time of a prompt at its engine */
     unsigned finished;
 } reading_t;
 
-/** A world with a scheduler and no engines. @return for reading_free */
+/** A simulation with a scheduler and no engines. @return for reading_free */
 static inline reading_t *reading_create(guint32 seed)
 {
     const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 256};
@@ -54,7 +54,7 @@
     g_free(w);
 }
 
-/** From now on there are these engines. */
+/** Sets the engines. */
 static inline void reading_configure(reading_t *w, engine_cfg_t *engines, uint32_t n)
 {
     const config_t config = {.targets = {.max_queue = 512}, .engines = engines, .engines_n = n};
@@ -112,12 +112,12 @@
         g_snprintf(progress.id, sizeof(progress.id), "r%u", i);
         codec_copy_string(progress.box, sizeof(progress.box), "box");
         sched_progress(w->sched, &progress, w->now);
-        progress.phase = PHASE_FINISHED; /* its stream is short */
+        progress.phase = PHASE_FINISHED; /* the stream is short */
         sched_progress(w->sched, &progress, w->now);
     }
 }
 
-/** A ms passes, in which a prompt is asked with that chance. @return whether one is */
+/** Advances the time by 1 ms. @return true with probability @p chance: a prompt arrives */
 static inline bool reading_step(reading_t *w, double chance)
 {
     w->now++;
@@ -125,7 +125,7 @@
     return g_rand_double(w->random) < chance;
 }
 
-/** The end of that ms. */
+/** Ends the step of reading_step: ticks the scheduler and applies its answers. */
 static inline void reading_settle(reading_t *w)
 {
     if (w->now % 5 == 0)
--- a/tests/unit/test_account.c
+++ b/tests/unit/test_account.c
@@ -1,4 +1,4 @@
-/* The account of callers by cause, from log lines as boxes write them. */
+/* Callers counted by cause, from log lines as boxes write them. */
 
 #include <glib.h>
 
@@ -12,7 +12,7 @@
 #define PROMPT(id) ",\"prompt\":\"" id "\""
 #define FIRST(ms, pause) ",\"took_ms\":3000,\"first_ms\":" ms ",\"pause_ms\":" pause ",\"events\":70"
 
-/** What one caller's lines come to. */
+/** The cause for one caller's lines. */
 static cause_t cause_of(const char *const *lines)
 {
     account_t *const account = account_create();
@@ -47,8 +47,8 @@
     EXPECT(CAUSE_CALLER_LEFT, ROUTED("1", "a", ""), END("caller_gone", "a", "0", "connection closed", ""));
 }
 
-/** Tries of one caller count once, by what the first one met; what a collector writes before a line is passed over. */
-static void test_tries(void)
+/** The attempts of one caller count as one; a prefix that a log collector adds to a line is skipped. */
+static void test_attempts(void)
 {
     EXPECT(CAUSE_FULL_LATE, "12.5 box/x " ROUTED("1000", "a", PROMPT("p")),
            END("failed", "a", "503", "no room in time", ""), ROUTED("4000", "b", PROMPT("p")),
@@ -63,6 +63,6 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/account/causes", test_causes);
-    g_test_add_func("/account/tries", test_tries);
+    g_test_add_func("/account/tries", test_attempts);
     return g_test_run();
 }
--- a/tests/unit/test_paged_read.c
+++ b/tests/unit/test_paged_read.c
@@ -1,11 +1,10 @@
-/* One reader of the platform's list: within its part of the platform's rate, and to the end of the list though others
- * use the rate up.
+/* One reader of the platform's list stays within its share of the platform's rate, and completes the list even if
+ * others use up the rate.
  *
- * Seen: with 9,998 back ends, 50 calls a reading, the leader's list was never newer than the first seconds of the day,
- * and a new leader had none at all: it refused every stream for the rest of the day. How it came about: 995 boxes read
- * as well, the platform refused what went beyond its rate, and one refused page dropped all pages before it. Cause: a
- * reading paid no regard to the rate and could not go on behind a refusal. What proved it: 587 of 588 readings that
- * were given up in the logs of 116 boxes ended with status 429. */
+ * Guards against a list that is never refreshed: a read ignored the rate and could not continue after a refusal. With
+ * 9,998 back ends (50 calls a read) and 995 boxes that read as well, the platform refused calls over its rate, and each
+ * refused page dropped all pages before it: 587 of 588 failed reads ended with status 429. A new leader got no list and
+ * refused every stream. */
 
 #include <glib.h>
 #include <string.h>
@@ -14,17 +13,17 @@
 
 enum { MS_PER_S = 1000, PAGE = 200 };
 
-/* ===== A platform ===== */
+/* ===== Simulated platform ===== */
 
 typedef struct {
     unsigned backends;
     double rate;
-    GArray *calls; /* tc_time_t of those that it took */
+    GArray *calls; /* tc_time_t of the accepted calls */
     unsigned all, refused;
 } platform_t;
 
-/** Takes so many calls in each second from its beginning on; others take some before. */
-static bool takes(platform_t *p, unsigned others_s, tc_time_t now)
+/** Whether the platform accepts a call: at most its rate in any second. @param others_s calls per second of others */
+static bool accepts(platform_t *p, unsigned others_s, tc_time_t now)
 {
     unsigned in_second = 0;
     for (guint i = p->calls->len; i-- > 0 && g_array_index(p->calls, tc_time_t, i) > now - MS_PER_S;)
@@ -38,7 +37,7 @@
     return true;
 }
 
-static unsigned most_in_second(const platform_t *p)
+static unsigned max_in_second(const platform_t *p)
 {
     unsigned most = 0;
     guint from = 0;
@@ -60,11 +59,11 @@
     }
 }
 
-/** Answer the page that is asked for. */
+/** Answers the requested page. */
 static paged_read_outcome_t answer(platform_t *p, paged_read_t *r, unsigned others_s, tc_time_t now)
 {
     tc_err_t err = {0};
-    if (!takes(p, others_s, now))
+    if (!accepts(p, others_s, now))
         return paged_read_refused(r, now, &err);
     const unsigned from = (unsigned)g_ascii_strtoull(paged_read_token(r), NULL, 10);
     GArray *const page = g_array_new(FALSE, TRUE, sizeof(backend_t));
@@ -76,21 +75,20 @@
     return outcome;
 }
 
-/** Let a reader read as often as it wants, for a time. @param others_s calls a second of others, in the first half of
- * it
- *  @return how many readings came to their end */
+/** Runs a reader at its own interval. @param span duration, ms @param others_s calls per second of others, in the first
+ *  half of it @return number of complete reads */
 static unsigned read_for(platform_t *p, paged_read_t *r, unsigned others_s, tc_time_t from, tc_time_t span)
 {
-    unsigned whole = 0;
+    unsigned complete = 0;
     for (tc_time_t now = from; now < from + span; now++) {
         tc_time_t until;
         if (paged_read_started_at(r) == 0 || now - paged_read_started_at(r) >= paged_read_interval(r))
             paged_read_begin(r, now);
         if (paged_read_next(r, now, &until) != PAGED_READ_REQUEST)
             continue;
-        whole += answer(p, r, now < from + span / 2 ? others_s : 0, now) == PAGED_READ_COMPLETE;
+        complete += answer(p, r, now < from + span / 2 ? others_s : 0, now) == PAGED_READ_COMPLETE;
     }
-    return whole;
+    return complete;
 }
 
 static platform_t platform_of(unsigned backends, double rate)
@@ -100,8 +98,8 @@
 
 /* ===== Rate ===== */
 
-/** One reader keeps to its part in every second, and its list is never older than 2 s and a reading, at twice the size
- *  too. Two leaders, one after the other, are within the rate. */
+/** One reader stays within half the rate in every second, so that two leaders in succession stay within the rate. Its
+ *  list is never older than 2 s and the time of a read, also at twice the size. */
 static void test_one_reader(void)
 {
     static const unsigned sizes[] = {50, 3000, 9998, 19996};
@@ -109,23 +107,23 @@
     for (guint i = 0; i < G_N_ELEMENTS(sizes); i++) {
         platform_t p = platform_of(sizes[i], RATE);
         paged_read_t *const r = paged_read_create(RATE);
-        const unsigned whole = read_for(&p, r, 0, 100000, SPAN_S * MS_PER_S);
+        const unsigned complete = read_for(&p, r, 0, 100000, SPAN_S * MS_PER_S);
         g_assert_cmpuint(p.refused, ==, 0);
-        g_assert_cmpuint(most_in_second(&p), <=, RATE / 2);
-        g_assert_cmpuint(whole, >=, SPAN_S / 2 - 1);
+        g_assert_cmpuint(max_in_second(&p), <=, RATE / 2);
+        g_assert_cmpuint(complete, >=, SPAN_S / 2 - 1);
         g_assert_cmpuint(paged_read_list(r)->len, ==, sizes[i]);
         paged_read_destroy(r);
         g_array_free(p.calls, TRUE);
     }
 }
 
-/** Ten control boxes while none leads: together within the rate, and each comes to the end of the list. */
+/** Ten control boxes without a leader: together within the rate, and each completes the list. */
 static void test_many_readers(void)
 {
     enum { RATE = 320, READERS = 10 };
     platform_t p = platform_of(9998, RATE);
     paged_read_t *readers[READERS];
-    unsigned whole = 0;
+    unsigned complete = 0;
     for (int i = 0; i < READERS; i++) {
         readers[i] = paged_read_create(RATE);
         paged_read_set_readers(readers[i], READERS);
@@ -135,18 +133,17 @@
         tc_time_t until;
         for (int i = 0; i < READERS; i++)
             if (paged_read_next(readers[i], now, &until) == PAGED_READ_REQUEST)
-                whole += answer(&p, readers[i], 0, now) == PAGED_READ_COMPLETE;
+                complete += answer(&p, readers[i], 0, now) == PAGED_READ_COMPLETE;
     }
-    g_assert_cmpuint(whole, ==, READERS);
+    g_assert_cmpuint(complete, ==, READERS);
     g_assert_cmpuint(p.refused, ==, 0);
-    g_assert_cmpuint(most_in_second(&p), <=, RATE / 2);
+    g_assert_cmpuint(max_in_second(&p), <=, RATE / 2);
     for (int i = 0; i < READERS; i++)
         paged_read_destroy(readers[i]);
     g_array_free(p.calls, TRUE);
 }
 
-/** Others use the rate up, all but a little: the reading goes on where it was refused, and what it asks stays bounded.
- */
+/** Others use up most of the rate: the read continues at the refused page, with a bounded number of calls. */
 static void test_others_use_the_rate_up(void)
 {
     enum { RATE = 320, LEFT = 12, SPAN_MS = 16000 };
@@ -180,15 +177,15 @@
     paged_read_destroy(r);
 }
 
-/** Ask for the page that is due, whenever that is. */
-static void ask_next(paged_read_t *r, tc_time_t *now)
+/** Advances the time until the next page is requested. */
+static void request_next(paged_read_t *r, tc_time_t *now)
 {
     tc_time_t until;
     while (paged_read_next(r, *now, &until) != PAGED_READ_REQUEST)
         ++*now;
 }
 
-static paged_read_outcome_t give(paged_read_t *r, const char *const *ids, const char *next, tc_time_t *now)
+static paged_read_outcome_t send_page(paged_read_t *r, const char *const *ids, const char *next, tc_time_t *now)
 {
     tc_err_t err = {0};
     GArray *const page = g_array_new(FALSE, TRUE, sizeof(backend_t));
@@ -197,32 +194,32 @@
         codec_copy_string(backend.id, sizeof(backend.id), *ids);
         g_array_append_val(page, backend);
     }
-    ask_next(r, now);
+    request_next(r, now);
     const paged_read_outcome_t outcome = paged_read_page(r, page, next, &err);
     g_assert_true((outcome == PAGED_READ_FAILED) == (err.code < 0));
     g_array_free(page, TRUE);
     return outcome;
 }
 
-/** A list whose pages go in circles, or never end, is given up; the last whole one stays. */
+/** A list whose pages repeat or never end is dropped; the last complete list stays. */
 static void test_no_end(void)
 {
     paged_read_t *const r = paged_read_create(1e6);
     static const char *const one[] = {"a", NULL}, *const none[] = {NULL};
     tc_time_t now = 1000;
     paged_read_begin(r, now);
-    g_assert_cmpint(give(r, one, NULL, &now), ==, PAGED_READ_COMPLETE);
+    g_assert_cmpint(send_page(r, one, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
-    g_assert_cmpint(give(r, one, "p1", &now), ==, PAGED_READ_MORE);
-    g_assert_cmpint(give(r, one, "p2", &now), ==, PAGED_READ_MORE);
-    g_assert_cmpint(give(r, one, "p1", &now), ==, PAGED_READ_FAILED);
+    g_assert_cmpint(send_page(r, one, "p1", &now), ==, PAGED_READ_MORE);
+    g_assert_cmpint(send_page(r, one, "p2", &now), ==, PAGED_READ_MORE);
+    g_assert_cmpint(send_page(r, one, "p1", &now), ==, PAGED_READ_FAILED);
     paged_read_begin(r, ++now);
     paged_read_outcome_t outcome = PAGED_READ_MORE;
     unsigned calls = 0;
     for (; outcome == PAGED_READ_MORE && calls < 100000; calls++) {
         char next[16];
         g_snprintf(next, sizeof(next), "q%u", calls);
-        outcome = give(r, none, next, &now);
+        outcome = send_page(r, none, next, &now);
     }
     g_assert_cmpint(outcome, ==, PAGED_READ_FAILED);
     g_assert_cmpuint(calls, <=, 2000);
@@ -239,8 +236,8 @@
     return false;
 }
 
-/** Entries before the page that is read next are taken out, so that the rest moves forward and some are missed: they
- *  count as gone when two readings do not have them. Of a list of one page there is no doubt. */
+/** If entries before the next page are removed, the rest moves forward and the read misses some. A back end counts as
+ *  removed only when two reads in a row do not have it; a list of one page is always exact. */
 static void test_shrinks_between_pages(void)
 {
     static const char *const first[] = {"a", "b", NULL}, *const second[] = {"c", "d", NULL};
@@ -248,24 +245,24 @@
     paged_read_t *const r = paged_read_create(1e6);
     tc_time_t now = 1000;
     paged_read_begin(r, now);
-    (void)give(r, first, "2", &now);
-    g_assert_cmpint(give(r, second, NULL, &now), ==, PAGED_READ_COMPLETE);
+    (void)send_page(r, first, "2", &now);
+    g_assert_cmpint(send_page(r, second, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
-    (void)give(r, first, "2", &now); /* a is gone then, and c stands on this page */
-    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
+    (void)send_page(r, first, "2", &now); /* a is removed then, and c moves to this page */
+    g_assert_cmpint(send_page(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
     g_assert_true(has(r, "c"));
     g_assert_cmpuint(paged_read_list(r)->len, ==, 4);
     for (int i = 0; i < 2; i++) {
         paged_read_begin(r, ++now);
-        (void)give(r, second, "2", &now);
-        (void)give(r, rest, NULL, &now);
+        (void)send_page(r, second, "2", &now);
+        (void)send_page(r, rest, NULL, &now);
     }
     g_assert_false(has(r, "a"));
     g_assert_true(has(r, "c"));
     paged_read_begin(r, ++now);
-    g_assert_cmpint(give(r, all, NULL, &now), ==, PAGED_READ_COMPLETE);
+    g_assert_cmpint(send_page(r, all, NULL, &now), ==, PAGED_READ_COMPLETE);
     paged_read_begin(r, ++now);
-    g_assert_cmpint(give(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
+    g_assert_cmpint(send_page(r, rest, NULL, &now), ==, PAGED_READ_COMPLETE);
     g_assert_false(has(r, "c"));
     paged_read_destroy(r);
 }
--- a/tests/unit/test_read_schedule.c
+++ b/tests/unit/test_read_schedule.c
@@ -1,34 +1,34 @@
-/* Boxes that nobody tells the list of back ends: few of them read it at once, many take turns, and of a list of many
- * pages fewer.
+/* Boxes without a list from a leader: a few read it at once, many are spread over time, and fewer read a list of many
+ * pages.
  *
- * Seen: 995 boxes before 9,998 back ends made 24,344 calls on a calm day, 429 was the answer to most, and no reading of
- * 50 pages came to its end, the leader's among them. Cause: turns counted readings and not calls, took 30 for the
- * number of boxes where a box knew none, and the platform's rate was read and used nowhere. Proved by the counts below,
- * which grew by boxes times pages. */
+ * Guards against boxes that exceed the platform's rate together: the schedule counted reads and not calls, assumed 30
+ * boxes where their number was unknown, and ignored the platform's rate. 995 boxes with 9,998 back ends made 24,344
+ * calls, most were answered with 429, and no read of 50 pages was completed, the leader's included. The counts below
+ * grew with boxes times pages. */
 
 #include <glib.h>
 
 #include "forward/read_schedule.h"
 
-enum { STEP_MS = 100, BOXES_MOST = 2000 };
+enum { STEP_MS = 100, MAX_BOXES = 2000 };
 
-/** Of a list of one page, which the platform gives as often as it is asked. */
-static read_schedule_load_t light(uint32_t boxes)
+/** A list of one page, at a rate that is no bound. */
+static read_schedule_load_t one_page(uint32_t boxes)
 {
     return (read_schedule_load_t){.boxes = boxes, .calls = 1, .rate = 1500};
 }
 
-/** Readings of all boxes together while nobody tells any of them the list, and what is read is not passed on. */
+/** Number of reads by all boxes if none gets the list from another box. @param span duration, ms */
 static unsigned count_reads(uint32_t boxes, const read_schedule_load_t *load, tc_time_t span)
 {
-    static read_schedule_t turns[BOXES_MOST];
+    static read_schedule_t schedules[MAX_BOXES];
     GRand *const random = g_rand_new_with_seed(boxes);
     unsigned reads = 0;
     for (uint32_t i = 0; i < boxes; i++)
-        turns[i] = (read_schedule_t){0};
+        schedules[i] = (read_schedule_t){0};
     for (tc_time_t now = 10000; now < 10000 + span; now += STEP_MS)
         for (uint32_t i = 0; i < boxes; i++)
-            reads += read_schedule_is_due(&turns[i], READ_SCHEDULE_STALE_MS + now, load, g_rand_int(random), now);
+            reads += read_schedule_is_due(&schedules[i], READ_SCHEDULE_STALE_MS + now, load, g_rand_int(random), now);
     g_rand_free(random);
     return reads;
 }
@@ -37,13 +37,13 @@
 {
     static const uint32_t sizes[] = {60, 300, 1000};
     for (guint i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        const read_schedule_load_t load = light(sizes[i]);
-        g_assert_cmpuint(count_reads(sizes[i], &load, 30000), <=, 30 * 7); /* 5 a second, and the luck of the draw */
+        const read_schedule_load_t load = one_page(sizes[i]);
+        g_assert_cmpuint(count_reads(sizes[i], &load, 30000), <=, 30 * 7); /* 5 per second, and random variation */
     }
 }
 
-/** Calls of all boxes together do not grow with their number or with the pages of the list: by half of what the
- * platform takes they leave the reader of the control boxes its part. */
+/** Calls of all boxes together do not grow with the number of boxes or pages: at half of the platform's rate at most,
+ * they leave the readers of the control boxes their share. */
 static void test_many_pages(void)
 {
     enum { RATE = 320, SPAN_S = 60 };
@@ -61,33 +61,33 @@
 
 static void test_few(void)
 {
-    read_schedule_t turn = {0};
-    const read_schedule_load_t load = light(7);
-    g_assert_false(read_schedule_is_due(&turn, READ_SCHEDULE_STALE_MS - 1, &load, 1, 1000));
-    g_assert_true(read_schedule_is_due(&turn, READ_SCHEDULE_STALE_MS, &load, 1, 1001)); /* at once */
-    g_assert_false(read_schedule_is_due(&turn, READ_SCHEDULE_STALE_MS, &load, 1, 2400));
-    g_assert_true(read_schedule_is_due(&turn, READ_SCHEDULE_STALE_MS, &load, 1, 4100));
+    read_schedule_t schedule = {0};
+    const read_schedule_load_t load = one_page(7);
+    g_assert_false(read_schedule_is_due(&schedule, READ_SCHEDULE_STALE_MS - 1, &load, 1, 1000));
+    g_assert_true(read_schedule_is_due(&schedule, READ_SCHEDULE_STALE_MS, &load, 1, 1001)); /* at once */
+    g_assert_false(read_schedule_is_due(&schedule, READ_SCHEDULE_STALE_MS, &load, 1, 2400));
+    g_assert_true(read_schedule_is_due(&schedule, READ_SCHEDULE_STALE_MS, &load, 1, 4100));
 }
 
-/** Control that was lost again and again for a moment makes no box read that would not have. */
-static void test_turns_are_drawn_anew(void)
+/** Short losses of control in a row do not make more boxes read: each loss draws new delays. */
+static void test_delays_are_redrawn(void)
 {
     unsigned reads = 0;
     GRand *const random = g_rand_new_with_seed(1);
-    read_schedule_t turns[300] = {{0}};
-    const read_schedule_load_t load = light(300);
+    read_schedule_t schedules[300] = {{0}};
+    const read_schedule_load_t load = one_page(300);
     for (tc_time_t now = 0; now < 60000; now += STEP_MS)
         for (int i = 0; i < 300; i++)
-            reads += read_schedule_is_due(&turns[i], now % 5000 < 2500 ? 0 : READ_SCHEDULE_STALE_MS, &load,
+            reads += read_schedule_is_due(&schedules[i], now % 5000 < 2500 ? 0 : READ_SCHEDULE_STALE_MS, &load,
                                           g_rand_int(random), now);
     g_rand_free(random);
-    g_assert_cmpuint(reads, <=, 30 * 7); /* of 60 s the list is stale for 30 */
+    g_assert_cmpuint(reads, <=, 30 * 7); /* the list is stale for 30 of 60 s */
 }
 
-/** Boxes that have just started and know no other one. */
+/** Boxes that have just started and know of no other box. */
 static void test_start(void)
 {
-    const read_schedule_load_t load = light(0);
+    const read_schedule_load_t load = one_page(0);
     g_assert_cmpuint(count_reads(300, &load, 1000), <=, 100);
     g_assert_cmpuint(count_reads(995, &load, 30000), <=, 30 * 7);
 }
@@ -95,10 +95,10 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/read-turn/many-boxes", test_many);
-    g_test_add_func("/read-turn/many-pages", test_many_pages);
-    g_test_add_func("/read-turn/few-boxes", test_few);
-    g_test_add_func("/read-turn/drawn-anew", test_turns_are_drawn_anew);
-    g_test_add_func("/read-turn/start", test_start);
+    g_test_add_func("/read-schedule/many-boxes", test_many);
+    g_test_add_func("/read-schedule/many-pages", test_many_pages);
+    g_test_add_func("/read-schedule/few-boxes", test_few);
+    g_test_add_func("/read-schedule/drawn-anew", test_delays_are_redrawn);
+    g_test_add_func("/read-schedule/start", test_start);
     return g_test_run();
 }
--- a/tests/unit/test_workspace.c
+++ b/tests/unit/test_workspace.c
@@ -1,11 +1,11 @@
-/* Workspaces and their keys, and what a request costs by a usage cap: pure parts. */
+/* Look-up of workspaces by API key, and the cost of a request under a usage cap. */
 
 #include <glib.h>
 #include <string.h>
 
 #include "workspace/workspace.h"
 
-static workspace_t *named(const char *name)
+static workspace_t *make_workspace(const char *name)
 {
     workspace_t *const w = g_new0(workspace_t, 1);
     w->name = g_strdup(name);
@@ -17,30 +17,30 @@
     return workspaces_add_key(all, w, key, strlen(key));
 }
 
-static const char *holder(const workspaces_t *all, const char *key)
+static const char *owner_of(const workspaces_t *all, const char *key)
 {
     const workspace_t *const w = workspaces_by_key(all, key, strlen(key));
-    return w ? w->name : "nobody";
+    return w ? w->name : "none";
 }
 
 static void test_keys(void)
 {
     workspaces_t *const all = workspaces_create();
-    const workspace_t *const a = workspaces_add(all, named("a"));
-    const workspace_t *const b = workspaces_add(all, named("b"));
-    g_assert_null(workspaces_add(all, named("a")));
+    const workspace_t *const a = workspaces_add(all, make_workspace("a"));
+    const workspace_t *const b = workspaces_add(all, make_workspace("b"));
+    g_assert_null(workspaces_add(all, make_workspace("a")));
     g_assert_true(add_key(all, a, "one"));
     g_assert_true(add_key(all, a, "two"));
     g_assert_true(add_key(all, b, "three"));
     g_assert_false(add_key(all, b, "one"));
     g_assert_false(add_key(all, a, "two")); /* its own, twice */
-    g_assert_cmpstr(holder(all, "one"), ==, "a");
-    g_assert_cmpstr(holder(all, "two"), ==, "a");
-    g_assert_cmpstr(holder(all, "three"), ==, "b");
-    g_assert_cmpstr(holder(all, "on"), ==, "nobody");
-    g_assert_cmpstr(holder(all, "onee"), ==, "nobody");
-    g_assert_cmpstr(holder(all, "ONE"), ==, "nobody");
-    g_assert_cmpstr(holder(all, ""), ==, "nobody");
+    g_assert_cmpstr(owner_of(all, "one"), ==, "a");
+    g_assert_cmpstr(owner_of(all, "two"), ==, "a");
+    g_assert_cmpstr(owner_of(all, "three"), ==, "b");
+    g_assert_cmpstr(owner_of(all, "on"), ==, "none");
+    g_assert_cmpstr(owner_of(all, "onee"), ==, "none");
+    g_assert_cmpstr(owner_of(all, "ONE"), ==, "none");
+    g_assert_cmpstr(owner_of(all, ""), ==, "none");
     g_assert_cmpuint(workspaces_count(all), ==, 2);
     g_assert_cmpstr(workspaces_at(all, 1)->name, ==, "b");
     workspaces_free(all);
