--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -74,11 +74,11 @@
     control_t *control;
     control_read_fn_t fn;
     void *arg;
-} reading_t;
+} prefill_lab_t;
 
 static void run_read(void *arg)
 {
-    const reading_t *const reading = arg;
+    const prefill_lab_t *const reading = arg;
     control_t *const c = reading->control;
     const tc_time_t now = tc_time_now();
     const raft_member_t *const leader = raft_find_member(c->raft, log_writer_leader(c->writer, c->raft));
@@ -96,7 +96,7 @@
 
 void control_read(control_t *c, control_read_fn_t fn, void *arg)
 {
-    reading_t reading = {.control = c, .fn = fn, .arg = arg};
+    prefill_lab_t reading = {.control = c, .fn = fn, .arg = arg};
     loop_post_wait(c->loop, run_read, &reading);
 }
 
--- a/lib/request/completion.c
+++ b/lib/request/completion.c
@@ -69,7 +69,7 @@
     attempt_t *at;
     caller_cursor_t cursor;
     int rc; /* why its tokens were given up */
-} reading_t;
+} prefill_lab_t;
 
 typedef enum { NEXT_DONE, NEXT_RETRY, NEXT_FAIL } next_t;
 
@@ -172,7 +172,7 @@
 
 static bool on_tokens(void *arg, uint32_t place, const char *text, const char *finish)
 {
-    reading_t *const reading = arg;
+    prefill_lab_t *const reading = arg;
     run_t *const run = reading->at->run;
     if (!reading->at->token_seen)
         on_first_token(reading->at);
@@ -187,11 +187,11 @@
 
 static bool on_reading_idle(void *arg)
 {
-    const reading_t *const reading = arg;
+    const prefill_lab_t *const reading = arg;
     return on_idle(reading->at->run);
 }
 
-static engine_reader_t reader_for(reading_t *reading, tc_time_t first_limit)
+static engine_reader_t reader_for(prefill_lab_t *reading, tc_time_t first_limit)
 {
     return (engine_reader_t){.on_token = on_tokens,
                              .on_idle = on_reading_idle,
@@ -202,7 +202,7 @@
 
 /** Connections break and the engine keeps the stream: the rest is fetched from it, behind what this run brought, which
  * may be less than the caller has. As long as each connection brings something. */
-static int read_on(reading_t *reading, int rc, tc_time_t first_limit)
+static int read_on(prefill_lab_t *reading, int rc, tc_time_t first_limit)
 {
     attempt_t *const at = reading->at;
     const engine_request_t request = engine_request(at, &at->placement.decode);
@@ -217,7 +217,7 @@
 /** Read a run from its start to its end. @param prefill NULL when the engine has the run already */
 static int read_run(attempt_t *at, const engine_prefill_t *prefill, tc_time_t first_limit)
 {
-    reading_t reading = {.at = at, .rc = TC_OK};
+    prefill_lab_t reading = {.at = at, .rc = TC_OK};
     const engine_request_t request = engine_request(at, &at->placement.decode);
     const engine_reader_t reader = reader_for(&reading, first_limit);
     tc_err_t *const err = &at->run->err;
--- a/tests/unit/reading_lab.h
+++ b/tests/unit/prefill_lab.h
@@ -1,9 +1,9 @@
-/** @file reading_lab.h
+/** @file prefill_lab.h
  * Simulation for test_sched_pace.c and test_sched_workspaces.c, the only users: prefill engines that process prompts
  * one after the other, and a scheduler that places them and gets their progress. Time advances in steps of 1 ms.
  */
-#ifndef TRACKCOVE_TESTS_READING_LAB_H
-#define TRACKCOVE_TESTS_READING_LAB_H
+#ifndef TRACKCOVE_TESTS_PREFILL_LAB_H
+#define TRACKCOVE_TESTS_PREFILL_LAB_H
 
 #include <glib.h>
 #include <stdlib.h>
@@ -12,11 +12,11 @@
 #include "unit/sched_fixture.h"
 
 enum {
-    READING_RATE = 33333, /* prefill rate of an engine, tokens per second */
-    READING_FIXED_MS = 20,
-    READING_REPORT_MS = 5, /* latency of a report */
-    READING_ENGINES = 32,
-    READING_PROMPTS = 4096
+    PREFILL_LAB_TOKENS_PER_S = 33333, /* prefill rate of an engine, tokens per second */
+    PREFILL_LAB_FIXED_MS = 20,
+    PREFILL_LAB_REPORT_MS = 5, /* latency of a report */
+    PREFILL_LAB_ENGINES = 32,
+    PREFILL_LAB_PROMPTS = 4096
 };
 
 typedef struct {
@@ -29,25 +29,25 @@
 typedef struct {
     sched_t *sched;
     GRand *random;
-    prompt_t prompts[READING_PROMPTS];
+    prompt_t prompts[PREFILL_LAB_PROMPTS];
     unsigned n;
-    tc_time_t now, free_at[READING_ENGINES]; /* when an engine has finished all its prompts */
-    tc_time_t longest;                       /* longest time of a prompt at its engine */
+    tc_time_t now, free_at[PREFILL_LAB_ENGINES]; /* when an engine has finished all its prompts */
+    tc_time_t longest;                           /* longest time of a prompt at its engine */
     unsigned finished;
-} reading_t;
+} prefill_lab_t;
 
-/** A simulation with a scheduler and no engines. @return for reading_free */
-static inline reading_t *reading_create(guint32 seed)
+/** A simulation with a scheduler and no engines. @return for prefill_lab_free */
+static inline prefill_lab_t *prefill_lab_create(guint32 seed)
 {
     const sched_options_t options = {.cell = "c", .epoch = 1, .piece_tokens = 256};
-    reading_t *const w = g_new0(reading_t, 1);
+    prefill_lab_t *const w = g_new0(prefill_lab_t, 1);
     w->now = 1000;
     w->sched = sched_create(&options, w->now);
     w->random = g_rand_new_with_seed(seed);
     return w;
 }
 
-static inline void reading_free(reading_t *w)
+static inline void prefill_lab_free(prefill_lab_t *w)
 {
     sched_destroy(w->sched);
     g_rand_free(w->random);
@@ -55,7 +55,7 @@
 }
 
 /** Sets the engines. */
-static inline void reading_configure(reading_t *w, engine_cfg_t *engines, uint32_t n)
+static inline void prefill_lab_configure(prefill_lab_t *w, engine_cfg_t *engines, uint32_t n)
 {
     const config_t config = {.targets = {.max_queue = 512}, .engines = engines, .engines_n = n};
     sched_configure(w->sched, &config, w->now);
@@ -63,9 +63,9 @@
         sched_on_engine_state(w->sched, engines[i].name, 1, false, NULL, 0, w->now, w->now);
 }
 
-static inline void reading_ask(reading_t *w, unsigned tokens, unsigned workspace)
+static inline void prefill_lab_add_prompt(prefill_lab_t *w, unsigned tokens, unsigned workspace)
 {
-    g_assert_cmpuint(w->n, <, READING_PROMPTS);
+    g_assert_cmpuint(w->n, <, PREFILL_LAB_PROMPTS);
     w->prompts[w->n] = (prompt_t){.tokens = tokens, .workspace = workspace};
     msg_place_t place = {.prompt_tokens = tokens, .max_tokens = 30, .wait_ms = 900};
     g_snprintf(place.id, sizeof(place.id), "r%u", w->n);
@@ -75,33 +75,33 @@
     sched_place(w->sched, &place, (sched_token_t){.a = w->n++}, w->now);
 }
 
-static inline void reading_begin(reading_t *w, prompt_t *p, const msg_placed_t *placed)
+static inline void prefill_lab_start(prefill_lab_t *w, prompt_t *p, const msg_placed_t *placed)
 {
     tc_time_t *const free_at = &w->free_at[strtol(placed->prefill + 1, NULL, 10)];
-    const tc_time_t idle_from = w->now + READING_FIXED_MS;
+    const tc_time_t idle_from = w->now + PREFILL_LAB_FIXED_MS;
     p->placed = true;
     p->attempt = placed->attempt;
     p->sent = w->now;
-    *free_at = MAX(*free_at, idle_from) + (tc_time_t)((gint64)p->tokens * 1000 / READING_RATE);
+    *free_at = MAX(*free_at, idle_from) + (tc_time_t)((gint64)p->tokens * 1000 / PREFILL_LAB_TOKENS_PER_S);
     p->done_at = *free_at;
     w->longest = MAX(w->longest, p->done_at - w->now);
 }
 
-static inline void reading_take_answers(reading_t *w)
+static inline void prefill_lab_apply_answers(prefill_lab_t *w)
 {
     sched_action_t action;
     while (sched_next_action(w->sched, &action)) {
         const sched_answer_t *const answer = &action.u.answer;
         if (action.kind == SCHED_ACT_ANSWER && answer->placed.granted)
-            reading_begin(w, &w->prompts[answer->token.a], &answer->placed);
+            prefill_lab_start(w, &w->prompts[answer->token.a], &answer->placed);
     }
 }
 
-static inline void reading_report_done(reading_t *w)
+static inline void prefill_lab_report_done(prefill_lab_t *w)
 {
     for (unsigned i = 0; i < w->n; i++) {
         prompt_t *const p = &w->prompts[i];
-        if (!p->placed || p->done || w->now < p->done_at + READING_REPORT_MS)
+        if (!p->placed || p->done || w->now < p->done_at + PREFILL_LAB_REPORT_MS)
             continue;
         p->done = true;
         w->finished++;
@@ -118,19 +118,19 @@
 }
 
 /** Advances the time by 1 ms. @return true with probability @p chance: a prompt arrives */
-static inline bool reading_step(reading_t *w, double chance)
+static inline bool prefill_lab_step(prefill_lab_t *w, double chance)
 {
     w->now++;
-    reading_report_done(w);
+    prefill_lab_report_done(w);
     return g_rand_double(w->random) < chance;
 }
 
-/** Ends the step of reading_step: ticks the scheduler and applies its answers. */
-static inline void reading_settle(reading_t *w)
+/** Ends the step of prefill_lab_step: ticks the scheduler and applies its answers. */
+static inline void prefill_lab_end_step(prefill_lab_t *w)
 {
     if (w->now % 5 == 0)
         sched_tick(w->sched, w->now);
-    reading_take_answers(w);
+    prefill_lab_apply_answers(w);
 }
 
 #endif
--- a/tests/unit/test_paged_read.c
+++ b/tests/unit/test_paged_read.c
@@ -3,8 +3,8 @@
  *
  * Guards against a list that is never refreshed: a read ignored the rate and could not continue after a refusal. With
  * 9,998 back ends (50 calls a read) and 995 boxes that read as well, the platform refused calls over its rate, and each
- * refused page dropped all pages before it: 587 of 588 failed reads ended with status 429. A new leader got no list and
- * refused every stream. */
+ * refused page dropped all pages before it: 587 of 588 failed reads at 116 boxes ended with status 429. A new leader
+ * got no list and refused every stream. */
 
 #include <glib.h>
 #include <string.h>
--- a/tests/unit/test_sched_prefill_rate.c
+++ b/tests/unit/test_sched_prefill_rate.c
@@ -6,7 +6,7 @@
  * seconds at a third of the engines' capacity, then a burst at a third above it; half of the engines are replaced in
  * the first second of the burst. */
 
-#include "unit/reading_lab.h"
+#include "unit/prefill_lab.h"
 
 enum {
     PREFILLS = 8,
@@ -21,11 +21,11 @@
     MOST = 5400,
     /* Prefill of the longest prompt behind two others as long: about half of a usual latency target, which must
      * leave time for the rest. */
-    MOST_MS = 3 * MOST * 1000 / READING_RATE,
+    MOST_MS = 3 * MOST * 1000 / PREFILL_LAB_TOKENS_PER_S,
 };
 
 /** @param changed whether the new engines have come and the ones they replace have gone */
-static void configure(reading_t *w, engine_cfg_t *all, bool changed)
+static void configure(prefill_lab_t *w, engine_cfg_t *all, bool changed)
 {
     engine_cfg_t list[ENGINES];
     uint32_t n = 0;
@@ -36,29 +36,29 @@
             continue;
         list[n++] = all[i];
     }
-    reading_configure(w, list, n);
+    prefill_lab_configure(w, list, n);
 }
 
 static void test_engines_come_in_a_burst(void)
 {
-    reading_t *const w = reading_create(7);
+    prefill_lab_t *const w = prefill_lab_create(7);
     const engine_cfg_t like = {.pieces = 10000, .max_batch = 1000, .prefill_rate = SETTINGS_RATE};
     engine_cfg_t engines[ENGINES];
     sched_fixture_fill_engines(engines, ENGINES, PREFILLS + NEW, &like);
     configure(w, engines, false);
     const tc_time_t start = w->now;
-    const double most_a_ms = PREFILLS * READING_RATE / 1000.0 / MEAN;
+    const double most_a_ms = PREFILLS * PREFILL_LAB_TOKENS_PER_S / 1000.0 / MEAN;
     while (w->now < start + SPAN_MS) {
         if (w->now == start + CHANGE_MS)
             configure(w, engines, true);
-        if (reading_step(w, most_a_ms * (w->now < start + BURST_MS ? 0.33 : 1.33)))
-            reading_ask(w, (unsigned)g_rand_int_range(w->random, 2 * MEAN - MOST, MOST), 0);
-        reading_settle(w);
+        if (prefill_lab_step(w, most_a_ms * (w->now < start + BURST_MS ? 0.33 : 1.33)))
+            prefill_lab_add_prompt(w, (unsigned)g_rand_int_range(w->random, 2 * MEAN - MOST, MOST), 0);
+        prefill_lab_end_step(w);
     }
     g_test_message("%u prompts, %u read, one took %lld ms at most", w->n, w->finished, (long long)w->longest);
     g_assert_cmpuint(w->finished, >, w->n / 2);
     g_assert_cmpint(w->longest, <, MOST_MS);
-    reading_free(w);
+    prefill_lab_free(w);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_sched_workspaces.c
+++ b/tests/unit/test_sched_workspaces.c
@@ -4,7 +4,7 @@
  * Load: eight engines that read 83 prompts of 3,200 tokens/s; ten workspaces send 166 requests/s at random for ten
  * seconds, one of them half of these. */
 
-#include "unit/reading_lab.h"
+#include "unit/prefill_lab.h"
 
 enum {
     WORKSPACES = 10, /* the first sends as much as the others together */
@@ -18,17 +18,17 @@
 /** The served fraction of each workspace is at least half of the overall one. */
 static void test_one_asks_much(void)
 {
-    reading_t *const w = reading_create(11);
-    const engine_cfg_t like = {.pieces = 10000, .max_batch = 1000, .prefill_rate = READING_RATE};
+    prefill_lab_t *const w = prefill_lab_create(11);
+    const engine_cfg_t like = {.pieces = 10000, .max_batch = 1000, .prefill_rate = PREFILL_LAB_TOKENS_PER_S};
     engine_cfg_t engines[ENGINES];
     sched_fixture_fill_engines(engines, ENGINES, PREFILLS, &like);
-    reading_configure(w, engines, ENGINES);
+    prefill_lab_configure(w, engines, ENGINES);
     const tc_time_t end = w->now + SPAN_MS;
     while (w->now < end) {
-        if (reading_step(w, 2.0 * PREFILLS * READING_RATE / 1000.0 / TOKENS))
-            reading_ask(w, TOKENS,
-                        g_rand_boolean(w->random) ? 0 : (unsigned)g_rand_int_range(w->random, 1, WORKSPACES));
-        reading_settle(w);
+        if (prefill_lab_step(w, 2.0 * PREFILLS * PREFILL_LAB_TOKENS_PER_S / 1000.0 / TOKENS))
+            prefill_lab_add_prompt(
+                w, TOKENS, g_rand_boolean(w->random) ? 0 : (unsigned)g_rand_int_range(w->random, 1, WORKSPACES));
+        prefill_lab_end_step(w);
     }
     unsigned asked[WORKSPACES] = {0}, served[WORKSPACES] = {0}, all = w->n, all_served = 0;
     for (unsigned i = 0; i < w->n; i++) {
@@ -41,7 +41,7 @@
     for (int i = 1; i < WORKSPACES; i++)
         g_assert_cmpuint(2 * served[i] * all, >=, all_served * asked[i]);
     g_assert_cmpuint(4 * served[0] * all, >=, all_served * asked[0]); /* the users' gate holds for it as well */
-    reading_free(w);
+    prefill_lab_free(w);
 }
 
 int main(int argc, char **argv)
