--- a/tests/harness/windows.c
+++ b/tests/harness/windows.c
@@ -20,7 +20,7 @@
     return rules->ratio * MAX(now, MAX(half, before)) + rules->allowance;
 }
 
-double windows_worst_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules)
+double windows_max_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules)
 {
     double worst = -G_MAXDOUBLE;
     for (guint i = 0; i < extras->len; i++) { /* windows that start at a retry hold the most */
--- a/tests/harness/windows.h
+++ b/tests/harness/windows.h
@@ -11,6 +11,6 @@
 
 /** @param requests tc_time_t, arrivals of requests @param extras tc_time_t, arrivals of their retries,
  *  @return retries above the allowance in the worst window; at most 0 if no window exceeds it */
-double windows_worst_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules);
+double windows_max_excess(const GArray *requests, const GArray *extras, const retry_rules_t *rules);
 
 #endif
--- a/tests/platform/soak/fatal.c
+++ b/tests/platform/soak/fatal.c
@@ -169,7 +169,7 @@
 static void check_service(world_t *w, const arrivals_t *a, const char *name)
 {
     static const retry_rules_t rules = {.ratio = RETRY_RATIO, .allowance = ALLOWANCE, .window = WINDOW_MS};
-    if (windows_worst_excess(a->requests, a->extras, &rules) > 0)
+    if (windows_max_excess(a->requests, a->extras, &rules) > 0)
         world_broken(w, "arrivals beyond the first of their request keep to the budget", name);
 }
 
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -40,7 +40,7 @@
             spend_all(&budget, extras, now);
     }
     g_assert_cmpuint(extras->len, >, 0);
-    g_assert_cmpfloat(windows_worst_excess(requests, extras, &rules), <=, 0);
+    g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
     g_array_free(requests, TRUE);
     g_array_free(extras, TRUE);
 }
@@ -63,9 +63,9 @@
             if (g_rand_int_range(random, 0, 1500) == 0)
                 spend_all(&budget, extras, now);
         }
-        if (windows_worst_excess(requests, extras, &rules) > 0)
+        if (windows_max_excess(requests, extras, &rules) > 0)
             g_test_message("seed %u", seed);
-        g_assert_cmpfloat(windows_worst_excess(requests, extras, &rules), <=, 0);
+        g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
         g_array_free(requests, TRUE);
         g_array_free(extras, TRUE);
         g_rand_free(random);
@@ -97,7 +97,7 @@
                 g_array_append_val(extras, now);
         }
     }
-    g_assert_cmpfloat(windows_worst_excess(requests, extras, &rules), <=, 0);
+    g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
     g_array_free(requests, TRUE);
     g_array_free(extras, TRUE);
 }
