--- a/lib/cap/cap_shares.c
+++ b/lib/cap/cap_shares.c
@@ -52,8 +52,8 @@
     double level;          /* units left */
     tc_time_t level_at;    /* time of the level */
     bool is_started;       /* used since it was last idle for a window */
-    double grace_units;    /* admitted by is_in_grace since grace_since */
-    tc_time_t grace_since; /* time of the leader's states that these units belong to */
+    double grace_units;    /* units admitted by this box since grace_since */
+    tc_time_t grace_since; /* states_at of the leader's states that were in force then */
     tc_time_t used_at;     /* when the last request was admitted */
     cap_window_t window;   /* admitted units, whoever decided */
     uint64_t total;        /* units admitted by this box */
@@ -132,7 +132,7 @@
 /** Sets the initial level. A request is often larger than what a share yields while there is no leader: rounding down
  *  would refuse all, and rounding up would admit one at each box. So the initial level is random, and all boxes
  * together admit what the cap allows and a part of the slack. A box where the subject was recently active, far from its
- * cap, starts with a level above 0. */
+ * cap, starts with a level above 0, so that it admits its first request. */
 static void start_share(const cap_shares_t *c, share_t *s, const cap_request_t *request, unsigned boxes, bool is_far,
                         double draw, tc_time_t now)
 {
@@ -165,7 +165,7 @@
     else
         start_share(c, s, request, boxes, is_far, draw, now);
     s->level_at = now;
-    decision->reason = "this box's part of the cap";
+    decision->reason = "this box's share of the cap";
     decision->share_rate = rate;
     decision->level = s->level;
     if (s->level > 0) {
@@ -204,7 +204,8 @@
     const bool has_leader = enabled && !request->leader_decides && decision->state_age <= FRESH_STATES_MS;
     if (!has_leader && (!enabled || state || !is_in_grace(c, s, request->units, draw, now)))
         return take_share(c, s, request, boxes, draw, now, decision);
-    decision->reason = state && state->over ? "over the cap, as the leader told" : "below the cap, as the leader told";
+    decision->reason =
+        state && state->over ? "over the cap by the leader's state" : "below the cap by the leader's state";
     if (state && state->over) {
         decision->after = state->after_ms;
         return false;
