--- a/lib/forward/discover.c
+++ b/lib/forward/discover.c
@@ -112,7 +112,8 @@
         tc_err_set(&err, TC_E_TIMEOUT, "read list of back ends", d->addr, "no answer in %d ms", PAGE_TIMEOUT_MS);
         break;
     case WEB_ASK_BROKEN:
-        tc_err_set(&err, TC_E_UNREACHABLE, "read list of back ends", d->addr, "no whole answer");
+        tc_err_set(&err, TC_E_UNREACHABLE, "read list of back ends", d->addr,
+                   "connection closed before the answer was complete");
         break;
     }
     abort_read(d, &err);
