--- a/tests/platform/test_discover.c
+++ b/tests/platform/test_discover.c
@@ -167,8 +167,8 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/discover/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("refused-page-is-requested-again", test_refused_page_is_requested_again);
-    TEST("failed-read-leaves-nothing", test_failed_read_leaves_nothing);
-    TEST("one-read-at-a-time", test_one_read_at_a_time);
+    TEST("failed-reading-leaves-nothing", test_failed_read_leaves_nothing);
+    TEST("one-reading-at-a-time", test_one_read_at_a_time);
     TEST("list-without-an-end", test_list_without_an_end);
     TEST("back-end-on-two-pages", test_back_end_on_two_pages);
     return g_test_run();
