--- a/tests/unit/prefill_lab.h
+++ b/tests/unit/prefill_lab.h
@@ -1,6 +1,7 @@
 /** @file prefill_lab.h
- * Simulation for test_sched_pace.c and test_sched_workspaces.c, the only users: prefill engines that process prompts
- * one after the other, and a scheduler that places them and gets their progress. Time advances in steps of 1 ms.
+ * Simulation for test_sched_prefill_rate.c and test_sched_workspaces.c, the only users: prefill engines that process
+ * prompts one after the other, and a scheduler that places them and gets their progress. Time advances in steps of 1
+ * ms.
  */
 #ifndef TRACKCOVE_TESTS_PREFILL_LAB_H
 #define TRACKCOVE_TESTS_PREFILL_LAB_H
