--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -25,21 +25,21 @@
 
 /* ===== Constants ===== */
 
-enum { STATUS_WRONG = 400, STATUS_NO_KEY = 401, STATUS_NO_ROUTE = 404, STATUS_NOT_RUN = 503 };
+enum { STATUS_BAD_REQUEST = 400, STATUS_NO_KEY = 401, STATUS_NO_ROUTE = 404, STATUS_NOT_RUN = 503 };
 
 /* ===== Ending ===== */
 
 static void forward_free(forward_t *f)
 {
-    assert(!f->step); /* a call under way would report to freed memory */
+    assert(!f->call); /* a call under way would report to freed memory */
     loop_disarm(&f->limit);
-    loop_disarm(&f->patience);
-    retry_end(f);
-    look_leave(f);
-    limit_end(f);
-    place_end(f);
+    loop_disarm(&f->call_timer);
+    retry_cancel(f);
+    probe_leave(f);
+    limit_cancel(f);
+    place_finish(f);
     hold_release(f);
-    locate_end(f);
+    locate_cancel(f);
     handle_release(f);
     f->owner->busy--;
     cds_list_del(&f->node);
@@ -50,29 +50,29 @@
     g_free(f);
 }
 
-void forward_done(forward_t *f, int status, const char *why)
+void forward_finish(forward_t *f, int status, const char *why)
 {
     counter_add(&c_answered, 1);
     histogram_add(&h_answer, tc_time_now() - f->request.arrived);
     if (status < 300)
-        stop_learn(f);
+        stop_record(f);
     forward_log_end(f, "done", why, status);
     forward_free(f);
 }
 
-enum { NEVER = -1 };
+enum { NO_RETRY_AFTER = -1 };
 
 /** Answer without a body. @param after when the caller may come back, ms; NEVER: nothing is said of it */
 static void answer_empty(web_exchange_t *exchange, int status, tc_time_t after)
 {
-    char *const head = after == NEVER ? g_strdup("") : dialect_retry_after(after);
+    char *const head = after == NO_RETRY_AFTER ? g_strdup("") : dialect_retry_after(after);
     web_answer(exchange, status, head, "", 0);
     g_free(head);
 }
 
-static void fail(forward_t *f, const char *why, tc_time_t come_back)
+static void fail(forward_t *f, const char *why, tc_time_t retry_after)
 {
-    step_cancel(f, why);
+    call_cancel(f, why);
     if (f->begun) {
         counter_add(&c_unknown, 1);
         forward_log_end(f, "aborted", why, 0);
@@ -85,16 +85,16 @@
     counter_add(f->runs == 0 ? &c_not_run : &c_unknown, 1);
     forward_log_end(f, "failed", why, status);
     /* Promise: 503 says that the request did not run, so it is given only while no back end can have begun it. */
-    answer_empty(f->exchange, status, f->runs == 0 ? come_back : NEVER);
+    answer_empty(f->exchange, status, f->runs == 0 ? retry_after : NO_RETRY_AFTER);
     forward_free(f);
 }
 
 void forward_refuse(forward_t *f, int status, const char *why, tc_time_t after)
 {
-    assert(f->runs == 0 && !f->begun && !f->step); /* promise: what is refused as not run has not run */
+    assert(f->runs == 0 && !f->begun && !f->call); /* promise: what is refused as not run has not run */
     counter_add(&c_not_run, 1);
     forward_log_end(f, "failed", why, status);
-    answer_empty(f->exchange, status, after > 0 ? after : NEVER);
+    answer_empty(f->exchange, status, after > 0 ? after : NO_RETRY_AFTER);
     forward_free(f);
 }
 
@@ -105,7 +105,7 @@
 
 void forward_fail_full(forward_t *f, const char *why)
 {
-    fail(f, why, FULL_AFTER_MS + g_rand_int_range(f->owner->random, 0, FULL_SPREAD_MS));
+    fail(f, why, RETRY_FULL_MS + g_rand_int_range(f->owner->random, 0, RETRY_FULL_JITTER_MS));
 }
 
 static fleet_query_t wish_of(const forward_t *f, stage_t stage)
@@ -114,7 +114,7 @@
                            .stage = stage,
                            .dc = f->owner->options.dc,
                            .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
-                           .ends = forward_ends(f),
+                           .ends = forward_backend_ends(f),
                            .connections = f->settings->max_connections,
                            .boxes = forward_boxes(f->owner),
                            .now = tc_time_now(),
@@ -122,7 +122,7 @@
 }
 
 /** Other callers that were refused for the same reason come back beside this one: up to so much later. */
-enum { OPENS_SPREAD_MS = 400 };
+enum { REOPEN_JITTER_MS = 400 };
 
 /** No back end is left, or those that are take no work for a while: then its caller is told when one does. */
 static void fail_without_backend(forward_t *f, stage_t stage)
@@ -133,31 +133,31 @@
         forward_fail(f, fleet_is_evacuated(f->owner->fleet, &wish) ? REASON_EVACUATED : "no back end is left");
         return;
     }
-    const tc_time_t spread = g_rand_int_range(f->owner->random, 0, OPENS_SPREAD_MS);
+    const tc_time_t spread = g_rand_int_range(f->owner->random, 0, REOPEN_JITTER_MS);
     const char *const why = fleet_closed_until(f->owner->fleet, &wish) ? REASON_BACKING_OFF : REASON_LIMITED;
     fail(f, why, until - wish.now + spread);
 }
 
-void forward_fail_held(forward_t *f)
+void forward_fail_quarantined(forward_t *f)
 {
     counter_add(&c_held, 1);
     fail(f, REASON_QUARANTINED, quarantine_remaining_ms(f->owner->quarantine, f->fingerprint, tc_time_now()));
 }
 
-unsigned forward_ends(const forward_t *f)
+unsigned forward_backend_ends(const forward_t *f)
 {
     return quarantine_crash_count(f->owner->quarantine, f->fingerprint, tc_time_now());
 }
 
-static bool is_held(const forward_t *f)
+static bool is_quarantined(const forward_t *f)
 {
-    return forward_ends(f) >= QUARANTINE_CRASH_LIMIT;
+    return forward_backend_ends(f) >= QUARANTINE_CRASH_LIMIT;
 }
 
 static void on_limit(void *arg)
 {
     forward_t *const f = arg;
-    if (f->step && f->step->op != DIALECT_PREFILL && web_call_sent(f->step->call))
+    if (f->call && f->call->op != DIALECT_PREFILL && web_call_sent(f->call->http))
         f->runs++; /* it is with a back end that has not answered */
     forward_fail(f, "time is over");
 }
@@ -166,7 +166,7 @@
 {
     forward_t *const f = arg;
     counter_add(&c_left, 1);
-    step_cancel(f, "connection closed");
+    call_cancel(f, "connection closed");
     forward_log_end(f, "caller_gone", "connection closed", 0);
     forward_free(f);
 }
@@ -204,7 +204,7 @@
 {
     if (stage == STAGE_DECODE && f->hold.instance)
         return instance_ref(f->hold.instance);
-    instance_t *const chosen = place_chosen(f, stage);
+    instance_t *const chosen = place_chosen_engine(f, stage);
     return chosen ? chosen : forward_choose(f, stage);
 }
 
@@ -216,7 +216,7 @@
         return true;
     counter_add(&c_no_key, 1);
     const int status = caller_status(f->owner, STATUS_NO_KEY);
-    forward_refuse(f, status, "its key was taken away", status == STATUS_NO_KEY ? 0 : ELSEWHERE_AFTER_MS);
+    forward_refuse(f, status, "its key was taken away", status == STATUS_NO_KEY ? 0 : RETRY_ELSEWHERE_MS);
     return false;
 }
 
@@ -235,12 +235,12 @@
         return;
     }
     /* Promise: a request under which so many back ends have ended is sent to no other one, whoever found it out. */
-    if (is_held(f)) {
+    if (is_quarantined(f)) {
         instance_unref(instance);
-        forward_fail_held(f);
+        forward_fail_quarantined(f);
         return;
     }
-    if (!is_still_allowed(f) || !cap_lets_in(f)) {
+    if (!is_still_allowed(f) || !cap_check(f)) {
         instance_unref(instance);
         return;
     }
@@ -250,31 +250,31 @@
 void forward_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     if (!instance_accepts_work(instance, tc_time_now())) { /* since it was chosen */
-        f->asked_again = false;
+        f->repeats_engine = false;
         instance_unref(instance);
-        forward_go_on(f);
+        forward_continue(f);
         return;
     }
     if (op != DIALECT_PREFILL)
         f->arrivals++;
     if (op != DIALECT_PREFILL && f->split)
-        place_note(f, instance);
-    step_begin(f, op, instance);
+        place_record_decode(f, instance);
+    call_begin(f, op, instance);
 }
 
 /** Send a stream that is taken up again to the engine that keeps its prompt, if one does. */
-static bool send_to_keeper(forward_t *f)
+static bool send_to_located(forward_t *f)
 {
-    instance_t *const keeper = f->locate.instance;
-    if (!keeper)
+    instance_t *const located = f->locate.instance;
+    if (!located)
         return false;
     f->locate.instance = NULL; /* once: when it can't, the stream is placed like any other */
-    if (!instance_accepts_work(keeper, tc_time_now())) {
-        instance_unref(keeper);
+    if (!instance_accepts_work(located, tc_time_now())) {
+        instance_unref(located);
         return false;
     }
-    f->asked_again = f->repeated && f->runs > 0;
-    send_to(f, DIALECT_SERVE, keeper);
+    f->repeats_engine = f->same_engine_tried && f->runs > 0;
+    send_to(f, DIALECT_SERVE, located);
     return true;
 }
 
@@ -282,13 +282,13 @@
  *  failed. */
 static bool wait_for_hold(forward_t *f)
 {
-    if (!place_is_alone(f) || f->hold.instance)
+    if (!place_is_local(f) || f->hold.instance)
         return false;
-    if (hold_ask(f))
+    if (hold_request(f))
         return true;
     if (f->hold.tries == 0)
         return false; /* engines set nothing aside, or there is none to ask */
-    if (!hold_wait(f))
+    if (!hold_request_later(f))
         forward_fail_full(f, REASON_NO_ROOM);
     return true;
 }
@@ -299,10 +299,10 @@
 {
     const bool read = f->handle.instance || place_is_solo(f);
     instance_t *const prefill = read ? NULL : choose_engine(f, STAGE_PREFILL);
-    if (retry_owes(f, prefill ? DIALECT_PREFILL : DIALECT_DECODE)) {
+    if (retry_is_unpaid(f, prefill ? DIALECT_PREFILL : DIALECT_DECODE)) {
         if (prefill)
             instance_unref(prefill);
-        retry_then(f, forward_go_on);
+        retry_or_fail(f, forward_continue);
         return;
     }
     if (prefill && !drop_choice(choose_engine(f, STAGE_DECODE))) {
@@ -320,13 +320,14 @@
 
 /** Whether all engines that could answer it asked for no calls for longer than it may wait, or are evacuated: it can't
  *  be served. */
-static bool is_shut_out(const forward_t *f)
+static bool is_unservable(const forward_t *f)
 {
     const fleet_query_t wish = wish_of(f, STAGE_DECODE);
-    return fleet_is_evacuated(f->owner->fleet, &wish) || fleet_closed_until(f->owner->fleet, &wish) >= place_until(f);
+    return fleet_is_evacuated(f->owner->fleet, &wish) ||
+           fleet_closed_until(f->owner->fleet, &wish) >= place_wait_until(f);
 }
 
-void forward_go_on(forward_t *f)
+void forward_continue(forward_t *f)
 {
     if (tc_time_now() >= f->deadline) {
         on_limit(f);
@@ -336,41 +337,41 @@
         send_to(f, DIALECT_SERVE, forward_choose(f, STAGE_NONE));
         return;
     }
-    hold_check(f);
-    if (is_shut_out(f)) {
+    hold_drop_unusable(f);
+    if (is_unservable(f)) {
         fail_without_backend(f, STAGE_DECODE);
         return;
     }
-    if (locate_ask(f))
+    if (locate_begin(f))
         return; /* goes on when the engines have answered */
-    if (send_to_keeper(f))
+    if (send_to_located(f))
         return;
-    if (place_ask(f))
+    if (place_request(f))
         return; /* goes on when the scheduler has answered */
     if (wait_for_hold(f))
         return; /* goes on when an engine has answered, or in a moment */
     send_to_engines(f);
 }
 
-static void on_again(void *arg)
+static void on_retry(void *arg)
 {
-    forward_go_on(arg);
+    forward_continue(arg);
 }
 
-bool forward_try_soon(forward_t *f, tc_time_t until)
+bool forward_retry_soon(forward_t *f, tc_time_t until)
 {
-    const tc_time_t at = tc_time_now() + AGAIN_MS;
+    const tc_time_t at = tc_time_now() + PLACE_RETRY_MS;
     if (at >= until)
         return false;
     g_ptr_array_set_size(f->tried, 0);
-    loop_arm(f->owner->loop, &f->patience, at, on_again, f);
+    loop_arm(f->owner->loop, &f->call_timer, at, on_retry, f);
     return true;
 }
 
 /* ===== Beginning ===== */
 
 static void refuse(web_exchange_t *exchange, const dialect_request_t *facts, int status, const char *why,
-                   tc_time_t come_back)
+                   tc_time_t retry_after)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "refused");
@@ -378,7 +379,7 @@
     log_str(&line, "why", why);
     log_int(&line, "status", status);
     log_end(&line);
-    answer_empty(exchange, status, status == STATUS_NOT_RUN ? come_back : NEVER);
+    answer_empty(exchange, status, status == STATUS_NOT_RUN ? retry_after : NO_RETRY_AFTER);
 }
 
 static void drop_instance(void *instance)
@@ -394,7 +395,7 @@
     const int status = caller_status(fw, final);
     if (status != final)
         counter_add(&c_unsure, 1);
-    refuse(exchange, facts, status, why, ELSEWHERE_AFTER_MS);
+    refuse(exchange, facts, status, why, RETRY_ELSEWHERE_MS);
 }
 
 static forward_t *forward_create(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request,
@@ -429,8 +430,8 @@
 {
     dialect_request_t facts;
     dialect_read_request(request, &facts);
-    if (fw->stop_last && tc_time_now() >= fw->stop_last) {
-        refuse(exchange, &facts, STATUS_NOT_RUN, "this box stops", ELSEWHERE_AFTER_MS);
+    if (fw->stop_begin_until && tc_time_now() >= fw->stop_begin_until) {
+        refuse(exchange, &facts, STATUS_NOT_RUN, "this box stops", RETRY_ELSEWHERE_MS);
         return;
     }
     if (!fw->table) {
@@ -439,7 +440,7 @@
     }
     const char *const host = web_headers_get(request->headers, "Host");
     if (!host) {
-        refuse(exchange, &facts, STATUS_WRONG, "no host", 0);
+        refuse(exchange, &facts, STATUS_BAD_REQUEST, "no host", 0);
         return;
     }
     const route_t *const route = route_table_find(fw->table, host, request->target);
@@ -457,23 +458,23 @@
     forward_t *const f = forward_create(fw, exchange, request, &facts, route, caller.workspace);
     forward_log_routed(f);
     if (!stop_allows(f)) {
-        fail(f, "this box stops before it would end", ELSEWHERE_AFTER_MS);
+        fail(f, "this box stops before it would end", RETRY_ELSEWHERE_MS);
         return;
     }
-    if (is_held(f)) {
-        forward_fail_held(f);
+    if (is_quarantined(f)) {
+        forward_fail_quarantined(f);
         return;
     }
     retry_earn(f);
     web_on_gone(exchange, on_caller_gone, f);
     loop_arm(fw->loop, &f->limit, f->deadline, on_limit, f);
-    forward_go_on(f);
+    forward_continue(f);
 }
 
 void forwarder_handle(void *arg, web_exchange_t *exchange, const web_request_t *request)
 {
     forwarder_t *const fw = arg;
-    if (!early_hold(fw, exchange, request))
+    if (!early_queue(fw, exchange, request))
         forward_route(fw, exchange, request);
 }
 
@@ -491,14 +492,14 @@
     fw->caps = cap_shares_create(&options->caps);
     fw->limits = cap_shares_create(&options->limits.advertised);
     fw->cold = cap_shares_create(&options->limits.cold);
-    fw->limits_told = limit_table_create();
+    fw->leader_limits = limit_table_create();
     fw->service_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     fw->random = g_rand_new();
     fw->created = tc_time_now();
     CDS_INIT_LIST_HEAD(&fw->requests);
     CDS_INIT_LIST_HEAD(&fw->early);
-    CDS_INIT_LIST_HEAD(&fw->looks);
-    CDS_INIT_LIST_HEAD(&fw->upkeeps);
+    CDS_INIT_LIST_HEAD(&fw->probes);
+    CDS_INIT_LIST_HEAD(&fw->cleanups);
     return fw;
 }
 
@@ -506,15 +507,15 @@
 {
     assert(fw->busy == 0); /* requests hold the forwarder */
     loop_disarm(&fw->renewal);
-    looks_end(fw);
-    upkeeps_end(fw);
+    probes_destroy(fw);
+    cleanups_destroy(fw);
     route_table_unref(fw->table);
     g_hash_table_destroy(fw->budgets);
     quarantine_destroy(fw->quarantine);
     cap_shares_destroy(fw->caps);
     cap_shares_destroy(fw->limits);
     cap_shares_destroy(fw->cold);
-    limit_table_destroy(fw->limits_told);
+    limit_table_destroy(fw->leader_limits);
     g_hash_table_destroy(fw->service_times);
     g_rand_free(fw->random);
     g_free(fw);
@@ -529,7 +530,7 @@
 void forwarder_set_scheduler(forwarder_t *fw, reporter_t *reporter)
 {
     fw->scheduler = reporter;
-    place_start(fw);
+    place_start_renewal(fw);
 }
 
 void forwarder_set_boxes(forwarder_t *fw, unsigned boxes)
--- /dev/null
+++ b/lib/forward/forward_call.c
@@ -0,0 +1,492 @@
+/* One call to one back end: sending, reading its answer, and what the outcome means for the request. */
+
+#include <assert.h>
+#include <string.h>
+
+#include "common/counter.h"
+#include "common/histogram.h"
+#include "common/mechanism.h"
+#include "common/sabotage.h"
+#include "forward/forward_internal.h"
+
+HISTOGRAM_DEFINE(h_first, "trackcove_forward_first_event_ms", "From a request to the head of its stream")
+HISTOGRAM_DEFINE(h_prefill, "trackcove_forward_prefill_ms", "From a prefill's sending to its result")
+COUNTER_DEFINE(c_calls, "counter", "trackcove_forward_calls_total", "Calls to back ends, prefills included")
+COUNTER_DEFINE(c_refused, "counter", "trackcove_forward_refused_total", "Calls that back ends did not run")
+COUNTER_DEFINE(c_broken, "counter", "trackcove_forward_broken_total", "Calls without a whole answer")
+COUNTER_DEFINE(c_spoiled, "counter", "trackcove_forward_spoiled_total", "Answers without proof of their origin")
+COUNTER_DEFINE(c_wasted, "counter", "trackcove_forward_prefill_wasted_tokens_total",
+               "Prompt tokens computed and not used by a decode engine")
+
+/* ===== Ending a step ===== */
+
+/** Take the step off its request. @param why for the log */
+static void call_free(backend_call_t *call, const char *why)
+{
+    forward_t *const f = call->request;
+    stream_end(call, why);
+    retry_cancel(f); /* a question on what could follow this call */
+    loop_disarm(&f->call_timer);
+    instance_end(call->instance, call->tokens, call->ends);
+    instance_unref(call->instance);
+    if (call->head)
+        g_string_free(call->head, TRUE);
+    g_byte_array_free(call->body, TRUE);
+    f->call = NULL;
+    g_free(call);
+}
+
+void call_cancel(forward_t *f, const char *why)
+{
+    if (!f->call)
+        return;
+    web_call_cancel(f->call->http);
+    call_free(f->call, why);
+}
+
+/* ===== Prefill results ===== */
+
+static void handle_clear(forward_t *f)
+{
+    instance_unref(f->handle.instance);
+    g_free(f->handle.name);
+    f->handle = (handle_t){0};
+}
+
+void handle_release(forward_t *f)
+{
+    if (!f->handle.instance)
+        return;
+    counter_add(&c_wasted, f->facts.prompt_tokens);
+    instance_t *const holder = f->handle.instance;
+    if (tc_time_now() < f->handle.until)
+        cleanup_call(f->owner, holder, dialect_write_release(holder->listed.addr, f->handle.name));
+    handle_clear(f);
+}
+
+/* ===== Looking ===== */
+
+/** Whether the request may run on one more back end when it may have run on this one. */
+static bool may_run_again(const forward_t *f)
+{
+    if (SABOTAGE_IS(SABOTAGE_RUN_TWICE))
+        return f->runs == 0;
+    if (f->begun && (f->has_unnamed_event || !mechanism_is_on(MECHANISM_RESUMPTION)))
+        return false;
+    return route_is_repeatable(f->route) && f->backends + !f->repeats_engine < f->route->max_attempts;
+}
+
+/** The back end that was asked last may have run the request. */
+static void count_run(forward_t *f)
+{
+    f->runs++;
+    f->backends += !f->repeats_engine;
+    f->repeats_engine = false;
+}
+
+/** It is not tried again for this request. */
+static void mark_tried(forward_t *f, instance_t *instance, dialect_op_t op)
+{
+    g_ptr_array_add(op == DIALECT_PREFILL ? f->tried_prefill : f->tried, instance_ref(instance));
+}
+
+/* ===== Outcomes ===== */
+
+/** To another engine, the scheduler's choice if it chose the last one. */
+static void continue_elsewhere(forward_t *f)
+{
+    if (f->failed_decode[0] && place_replan(f, f->failed_decode, f->trouble))
+        return;
+    forward_continue(f);
+}
+
+/** The request did not arrive, or was turned away: another back end may take it. */
+static void handle_not_run(backend_call_t *call, const char *why, bool refused)
+{
+    forward_t *const f = call->request;
+    const dialect_op_t op = call->op;
+    const tc_time_t now = tc_time_now();
+    forward_log(f, "not_run", why, call->status, call->instance);
+    retry_record_arrival(f, op, refused ? ARRIVAL_REFUSED : ARRIVAL_NONE);
+    f->repeats_engine = false;
+    if (call->reply.wrong_instance)
+        instance_outdated(call->instance, now);
+    else if (refused)
+        instance_refused(call->instance, now);
+    else
+        instance_failed(call->instance, now);
+    mark_tried(f, call->instance, call->op);
+    if (op == DIALECT_PREFILL)
+        place_report(f, PHASE_PREFILL, call->instance); /* the scheduler leaves it alone for a moment */
+    if (op == DIALECT_DECODE && refused && f->handle.instance && now >= f->handle.until)
+        handle_clear(f);
+    codec_copy_string(f->failed_decode, sizeof(f->failed_decode),
+                      op == DIALECT_DECODE ? call->instance->listed.id : "");
+    f->trouble = call->reply.wrong_instance ? TROUBLE_OUTDATED : (refused ? TROUBLE_FULL : TROUBLE_STALLED);
+    call_free(call, why);
+    if (refused)
+        retry_or_fail(f, continue_elsewhere);
+    else
+        continue_elsewhere(f);
+}
+
+/** An engine whose answer was lost has the prompt still, unless it died with it: it is asked once more, which computes
+ *  nothing anew. */
+static void retry_same_engine(forward_t *f, instance_t *instance, dialect_op_t op)
+{
+    if (!mechanism_is_on(MECHANISM_SAME_ENGINE) || !f->split || f->same_engine_tried || instance->failures > 1) {
+        mark_tried(f, instance, op);
+        return;
+    }
+    f->same_engine_tried = true;
+    if (op == DIALECT_PREFILL)
+        codec_copy_string(f->placement.prefill, sizeof(f->placement.prefill), instance->listed.id);
+    else
+        locate_set(f, instance);
+}
+
+/** The engine has ended: another one is asked for, of the scheduler if it chose that one. */
+static void exclude_ended(forward_t *f, instance_t *instance, dialect_op_t op)
+{
+    mark_tried(f, instance, op);
+    codec_copy_string(f->failed_decode, sizeof(f->failed_decode), op == DIALECT_PREFILL ? "" : instance->listed.id);
+    f->trouble = TROUBLE_STALLED;
+    if (op == DIALECT_PREFILL)
+        place_report(f, PHASE_PREFILL, instance); /* no box need find it out again */
+}
+
+/** Ends that count against a request that its box repeats by itself. After a second one its caller has to come back: a
+ *  third would take what else runs on a back end along, and the caller may not. */
+enum { REPEAT_ENDS_MAX = 2 };
+
+/** Go on after a lost answer, if that is paid for. */
+static void retry_lost(forward_t *f, dialect_op_t op, const char *why)
+{
+    if (op == DIALECT_PREFILL)
+        retry_or_fail(f, continue_elsewhere);
+    else if (!retry_is_unpaid(f, DIALECT_DECODE) || retry_spend(f))
+        continue_elsewhere(f);
+    else
+        forward_fail(f, why);
+}
+
+void call_resume_probed(forward_t *f, instance_t *instance, bool ended)
+{
+    const dialect_op_t op = f->probe_waiter.op;
+    if (ended && forward_backend_ends(f) >= REPEAT_ENDS_MAX) {
+        forward_fail(f, REASON_BACKEND_ENDED);
+        return;
+    }
+    f->failed_decode[0] = '\0'; /* of a call before */
+    if (ended)
+        exclude_ended(f, instance, op);
+    else
+        retry_same_engine(f, instance, op);
+    retry_lost(f, op, f->probe_waiter.why);
+}
+
+/** The back end may have run the request and its answer is lost. */
+static void handle_lost_answer(backend_call_t *call, const char *why)
+{
+    forward_t *const f = call->request;
+    const dialect_op_t op = call->op;
+    counter_add(&c_broken, 1);
+    forward_log(f, "answer_lost", why, call->status, call->instance);
+    retry_record_arrival(f, op, ARRIVAL_TAKEN);
+    instance_failed(call->instance, tc_time_now());
+    probe_t *const probe = call->given_up ? NULL : probe_begin(f, call->instance);
+    if (op == DIALECT_PREFILL && call->given_up)
+        place_report(f, PHASE_PREFILL, call->instance); /* no box need find it out again */
+    if (op == DIALECT_DECODE && f->handle.instance)
+        handle_clear(f); /* taken, or about to lapse */
+    if (call->given_up)
+        mark_tried(f, call->instance, op);
+    f->failed_decode[0] = '\0';
+    call_free(call, why);
+    const bool again = op == DIALECT_PREFILL || may_run_again(f);
+    if (op != DIALECT_PREFILL)
+        count_run(f);
+    if (!again)
+        forward_fail(f, why);
+    else if (probe)
+        probe_wait(f, probe, op, why);
+    else
+        retry_lost(f, op, why);
+}
+
+/** A run has ended well: whatever ended under the request before was not its doing. */
+static void clear_quarantine(const forward_t *f)
+{
+    if (forward_backend_ends(f) > 0)
+        quarantine_clear(f->owner->quarantine, f->fingerprint, tc_time_now());
+}
+
+/** A whole answer that the back end stands for, success or failure. */
+static void deliver(backend_call_t *call)
+{
+    forward_t *const f = call->request;
+    const int status = call->status;
+    web_answer(f->exchange, status, call->head->str, call->body->data, call->body->len);
+    call_free(call, "answered");
+    forward_finish(f, status, "answered");
+}
+
+static void handle_prefilled(backend_call_t *call)
+{
+    forward_t *const f = call->request;
+    char *const name =
+        call->reply.success ? dialect_read_handle((const char *)call->body->data, call->body->len) : NULL;
+    if (!name) {
+        handle_lost_answer(call, "prefill without a result");
+        return;
+    }
+    instance_succeeded(call->instance);
+    histogram_add(&h_prefill, tc_time_now() - call->began);
+    forward_log(f, "prefilled", "prompt computed", call->status, call->instance);
+    retry_record_arrival(f, DIALECT_PREFILL, ARRIVAL_TAKEN);
+    f->handle = (handle_t){
+        .instance = instance_ref(call->instance), .name = name, .until = tc_time_now() + f->settings->handle_ttl};
+    place_report(f, PHASE_TRANSFER, NULL);
+    call_free(call, "prompt computed");
+    forward_continue(f);
+}
+
+static void handle_stream_end(backend_call_t *call, web_end_t how)
+{
+    forward_t *const f = call->request;
+    if (how == WEB_END_WHOLE && stream_at_boundary(call)) {
+        instance_succeeded(call->instance);
+        clear_quarantine(f);
+        call_free(call, "streamed");
+        web_end(f->exchange);
+        forward_finish(f, 200, "streamed");
+        return;
+    }
+    handle_lost_answer(call, "stream broke off");
+}
+
+/** Whether there is another back end that could go on, and @p fits it. */
+static bool has_other(const backend_call_t *call, bool (*fits)(forward_t *f, stage_t stage))
+{
+    forward_t *const f = call->request;
+    g_ptr_array_add(f->tried, instance_ref(call->instance));
+    const bool is = fits(f, f->split ? STAGE_DECODE : STAGE_NONE);
+    g_ptr_array_set_size(f->tried, (gint)f->tried->len - 1);
+    return is;
+}
+
+/** A failure that the back end stands for is tried once more elsewhere, where that is allowed and of use: at one that
+ *  names no limit, which would not have it in the end. */
+static bool try_elsewhere(backend_call_t *call)
+{
+    forward_t *const f = call->request;
+    if (!mechanism_is_on(MECHANISM_SECOND_TRY) || call->status < 500 || f->begun || !may_run_again(f) ||
+        !has_other(call, forward_has_unlimited) || !retry_spend(f))
+        return false;
+    forward_log(f, "backend_failed", "tried once more elsewhere", call->status, call->instance);
+    retry_record_arrival(f, call->op, ARRIVAL_TAKEN);
+    count_run(f);
+    mark_tried(f, call->instance, call->op);
+    if (f->handle.instance)
+        handle_clear(f);
+    call_free(call, "tried once more elsewhere");
+    forward_continue(f);
+    return true;
+}
+
+static void handle_answer(backend_call_t *call)
+{
+    forward_t *const f = call->request;
+    if (call->reply.not_run) {
+        counter_add(&c_refused, 1);
+        handle_not_run(call, "turned away", true);
+        return;
+    }
+    if (call->op == DIALECT_PREFILL) {
+        handle_prefilled(call);
+        return;
+    }
+    if (!call->reply.authentic) {
+        counter_add(&c_spoiled, 1);
+        handle_lost_answer(call, "answer without proof of origin");
+        return;
+    }
+    instance_succeeded(call->instance);
+    clear_quarantine(f);
+    if (try_elsewhere(call))
+        return;
+    if (f->begun) {
+        handle_lost_answer(call, "stream could not be taken up");
+        return;
+    }
+    deliver(call);
+}
+
+/* ===== Reports of the call ===== */
+
+/** This box ends the call. */
+static void give_up(backend_call_t *call, const char *why)
+{
+    web_call_cancel(call->http);
+    call->given_up = true;
+    handle_lost_answer(call, why);
+}
+
+static void on_prefill_timeout(void *arg)
+{
+    backend_call_t *const call = ((forward_t *)arg)->call;
+    assert(call); /* disarmed with the step */
+    give_up(call, "prefill engine is silent");
+}
+
+static void arm_silence_timer(forward_t *f);
+
+/** The run is silent and another can follow: once all that this takes is paid for, it is given up. The silence is none
+ *  while bytes wait to be read: this box stood still, or they came while the leader was asked. */
+static void give_up_when_granted(forward_t *f)
+{
+    if (web_call_has_news(f->call->http)) {
+        arm_silence_timer(f);
+        return;
+    }
+    /* This run counts, and so does the prompt that is read anew; without a prefill engine the run behind it reads it.
+     */
+    const bool prefills = f->split && f->retry.prefilled && forward_has_any(f, STAGE_PREFILL);
+    const unsigned before = f->retry.counted + 1 + prefills;
+    if (before > f->retry.paid)
+        retry_request(f, give_up_when_granted, arm_silence_timer);
+    else
+        give_up(f->call, "stream is silent");
+}
+
+/** Giving a run up ends it for good, so it is done only when another run can follow: else it is waited for. */
+static void on_run_silent(void *arg)
+{
+    forward_t *const f = arg;
+    assert(f->call); /* disarmed with the step */
+    if (has_other(f->call, forward_has_any))
+        give_up_when_granted(f);
+    else
+        arm_silence_timer(f);
+}
+
+/** A stream that may be taken up elsewhere is not waited for longer than its pauses allow. */
+static void arm_silence_timer(forward_t *f)
+{
+    const tc_time_t pauses = SILENCE_GAP_TARGETS * f->route->gap_target;
+    const tc_time_t limit = pauses > 0 ? pauses : f->owner->options.silence_timeout_ms;
+    retry_cancel(f); /* what was asked of the leader was for a silence that is over */
+    if (may_run_again(f))
+        loop_arm(f->owner->loop, &f->call_timer, tc_time_now() + limit, on_run_silent, f);
+    else
+        loop_disarm(&f->call_timer); /* of an event before */
+}
+
+static web_verdict_t on_head(void *arg, const web_head_t *head)
+{
+    backend_call_t *const call = arg;
+    forward_t *const f = call->request;
+    dialect_reply_t reply;
+    dialect_read_reply(head, f->facts.id, &reply);
+    notice_apply(f->owner, call->instance, head); /* a late answer of another request comes from the same back end */
+    if (!reply.matches_request)
+        return WEB_SKIP;
+    call->reply = reply;
+    call->head_seen = true;
+    call->status = head->status;
+    limit_update(call);
+    if (call->op == DIALECT_PREFILL || call->reply.not_run)
+        return WEB_TAKE;
+    call->head = dialect_forward_headers(head);
+    const bool streams = f->route->kind == ROUTE_STREAM && call->reply.success && call->reply.authentic;
+    if (streams && f->handle.instance)
+        handle_clear(f); /* the decode engine has it */
+    if (streams && !f->begun) {
+        f->begun = true;
+        forward_log(f, "streaming", "first bytes", head->status, call->instance);
+        histogram_add(&h_first, tc_time_now() - f->request.arrived);
+        place_report(f, PHASE_DECODE, NULL);
+        web_begin(f->exchange, head->status, call->head->str);
+    }
+    if (streams) {
+        stream_begin(call);
+        arm_silence_timer(f);
+    }
+    return WEB_TAKE;
+}
+
+static void on_data(void *arg, const char *data, size_t size)
+{
+    backend_call_t *const call = arg;
+    if (!stream_has_begun(call)) {
+        g_byte_array_append(call->body, (const guint8 *)data, (guint)size);
+        return;
+    }
+    switch (stream_feed(call, data, size)) {
+    case STREAM_OK: arm_silence_timer(call->request); break;
+    case STREAM_REPEATED: give_up(call, "run does not go on behind the last event"); break;
+    case STREAM_TOO_LARGE: forward_fail(call->request, "event is too large"); break; /* it would be on every engine */
+    }
+}
+
+static void on_end(void *arg, web_end_t how)
+{
+    backend_call_t *const call = arg;
+    call->http = NULL;
+    if (how == WEB_END_UNSENT)
+        handle_not_run(call, "no connection", false);
+    else if (stream_has_begun(call)) /* which a refusal never is */
+        handle_stream_end(call, how);
+    else if (how == WEB_END_WHOLE)
+        handle_answer(call);
+    else if (how == WEB_END_CUT && call->reply.not_run)
+        handle_not_run(call, "turned away", true);
+    else
+        handle_lost_answer(call, how == WEB_END_CUT ? "answer broke off" : "connection broke");
+}
+
+/* ===== Sending ===== */
+
+/** Kept connections may close at any moment, so only what may be sent again goes over them. */
+static bool may_reuse_connection(const forward_t *f, dialect_op_t op)
+{
+    return op == DIALECT_PREFILL || route_is_repeatable(f->route);
+}
+
+void call_begin(forward_t *f, dialect_op_t op, instance_t *instance)
+{
+    assert(!f->call); /* one call at a time: a request never runs on two back ends by our will */
+    const tc_time_t now = tc_time_now();
+    assert(instance_accepts_work(instance, now)); /* promise: none to a back end that leaves or asked for no calls */
+    counter_add(&c_calls, 1);
+    backend_call_t *const call = g_new0(backend_call_t, 1);
+    call->request = f;
+    call->op = op;
+    call->instance = instance;
+    call->tokens = op == DIALECT_DECODE ? 0 : f->facts.prompt_tokens;
+    call->body = g_byte_array_new();
+    call->began = now;
+    const dialect_call_t params = {.op = op,
+                                   .instance = instance->listed.id,
+                                   .time_left = f->deadline - now,
+                                   .priority = f->priority,
+                                   .handle_at = f->handle.instance ? f->handle.instance->listed.addr : NULL,
+                                   .handle = f->handle.name,
+                                   .hold = f->hold.instance == instance ? f->hold.name : NULL,
+                                   .resume_after = f->last_event,
+                                   .strips_credentials = f->table->workspaces != NULL,
+                                   .workspace = f->workspace ? f->workspace->name : NULL};
+    const web_sink_t sink = {.on_head = on_head, .on_data = on_data, .on_end = on_end, .arg = call};
+    GByteArray *const request = dialect_write_request(&f->request, instance->listed.addr, &params);
+    f->call = call;
+    if (f->hold.instance == instance)
+        hold_clear(f); /* it serves once */
+    call->ends = forward_backend_ends(f);
+    instance_begin(instance, call->tokens, call->ends);
+    forward_log(f, "send", op == DIALECT_PREFILL ? "prefill" : (op == DIALECT_DECODE ? "decode" : "serve"), 0,
+                instance);
+    call->http = web_call(f->owner->client, instance->listed.addr, request, may_reuse_connection(f, op),
+                          CONNECT_TIMEOUT_MS, &sink);
+    if (op == DIALECT_PREFILL)
+        loop_arm(f->owner->loop, &f->call_timer, now + PREFILL_TIMEOUT_MS, on_prefill_timeout, f);
+}
--- a/lib/forward/forward_caller.c
+++ b/lib/forward/forward_caller.c
@@ -34,12 +34,12 @@
 }
 
 /** Whether this box can be sure that what its configuration does not know is not there. */
-static bool is_sure(const forwarder_t *fw)
+static bool config_is_fresh(const forwarder_t *fw)
 {
     return !fw->scheduler || reporter_is_current(fw->scheduler, fw->options.config_fresh_ms);
 }
 
 int caller_status(const forwarder_t *fw, int final)
 {
-    return is_sure(fw) ? final : STATUS_UNSURE;
+    return config_is_fresh(fw) ? final : STATUS_UNSURE;
 }
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -58,9 +58,9 @@
     forward_refuse(f, STATUS_OVER_CAP, "its workspace is over its usage cap", verdict->after);
 }
 
-bool cap_lets_in(forward_t *f)
+bool cap_check(forward_t *f)
 {
-    if (f->let_in || !has_cap(f))
+    if (f->cap_granted || !has_cap(f))
         return true;
     forwarder_t *const fw = f->owner;
     const cap_request_t ask = ask_of(f);
@@ -70,15 +70,15 @@
         return false;
     }
     counter_add(&c_own, 1);
-    f->let_in = true;
+    f->cap_granted = true;
     return true;
 }
 
-void cap_was_let_in(forward_t *f)
+void cap_record_granted(forward_t *f)
 {
-    if (f->let_in || !has_cap(f))
+    if (f->cap_granted || !has_cap(f))
         return;
-    f->let_in = true;
+    f->cap_granted = true;
     const cap_request_t ask = ask_of(f);
     cap_shares_record(f->owner->caps, &ask, tc_time_now());
 }
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -18,12 +18,12 @@
     web_exchange_t *exchange;
     web_request_t request;
     loop_timer_t limit;
-} early_t;
+} early_request_t;
 
 /* ===== Ending ===== */
 
 /** Take it off the list and free it. */
-static void early_end(early_t *e)
+static void early_end(early_request_t *e)
 {
     loop_disarm(&e->limit);
     cds_list_del(&e->node);
@@ -32,7 +32,7 @@
 }
 
 /** Begin the request: it is sent like any other by now, or refused. */
-static void early_begin(early_t *e)
+static void early_begin(early_request_t *e)
 {
     forwarder_t *const fw = e->owner;
     web_exchange_t *const exchange = e->exchange;
@@ -54,18 +54,18 @@
 
 /* ===== Waiting ===== */
 
-static bool knows_enough(const forwarder_t *fw)
+static bool is_configured(const forwarder_t *fw)
 {
     return fw->table && fleet_size(fw->fleet) > 0;
 }
 
-bool early_hold(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request)
+bool early_queue(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request)
 {
     const tc_time_t now = tc_time_now();
-    if (!mechanism_is_on(MECHANISM_EARLY_WAIT) || knows_enough(fw) || now - fw->created > EARLY_LIFE_MS)
+    if (!mechanism_is_on(MECHANISM_EARLY_WAIT) || is_configured(fw) || now - fw->created > EARLY_PHASE_MS)
         return false;
     counter_add(&c_held, 1);
-    early_t *const e = g_new0(early_t, 1);
+    early_request_t *const e = g_new0(early_request_t, 1);
     e->owner = fw;
     e->exchange = exchange;
     e->request = *request;
@@ -78,9 +78,9 @@
 
 void forwarder_on_change(forwarder_t *fw)
 {
-    early_t *e, *next;
-    limit_learn_told(fw);
-    if (!knows_enough(fw))
+    early_request_t *e, *next;
+    limit_apply_leader_list(fw);
+    if (!is_configured(fw))
         return;
     cds_list_for_each_entry_safe(e, next, &fw->early, node)
         early_begin(e);
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -13,14 +13,14 @@
 
 /* ===== Ending ===== */
 
-static void drop_question(forward_t *f)
+static void drop_query(forward_t *f)
 {
-    if (f->hold.asking)
-        engine_ask_free(f->hold.asking);
-    f->hold.asking = NULL;
+    if (f->hold.query)
+        engine_query_free(f->hold.query);
+    f->hold.query = NULL;
 }
 
-void hold_forget(forward_t *f)
+void hold_clear(forward_t *f)
 {
     if (f->hold.instance)
         instance_unref(f->hold.instance);
@@ -31,14 +31,14 @@
 
 void hold_release(forward_t *f)
 {
-    drop_question(f);
+    drop_query(f);
     if (f->hold.instance && f->hold.instance->present && tc_time_now() < f->hold.until)
-        upkeep_call(f->owner, f->hold.instance,
-                    dialect_write_hold_release(f->hold.instance->listed.addr, f->hold.name));
-    hold_forget(f);
+        cleanup_call(f->owner, f->hold.instance,
+                     dialect_write_hold_release(f->hold.instance->listed.addr, f->hold.name));
+    hold_clear(f);
 }
 
-void hold_check(forward_t *f)
+void hold_drop_unusable(forward_t *f)
 {
     if (f->hold.instance && (tc_time_now() >= f->hold.until || !instance_accepts_work(f->hold.instance, tc_time_now())))
         hold_release(f);
@@ -46,7 +46,7 @@
 
 /* ===== The engine's answer ===== */
 
-static void no_hold(const engine_ask_t *h, const char *why, bool refused)
+static void hold_failed(const engine_query_t *h, const char *why, bool refused)
 {
     forward_t *const f = h->request;
     const tc_time_t now = tc_time_now();
@@ -57,56 +57,56 @@
     else
         instance_failed(h->instance, now);
     g_ptr_array_add(f->tried, instance_ref(h->instance));
-    drop_question(f);
-    forward_go_on(f);
+    drop_query(f);
+    forward_continue(f);
 }
 
 static void on_answer(void *arg, web_ask_end_t how)
 {
-    const engine_ask_t *const h = arg;
+    const engine_query_t *const h = arg;
     forward_t *const f = h->request;
     if (how == WEB_ASK_LATE) {
-        no_hold(h, "no answer in time", false);
+        hold_failed(h, "no answer in time", false);
         return;
     }
     const bool granted = how == WEB_ASK_WHOLE && h->ask.status == 200;
     char *const name = granted ? dialect_read_hold((const char *)h->ask.body->data, h->ask.body->len) : NULL;
     if (!name) {
-        no_hold(h, how == WEB_ASK_WHOLE ? "no room" : "no answer", how == WEB_ASK_WHOLE);
+        hold_failed(h, how == WEB_ASK_WHOLE ? "no room" : "no answer", how == WEB_ASK_WHOLE);
         return;
     }
     counter_add(&c_taken, 1);
     forward_log(f, "hold_taken", "memory set aside", h->ask.status, h->instance);
     f->hold.instance = instance_ref(h->instance);
     f->hold.name = name;
-    drop_question(f);
-    forward_go_on(f);
+    drop_query(f);
+    forward_continue(f);
 }
 
 /* ===== Asking ===== */
 
-bool hold_ask(forward_t *f)
+bool hold_request(forward_t *f)
 {
     if (!mechanism_is_on(MECHANISM_HOLDS) || f->hold.instance || f->settings->hold_ttl == 0 ||
-        f->hold.tries >= HOLD_TRIES)
+        f->hold.tries >= HOLD_TRIES_MAX)
         return false;
     instance_t *const instance = forward_choose(f, STAGE_DECODE);
     if (!instance)
         return false;
-    assert(!f->hold.asking); /* one question at a time */
+    assert(!f->hold.query); /* one question at a time */
     f->hold.tries++;
-    static const engine_ask_limits_t limits = {.connect_ms = CONNECT_MS, .answer_ms = HOLD_ANSWER_MS};
+    static const engine_query_limits_t limits = {.connect_ms = CONNECT_TIMEOUT_MS, .answer_ms = HOLD_TIMEOUT_MS};
     const tc_time_t ttl = f->settings->hold_ttl < HOLD_MS ? f->settings->hold_ttl : HOLD_MS;
     GByteArray *const request = dialect_write_hold(instance->listed.addr, f->facts.prompt_tokens, ttl);
-    f->hold.until = tc_time_now() + ttl - HOLD_WAY_MS;
-    f->hold.asking = engine_ask(f, instance, request, &limits, on_answer);
+    f->hold.until = tc_time_now() + ttl - HOLD_TRANSIT_MS;
+    f->hold.query = engine_query(f, instance, request, &limits, on_answer);
     return true;
 }
 
-bool hold_wait(forward_t *f)
+bool hold_request_later(forward_t *f)
 {
-    const tc_time_t until = f->handle.instance ? f->handle.until : place_until(f);
-    if (!forward_try_soon(f, until))
+    const tc_time_t until = f->handle.instance ? f->handle.until : place_wait_until(f);
+    if (!forward_retry_soon(f, until))
         return false;
     f->hold.tries = 0;
     return true;
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -37,26 +37,26 @@
 }
 
 /** Whether this box knows something newer than the leader told, and other. */
-static bool is_news(const forwarder_t *fw, const instance_t *instance)
+static bool is_newer_than_leader(const forwarder_t *fw, const instance_t *instance)
 {
     const instance_limit_t *const own = &instance->limit;
-    const limit_entry_t *const told = limit_table_find(fw->limits_told, instance->listed.id);
-    if (!told)
+    const limit_entry_t *const known = limit_table_find(fw->leader_limits, instance->listed.id);
+    if (!known)
         return own->is_set;
-    const bool same = own->is_set == told->is_set && own->rate == told->rate;
-    return !same && own->seen_at > told->seen_at;
+    const bool same = own->is_set == known->is_set && own->rate == known->rate;
+    return !same && own->seen_at > known->seen_at;
 }
 
 /** Whether this box knows of a limit where the leader knows none. Other news can wait for the next report: a back end
  *  may name another limit with each answer. */
 static bool is_urgent(const forwarder_t *fw, const instance_t *instance)
 {
-    const limit_entry_t *const told = limit_table_find(fw->limits_told, instance->listed.id);
-    return instance->limit.is_set && !(told && told->is_set) && is_news(fw, instance);
+    const limit_entry_t *const known = limit_table_find(fw->leader_limits, instance->listed.id);
+    return instance->limit.is_set && !(known && known->is_set) && is_newer_than_leader(fw, instance);
 }
 
 /** @param from who says so, for the log @return whether the limit has changed */
-static bool take(instance_t *instance, const instance_limit_t *limit, const char *from)
+static bool apply_limit(instance_t *instance, const instance_limit_t *limit, const char *from)
 {
     if (!instance_update_limit(instance, limit))
         return false;
@@ -66,47 +66,47 @@
 }
 
 /** Whether the absence of a limit means something: the back end itself answered, and did not fail. */
-static bool speaks_for_backend(const step_t *s)
+static bool is_backend_answer(const backend_call_t *call)
 {
-    return s->reply.limited || (s->reply.success && (s->reply.authentic || s->op == DIALECT_PREFILL));
+    return call->reply.limited || (call->reply.success && (call->reply.authentic || call->op == DIALECT_PREFILL));
 }
 
-void limit_hear(const step_t *s)
+void limit_update(const backend_call_t *call)
 {
-    if (!speaks_for_backend(s))
+    if (!is_backend_answer(call))
         return;
-    const instance_limit_t limit = {.is_set = s->reply.limited, .rate = s->reply.limit, .seen_at = tc_time_now()};
-    forwarder_t *const fw = s->request->owner;
-    if (take(s->instance, &limit, "its answer") && fw->scheduler && is_urgent(fw, s->instance))
+    const instance_limit_t limit = {.is_set = call->reply.limited, .rate = call->reply.limit, .seen_at = tc_time_now()};
+    forwarder_t *const fw = call->request->owner;
+    if (apply_limit(call->instance, &limit, "its answer") && fw->scheduler && is_urgent(fw, call->instance))
         reporter_report_now(fw->scheduler); /* the scheduler grants more there until it knows */
 }
 
-void limit_learn_told(forwarder_t *fw)
+void limit_apply_leader_list(forwarder_t *fw)
 {
-    GList *const entries = limit_table_entries(fw->limits_told);
+    GList *const entries = limit_table_entries(fw->leader_limits);
     for (const GList *at = entries; at; at = at->next) {
         const limit_entry_t *const e = at->data;
         instance_t *const instance = fleet_find(fw->fleet, e->backend);
         const instance_limit_t limit = {.is_set = e->is_set, .rate = e->rate, .seen_at = e->seen_at};
         if (instance)
-            (void)take(instance, &limit, "the leader");
+            (void)apply_limit(instance, &limit, "the leader");
     }
     g_list_free(entries);
 }
 
 /* ===== Reports ===== */
 
-static limit_news_t news_of(const instance_t *instance)
+static limit_news_t update_of(const instance_t *instance)
 {
-    limit_news_t news = {.is_set = instance->limit.is_set,
-                         .rate = instance->limit.rate,
-                         .age_ms = (uint64_t)(tc_time_now() - instance->limit.seen_at)};
-    codec_copy_string(news.backend, sizeof(news.backend), instance->listed.id);
-    return news;
+    limit_news_t update = {.is_set = instance->limit.is_set,
+                           .rate = instance->limit.rate,
+                           .age_ms = (uint64_t)(tc_time_now() - instance->limit.seen_at)};
+    codec_copy_string(update.backend, sizeof(update.backend), instance->listed.id);
+    return update;
 }
 
 /** @return limit_news_t, for free() */
-static limit_news_t *list_news(const forwarder_t *fw, uint32_t *n)
+static limit_news_t *list_updates(const forwarder_t *fw, uint32_t *n)
 {
     limit_news_t *const list = calloc(fleet_size(fw->fleet) + 1, sizeof(*list));
     if (!list)
@@ -114,21 +114,21 @@
     *n = 0;
     for (unsigned i = 0; i < fleet_size(fw->fleet); i++) {
         const instance_t *const instance = fleet_at(fw->fleet, i);
-        if (is_news(fw, instance))
-            list[(*n)++] = news_of(instance);
+        if (is_newer_than_leader(fw, instance))
+            list[(*n)++] = update_of(instance);
     }
     return list;
 }
 
 void limit_fill_report(forwarder_t *fw, msg_report_t *report)
 {
-    report->limits = list_news(fw, &report->limits_n);
+    report->limits = list_updates(fw, &report->limits_n);
     report->limits_hash = fw->limits_hash;
     report->limits_used = cap_shares_report(fw->limits, &report->limits_used_n, tc_time_now());
     report->cold_used = cap_shares_report(fw->cold, &report->cold_used_n, tc_time_now());
 }
 
-static bool has_urgent_news(const forwarder_t *fw)
+static bool has_urgent_update(const forwarder_t *fw)
 {
     for (unsigned i = 0; i < fleet_size(fw->fleet); i++)
         if (is_urgent(fw, fleet_at(fw->fleet, i)))
@@ -140,16 +140,16 @@
 {
     const tc_time_t now = tc_time_now();
     if (ack->limits.hash != fw->limits_hash) {
-        limit_table_clear(fw->limits_told);
+        limit_table_clear(fw->leader_limits);
         for (uint32_t i = 0; i < ack->limits.list_n; i++)
-            (void)limit_table_update(fw->limits_told, &ack->limits.list[i], now);
-        limit_learn_told(fw);
+            (void)limit_table_update(fw->leader_limits, &ack->limits.list[i], now);
+        limit_apply_leader_list(fw);
     }
     fw->limits_hash = ack->limits.hash;
     const bool is_new =
         cap_shares_apply_reply(fw->limits, ack->quarantine.term, ack->limits.caps, ack->limits.caps_n, now);
     (void)cap_shares_apply_reply(fw->cold, ack->quarantine.term, ack->limits.cold, ack->limits.cold_n, now);
-    return is_new || has_urgent_news(fw);
+    return is_new || has_urgent_update(fw);
 }
 
 /* ===== This box's part ===== */
@@ -168,7 +168,7 @@
 }
 
 /** The leader has counted the request: the next one hears of it from this box. */
-static void note_sent(const forward_t *f, const instance_t *instance)
+static void record_sent(const forward_t *f, const instance_t *instance)
 {
     cap_t cap;
     const tc_time_t now = tc_time_now();
@@ -180,7 +180,7 @@
         cap_shares_record(f->owner->cold, &cold, now);
 }
 
-static bool take_part(forwarder_t *fw, cap_shares_t *parts, const instance_t *instance, double rate, tc_time_t *after)
+static bool take_from(forwarder_t *fw, cap_shares_t *parts, const instance_t *instance, double rate, tc_time_t *after)
 {
     cap_t cap;
     cap_decision_t verdict;
@@ -192,12 +192,12 @@
 }
 
 /** @param after when the box may send a request, ms, if it may not now */
-static bool take_own_part(const forward_t *f, const instance_t *instance, tc_time_t *after)
+static bool take_own_share(const forward_t *f, const instance_t *instance, tc_time_t *after)
 {
     forwarder_t *const fw = f->owner;
-    if (is_cold(f, instance) && !take_part(fw, fw->cold, instance, f->settings->cold_rate, after))
+    if (is_cold(f, instance) && !take_from(fw, fw->cold, instance, f->settings->cold_rate, after))
         return false;
-    if (instance->limit.is_set && !take_part(fw, fw->limits, instance, instance->limit.rate, after))
+    if (instance->limit.is_set && !take_from(fw, fw->limits, instance, instance->limit.rate, after))
         return false;
     counter_add(&c_own, 1);
     return true;
@@ -206,55 +206,55 @@
 /* ===== Deciding ===== */
 
 /** The back end gets none for a while: the request goes elsewhere. @param instance a reference, taken over */
-static void close_for(forward_t *f, instance_t *instance, tc_time_t after, const char *why)
+static void close_backend(forward_t *f, instance_t *instance, tc_time_t after, const char *why)
 {
     counter_add(&c_closed, 1);
     instance->limited_until = tc_time_now() + MAX(after, 1);
     forward_log(f, "limit_closed", why, 0, instance);
     if (f->hold.instance == instance)
         hold_release(f);
-    f->asked_again = false;
+    f->repeats_engine = false;
     instance_unref(instance);
-    forward_go_on(f);
+    forward_continue(f);
 }
 
 /** @param instance a reference, taken over */
-static void decide_alone(forward_t *f, dialect_op_t op, instance_t *instance)
+static void decide_locally(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     tc_time_t after;
-    if (take_own_part(f, instance, &after))
+    if (take_own_share(f, instance, &after))
         forward_send(f, op, instance);
     else
-        close_for(f, instance, after, "this box's part of its limit");
+        close_backend(f, instance, after, "this box's part of its limit");
 }
 
 static void on_answer(forward_t *f, int rc, uint32_t type, const void *message)
 {
-    instance_t *const instance = f->limit_asks.instance;
-    const dialect_op_t op = f->limit_asks.op;
-    f->limit_asks.instance = NULL;
+    instance_t *const instance = f->limit_wait.instance;
+    const dialect_op_t op = f->limit_wait.op;
+    f->limit_wait.instance = NULL;
     if (rc != TC_OK || type != MSG_TAKE_LIMIT_ACK) {
-        decide_alone(f, op, instance);
+        decide_locally(f, op, instance);
         return;
     }
     const msg_take_limit_ack_t *const ack = message;
     if (!ack->granted) {
-        close_for(f, instance, ack->after_ms, "the leader's count of all boxes");
+        close_backend(f, instance, ack->after_ms, "the leader's count of all boxes");
         return;
     }
-    note_sent(f, instance);
+    record_sent(f, instance);
     forward_send(f, op, instance);
 }
 
 static bool ask_leader(forward_t *f, dialect_op_t op, instance_t *instance)
 {
-    msg_take_limit_t message = {.limit = news_of(instance), .cold = is_cold(f, instance)};
+    msg_take_limit_t message = {.limit = update_of(instance), .cold = is_cold(f, instance)};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
-    f->limit_asks.instance = instance;
-    f->limit_asks.op = op;
-    if (f->owner->scheduler && leader_ask(f, &f->limit_asks.asking, MSG_TAKE_LIMIT, &message, ANSWER_MS, on_answer))
+    f->limit_wait.instance = instance;
+    f->limit_wait.op = op;
+    if (f->owner->scheduler && leader_query(f, &f->limit_wait.query, MSG_TAKE_LIMIT, &message, ANSWER_MS, on_answer))
         return true;
-    f->limit_asks.instance = NULL;
+    f->limit_wait.instance = NULL;
     return false;
 }
 
@@ -266,18 +266,18 @@
         return;
     }
     if (place_use_grant(f, op, instance)) {
-        note_sent(f, instance);
+        record_sent(f, instance);
         forward_send(f, op, instance);
         return;
     }
     if (!ask_leader(f, op, instance))
-        decide_alone(f, op, instance);
+        decide_locally(f, op, instance);
 }
 
-void limit_end(forward_t *f)
+void limit_cancel(forward_t *f)
 {
-    leader_ask_drop(&f->limit_asks.asking);
-    if (f->limit_asks.instance)
-        instance_unref(f->limit_asks.instance);
-    f->limit_asks.instance = NULL;
+    leader_query_drop(&f->limit_wait.query);
+    if (f->limit_wait.instance)
+        instance_unref(f->limit_wait.instance);
+    f->limit_wait.instance = NULL;
 }
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -14,19 +14,19 @@
 COUNTER_DEFINE(c_found, "counter", "trackcove_locate_found_total", "Those of which an engine kept most of the prompt")
 
 /** Of a prompt, an engine must keep so much for the stream to be sent there: it reads what is missing at half pace. */
-static const double KEPT_MIN = 0.5;
+static const double CACHED_SHARE_MIN = 0.5;
 
 /* ===== Ending ===== */
 
-void locate_end(forward_t *f)
+void locate_cancel(forward_t *f)
 {
-    while (f->locate.asks) {
-        engine_ask_t *const question = f->locate.asks;
-        f->locate.asks = question->next;
-        engine_ask_free(question);
+    while (f->locate.queries) {
+        engine_query_t *const query = f->locate.queries;
+        f->locate.queries = query->next;
+        engine_query_free(query);
     }
-    f->owner->locating -= f->locate.waiting;
-    f->locate.waiting = 0;
+    f->owner->locate_queries -= f->locate.pending;
+    f->locate.pending = 0;
     if (f->locate.instance)
         instance_unref(f->locate.instance);
     f->locate.instance = NULL;
@@ -35,9 +35,9 @@
 /* ===== Answers ===== */
 
 /** Keep what was found, if it is worth it. */
-static void settle(forward_t *f)
+static void finish(forward_t *f)
 {
-    const bool found = f->locate.instance && f->locate.tokens >= KEPT_MIN * f->facts.prompt_tokens;
+    const bool found = f->locate.instance && f->locate.tokens >= CACHED_SHARE_MIN * f->facts.prompt_tokens;
     counter_add(&c_looked, 1);
     counter_add(&c_found, found);
     forward_log(f, "located", found ? "an engine keeps the prompt" : "no engine keeps the prompt", 0,
@@ -48,7 +48,7 @@
     }
 }
 
-static void remember(instance_t *instance, GByteArray *answer)
+static void cache_answer(instance_t *instance, GByteArray *answer)
 {
     if (instance->prefix_report)
         g_byte_array_unref(instance->prefix_report);
@@ -57,7 +57,7 @@
 }
 
 /** Take the instance when it keeps more of the prompt than the best so far, by what it told last. */
-static void compare(forward_t *f, instance_t *instance)
+static void consider(forward_t *f, instance_t *instance)
 {
     const unsigned tokens = dialect_read_cached_tokens((const char *)instance->prefix_report->data,
                                                        instance->prefix_report->len, &f->facts);
@@ -71,66 +71,67 @@
 
 static void on_answer(void *arg, web_ask_end_t how)
 {
-    const engine_ask_t *const question = arg;
-    forward_t *const f = question->request;
-    if (how == WEB_ASK_WHOLE && question->ask.status == 200) {
-        remember(question->instance, question->ask.body);
-        compare(f, question->instance);
+    const engine_query_t *const query = arg;
+    forward_t *const f = query->request;
+    if (how == WEB_ASK_WHOLE && query->ask.status == 200) {
+        cache_answer(query->instance, query->ask.body);
+        consider(f, query->instance);
     }
-    assert(f->locate.waiting > 0 && f->owner->locating > 0); /* counted when it was asked */
-    f->owner->locating--;
-    if (--f->locate.waiting > 0)
+    assert(f->locate.pending > 0 && f->owner->locate_queries > 0); /* counted when it was asked */
+    f->owner->locate_queries--;
+    if (--f->locate.pending > 0)
         return; /* all answer, or are late */
-    settle(f);
-    forward_go_on(f);
+    finish(f);
+    forward_continue(f);
 }
 
 /* ===== Asking ===== */
 
-static void ask(void *arg, instance_t *instance)
+static void query_engine(void *arg, instance_t *instance)
 {
-    static const engine_ask_limits_t limits = {.connect_ms = LOCATE_MS, .answer_ms = LOCATE_MS};
+    static const engine_query_limits_t limits = {.connect_ms = LOCATE_TIMEOUT_MS, .answer_ms = LOCATE_TIMEOUT_MS};
     forward_t *const f = arg;
     if (instance->prefix_report && tc_time_now() - instance->prefix_report_at < LOCATE_FRESH_MS) {
-        compare(f, instance);
+        consider(f, instance);
         return;
     }
-    if (f->owner->locating >= LOCATE_MOST)
+    if (f->owner->locate_queries >= LOCATE_QUERIES_MAX)
         return;
     GByteArray *const request = dialect_write_cache_query(instance->listed.addr);
-    engine_ask_t *const question = engine_ask(f, instance_ref(instance), request, &limits, on_answer);
-    question->next = f->locate.asks;
-    f->locate.asks = question;
-    f->locate.waiting++;
-    f->owner->locating++;
+    engine_query_t *const query = engine_query(f, instance_ref(instance), request, &limits, on_answer);
+    query->next = f->locate.queries;
+    f->locate.queries = query;
+    f->locate.pending++;
+    f->owner->locate_queries++;
     counter_add(&c_asked, 1);
 }
 
-void locate_take(forward_t *f, instance_t *instance)
+void locate_set(forward_t *f, instance_t *instance)
 {
-    locate_end(f);
+    locate_cancel(f);
     f->locate.asked = true;
     f->locate.instance = instance_ref(instance);
 }
 
 /** Of a few engines all are asked, of more those behind the place where the scheduler begins its choice. Beyond them
  *  one that was placed by a box alone is found by luck. */
-static unsigned most_asked(const forward_t *f, const fleet_query_t *wish)
+static unsigned query_limit(const forward_t *f, const fleet_query_t *wish)
 {
-    return fleet_count(f->owner->fleet, wish) > LOCATE_LUCK * LOCATE_MOST ? LOCATE_NEAREST : LOCATE_MOST;
+    return fleet_count(f->owner->fleet, wish) > LOCATE_POOL_FACTOR * LOCATE_QUERIES_MAX ? LOCATE_NEAREST_MAX
+                                                                                        : LOCATE_QUERIES_MAX;
 }
 
-bool locate_ask(forward_t *f)
+bool locate_begin(forward_t *f)
 {
     if (!mechanism_is_on(MECHANISM_KEEPERS) || f->locate.asked || !f->facts.resume_after[0] || f->facts.parts_n == 0)
         return false;
-    if (forward_ends(f) > 0)
+    if (forward_backend_ends(f) > 0)
         return false; /* the engine that kept it has ended, and another is chosen with regard to who runs there */
     f->locate.asked = true;
     const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
-    fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, most_asked(f, &wish), ask, f);
-    if (f->locate.waiting > 0)
+    fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, query_limit(f, &wish), query_engine, f);
+    if (f->locate.pending > 0)
         return true;
-    settle(f);
+    finish(f);
     return false;
 }
--- a/lib/forward/forward_log.c
+++ b/lib/forward/forward_log.c
@@ -65,24 +65,24 @@
     log_end(&line);
 }
 
-void forward_log_run(const step_t *s, const char *why)
+void forward_log_run(const backend_call_t *call, const char *why)
 {
-    const forward_t *const f = s->request;
+    const forward_t *const f = call->request;
     log_line_t line;
     log_begin(&line, LOG_INFO, "run_ended");
     log_str(&line, "request", f->facts.id);
     log_str(&line, "why", why);
     log_int(&line, "run", f->stream_runs);
-    log_str(&line, "backend", s->instance->listed.id);
-    log_str(&line, "addr", s->instance->listed.addr);
-    log_str(&line, "after", s->run.after);
-    log_str(&line, "first", s->run.first ? s->run.first : "");
-    log_str(&line, "last", s->run.last ? s->run.last : "");
-    log_int(&line, "events", s->run.events);
-    log_int(&line, "bytes", (int64_t)s->run.bytes);
-    log_int(&line, "unfinished", s->run.partial->len);
+    log_str(&line, "backend", call->instance->listed.id);
+    log_str(&line, "addr", call->instance->listed.addr);
+    log_str(&line, "after", call->run.after);
+    log_str(&line, "first", call->run.first ? call->run.first : "");
+    log_str(&line, "last", call->run.last ? call->run.last : "");
+    log_int(&line, "events", call->run.events);
+    log_int(&line, "bytes", (int64_t)call->run.bytes);
+    log_int(&line, "unfinished", call->run.partial->len);
     log_int(&line, "unsent", (int64_t)web_unsent(f->exchange));
-    log_int(&line, "took_ms", tc_time_now() - s->began);
+    log_int(&line, "took_ms", tc_time_now() - call->began);
     log_end(&line);
 }
 
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -9,7 +9,7 @@
 COUNTER_DEFINE(c_leaving, "counter", "trackcove_forward_backend_leaving_total",
                "Back ends that said in their answers that they leave")
 
-void notice_hear(forwarder_t *fw, instance_t *instance, const web_head_t *head)
+void notice_apply(forwarder_t *fw, instance_t *instance, const web_head_t *head)
 {
     if (SABOTAGE_IS(SABOTAGE_NO_NOTICE))
         return;
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -15,87 +15,87 @@
 COUNTER_DEFINE(c_alone, "counter", "trackcove_place_alone_total", "Placements that this box made without an answer")
 
 /** Attempts that this box numbers by itself are below those of any scheduler. */
-enum { OWN_ATTEMPTS = 1000000 };
+enum { LOCAL_ATTEMPTS_MAX = 1000000 };
 /** A leader heard within this time is there: two reports, and the time of an answer. */
-enum { ALIVE_MS = 700 };
+enum { LEADER_ALIVE_MS = 700 };
 /** Callers give a stream up after the longest of this pause in ms, these multiples of the route's aim, and of the pause
  *  that it wants: as the users' platform tells of them. */
-enum { BORNE_MS = 2000, BORNE_AIMS = 4, BORNE_PAUSES = 8 };
+enum { GAP_LIMIT_MIN_MS = 2000, GAP_LIMIT_LATENCY_TARGETS = 4, GAP_LIMIT_GAP_TARGETS = 8 };
 /** Of that pause, what taking a stream up takes at the new engine: some 200 ms to read the prompt again, and as much
  * for the question and the first event of an engine with others. */
-enum { RESUME_MS = 400 };
+enum { RESUME_COST_MS = 400 };
 /** All engines are one cell. */
 static const char CELL[] = "main";
 
 /** Of what a request may generate, this share is taken for what it will when its caller makes no guess. */
-static const double USUAL_SHARE = 0.4;
+static const double DEFAULT_OUTPUT_SHARE = 0.4;
 /** Memory grows with every token: over its life a request holds about half of its output. Engines that run out put a
  *  request back, so the sum over an engine's requests counts, not the worst of each. */
-static const double MEAN_HELD = 0.5;
+static const double MEAN_HELD_SHARE = 0.5;
 
-uint32_t place_output(const dialect_request_t *facts)
+uint32_t place_output_tokens(const dialect_request_t *facts)
 {
     const double most = facts->output_tokens;
-    const double likely = facts->output_hint > 0 ? facts->output_hint : USUAL_SHARE * most;
-    return (uint32_t)(MEAN_HELD * (likely < most ? likely : most));
+    const double likely = facts->output_hint > 0 ? facts->output_hint : DEFAULT_OUTPUT_SHARE * most;
+    return (uint32_t)(MEAN_HELD_SHARE * (likely < most ? likely : most));
 }
 
 /* ===== Questions ===== */
 
 /** Place alone, and have it counted with a renewal. */
-static void place_alone(forward_t *f)
+static void place_locally(forward_t *f)
 {
     counter_add(&c_alone, 1);
-    f->placement.attempt = g_rand_int_range(f->owner->random, 1, OWN_ATTEMPTS);
-    f->placement.prefill[0] = f->placement.decode[0] = f->placement.own[0] = '\0';
+    f->placement.attempt = g_rand_int_range(f->owner->random, 1, LOCAL_ATTEMPTS_MAX);
+    f->placement.prefill[0] = f->placement.decode[0] = f->placement.local_decode[0] = '\0';
     f->placement.prefill_granted = f->placement.decode_granted = false;
 }
 
 static void renew_soon(forwarder_t *fw);
 
-void place_note(forward_t *f, const instance_t *decode)
+void place_record_decode(forward_t *f, const instance_t *decode)
 {
     if (!f->owner->scheduler || strcmp(f->placement.decode, decode->listed.id) == 0 ||
-        strcmp(f->placement.own, decode->listed.id) == 0)
+        strcmp(f->placement.local_decode, decode->listed.id) == 0)
         return;
-    place_tell(f, PHASE_FAILED, NULL); /* where it was counted before */
-    place_alone(f);
-    codec_copy_string(f->placement.own, sizeof(f->placement.own), decode->listed.id);
+    place_report(f, PHASE_FAILED, NULL); /* where it was counted before */
+    place_locally(f);
+    codec_copy_string(f->placement.local_decode, sizeof(f->placement.local_decode), decode->listed.id);
     renew_soon(f->owner);
 }
 
 /** No engine had room for a prompt that is read already, or for a request whose engine broke off: a place may be free
  * before the result lapses, or the caller gives up. */
-static bool try_on_soon(forward_t *f)
+static bool retry_placement_soon(forward_t *f)
 {
     if (!f->handle.instance && !f->begun && f->runs == 0)
         return false;
-    if (!forward_try_soon(f, f->handle.instance ? f->handle.until : place_until(f)))
+    if (!forward_retry_soon(f, f->handle.instance ? f->handle.until : place_wait_until(f)))
         return false;
-    place_alone(f);
+    place_locally(f);
     return true;
 }
 
-static void take_placed(forward_t *f, const msg_placed_t *placed)
+static void handle_placed(forward_t *f, const msg_placed_t *placed)
 {
     if (placed->held) {
         const tc_time_t now = tc_time_now();
         quarantine_hold(f->owner->quarantine, f->fingerprint, now, now);
-        forward_fail_held(f);
+        forward_fail_quarantined(f);
         return;
     }
     if (placed->over_cap) {
         cap_refuse(f, placed->retry_after_ms);
         return;
     }
-    if (!placed->granted && try_on_soon(f))
+    if (!placed->granted && retry_placement_soon(f))
         return;
     if (!placed->granted) {
         counter_add(&c_refused, 1);
         forward_fail_full(f, REASON_REFUSED);
         return;
     }
-    cap_was_let_in(f);
+    cap_record_granted(f);
     counter_add(&c_granted, 1);
     histogram_add(&h_place, tc_time_now() - f->request.arrived);
     f->placement.attempt = placed->attempt;
@@ -105,23 +105,23 @@
     if (placed->prefill[0])
         codec_copy_string(f->placement.prefill, sizeof(f->placement.prefill), placed->prefill);
     codec_copy_string(f->placement.decode, sizeof(f->placement.decode), placed->decode);
-    forward_go_on(f);
+    forward_continue(f);
 }
 
 /** Whether the scheduler answers others: a question without an answer waits there for room. */
-static bool is_alive(const forwarder_t *fw)
+static bool leader_is_alive(const forwarder_t *fw)
 {
-    return tc_time_now() - reporter_leader_contact_time(fw->scheduler) < ALIVE_MS;
+    return tc_time_now() - reporter_leader_contact_time(fw->scheduler) < LEADER_ALIVE_MS;
 }
 
-static bool ask_placement(forward_t *f);
+static bool query_placement(forward_t *f);
 
 /** The scheduler is there and has no room yet: ask on while that is of use. */
-static void wait_on(forward_t *f)
+static void wait_for_room(forward_t *f)
 {
-    if (!f->handle.instance && tc_time_now() < place_until(f) && ask_placement(f))
+    if (!f->handle.instance && tc_time_now() < place_wait_until(f) && query_placement(f))
         return;
-    place_tell(f, PHASE_FAILED, NULL);
+    place_report(f, PHASE_FAILED, NULL);
     counter_add(&c_refused, 1);
     forward_fail_full(f, REASON_NOT_IN_TIME); /* a guess of ours would find none either */
 }
@@ -129,23 +129,23 @@
 static void on_placed(forward_t *f, int rc, uint32_t type, const void *message)
 {
     if (rc == TC_OK && type == MSG_PLACED) {
-        take_placed(f, message);
+        handle_placed(f, message);
         return;
     }
-    if (rc == TC_E_TIMEOUT && is_alive(f->owner)) {
-        wait_on(f);
+    if (rc == TC_E_TIMEOUT && leader_is_alive(f->owner)) {
+        wait_for_room(f);
         return;
     }
     if (rc == TC_E_TIMEOUT)
-        place_tell(f, PHASE_FAILED, NULL); /* it may still wait there */
+        place_report(f, PHASE_FAILED, NULL); /* it may still wait there */
     forward_log(f, "place_alone", "no answer of the scheduler", 0, NULL);
-    place_alone(f);
-    forward_go_on(f);
+    place_locally(f);
+    forward_continue(f);
 }
 
-static bool ask(forward_t *f, uint32_t type, const void *message)
+static bool query(forward_t *f, uint32_t type, const void *message)
 {
-    return leader_ask(f, &f->placement.asking, type, message, PLACE_LIMIT_MS, on_placed);
+    return leader_query(f, &f->placement.query, type, message, PLACE_TIMEOUT_MS, on_placed);
 }
 
 /** Whose the request is, and what it is by the workspace's usage cap: the leader lets it in with its placement. */
@@ -156,24 +156,24 @@
     if (mechanism_is_on(MECHANISM_WORKSPACE_SHARE))
         codec_copy_string(place->workspace, sizeof(place->workspace), f->workspace->name);
     codec_copy_string(place->cap, sizeof(place->cap), f->workspace->name);
-    place->cap_units = f->let_in || !mechanism_is_on(MECHANISM_CAP_LEADER) ? 0 : cap_units(f);
+    place->cap_units = f->cap_granted || !mechanism_is_on(MECHANISM_CAP_LEADER) ? 0 : cap_units(f);
 }
 
 /** Asking again with the same id keeps the request's place: the queue is in order of due times. */
-static bool ask_placement(forward_t *f)
+static bool query_placement(forward_t *f)
 {
     forwarder_t *const fw = f->owner;
     const tc_time_t now = tc_time_now();
     const tc_time_t wait = f->request.arrived + f->route->latency_target - now;
     msg_place_t place = {.prompt_tokens = f->facts.prompt_tokens,
-                         .max_tokens = place_output(&f->facts),
+                         .max_tokens = place_output_tokens(&f->facts),
                          .priority = f->priority,
                          .wait_ms = wait > 1 ? (uint32_t)wait : 1,
                          .waited_ms = (uint32_t)(now - f->request.arrived),
                          .repeatable = route_is_repeatable(f->route),
                          .fingerprint = f->fingerprint,
-                         .ends = forward_ends(f),
-                         .again = f->placement.questions++ > 0};
+                         .ends = forward_backend_ends(f),
+                         .again = f->placement.queries++ > 0};
     codec_copy_string(place.cell, sizeof(place.cell), CELL);
     codec_copy_string(place.id, sizeof(place.id), f->facts.id);
     codec_copy_string(place.box, sizeof(place.box), fw->options.box);
@@ -181,56 +181,57 @@
     if (mechanism_is_on(MECHANISM_NEARNESS))
         codec_copy_string(place.dc, sizeof(place.dc), fw->options.dc);
     place_fill_workspace(f, &place);
-    return ask(f, MSG_PLACE, &place);
+    return query(f, MSG_PLACE, &place);
 }
 
 /** How long a caller bears a pause of a stream: it gives up after the longest of these. */
-static tc_time_t borne_pause(const route_t *route)
+static tc_time_t caller_gap_limit(const route_t *route)
 {
-    const tc_time_t by_aims = MAX(BORNE_AIMS * route->latency_target, BORNE_PAUSES * route->gap_target);
-    return MAX((tc_time_t)BORNE_MS, by_aims);
+    const tc_time_t by_aims =
+        MAX(GAP_LIMIT_LATENCY_TARGETS * route->latency_target, GAP_LIMIT_GAP_TARGETS * route->gap_target);
+    return MAX((tc_time_t)GAP_LIMIT_MIN_MS, by_aims);
 }
 
-tc_time_t place_until(const forward_t *f)
+tc_time_t place_wait_until(const forward_t *f)
 {
     if (f->event_at >
         0) /* its caller holds a part of the answer: it is cut off only when nobody waits for the rest any more */
-        return f->event_at + borne_pause(f->route) - RESUME_MS;
-    return f->request.arrived + (tc_time_t)(PLACE_WAIT_AIMS * (double)f->route->latency_target);
+        return f->event_at + caller_gap_limit(f->route) - RESUME_COST_MS;
+    return f->request.arrived + (tc_time_t)(PLACE_WAIT_TARGETS * (double)f->route->latency_target);
 }
 
-bool place_ask(forward_t *f)
+bool place_request(forward_t *f)
 {
     if (f->placement.asked)
         return false;
     f->placement.asked = true;
     if (f->placement.attempt > 0)
-        place_tell(f, PHASE_FAILED, NULL); /* the engine that this box chose did not take it */
+        place_report(f, PHASE_FAILED, NULL); /* the engine that this box chose did not take it */
     f->placement.attempt = 0;
     if (!f->owner->scheduler || !f->facts.id[0] || !mechanism_is_on(MECHANISM_SCHEDULER))
         return false;
-    if (ask_placement(f))
+    if (query_placement(f))
         return true;
-    place_alone(f);
+    place_locally(f);
     return false;
 }
 
-bool place_ask_again(forward_t *f, const char *bad, trouble_t trouble)
+bool place_replan(forward_t *f, const char *bad, trouble_t trouble)
 {
     if (!f->placement.decode[0])
         return false; /* the scheduler did not choose: it can't choose anew */
-    msg_replan_t replan = {.attempt = f->placement.attempt, .trouble = trouble, .ends = forward_ends(f)};
+    msg_replan_t replan = {.attempt = f->placement.attempt, .trouble = trouble, .ends = forward_backend_ends(f)};
     codec_copy_string(replan.cell, sizeof(replan.cell), CELL);
     codec_copy_string(replan.id, sizeof(replan.id), f->facts.id);
     codec_copy_string(replan.bad, sizeof(replan.bad), bad);
     f->placement.decode[0] = '\0';
-    if (ask(f, MSG_REPLAN, &replan))
+    if (query(f, MSG_REPLAN, &replan))
         return true;
-    place_alone(f);
+    place_locally(f);
     return false;
 }
 
-bool place_is_alone(const forward_t *f)
+bool place_is_local(const forward_t *f)
 {
     return !f->placement.decode[0];
 }
@@ -252,7 +253,7 @@
     return true;
 }
 
-instance_t *place_chosen(const forward_t *f, stage_t stage)
+instance_t *place_chosen_engine(const forward_t *f, stage_t stage)
 {
     const char *const id = stage == STAGE_PREFILL ? f->placement.prefill : f->placement.decode;
     const GPtrArray *const tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried;
@@ -268,7 +269,7 @@
 
 bool place_is_solo(const forward_t *f)
 {
-    instance_t *const chosen = f->placement.local_prefill ? place_chosen(f, STAGE_DECODE) : NULL;
+    instance_t *const chosen = f->placement.local_prefill ? place_chosen_engine(f, STAGE_DECODE) : NULL;
     if (!chosen)
         return false;
     instance_unref(chosen);
@@ -277,7 +278,7 @@
 
 /* ===== Telling ===== */
 
-void place_tell(forward_t *f, phase_t phase, const instance_t *bad)
+void place_report(forward_t *f, phase_t phase, const instance_t *bad)
 {
     forwarder_t *const fw = f->owner;
     if (!fw->scheduler || (!f->placement.asked && f->placement.attempt == 0))
@@ -294,18 +295,18 @@
     reporter_notify_leader(fw->scheduler, MSG_PROGRESS, &progress);
 }
 
-void place_end(forward_t *f)
+void place_finish(forward_t *f)
 {
-    leader_ask_drop(&f->placement.asking);
+    leader_query_drop(&f->placement.query);
     if (f->split)
-        place_tell(f, f->events > 0 ? PHASE_FINISHED : PHASE_FAILED, NULL);
+        place_report(f, f->events > 0 ? PHASE_FINISHED : PHASE_FAILED, NULL);
 }
 
 /* ===== Renewing ===== */
 
 static bool is_counted(const forward_t *f)
 {
-    return f->split && f->placement.attempt > 0 && !f->placement.asking;
+    return f->split && f->placement.attempt > 0 && !f->placement.query;
 }
 
 static phase_t phase_of(const forward_t *f)
@@ -321,10 +322,10 @@
     held->attempt = f->placement.attempt;
     held->phase = phase_of(f);
     held->prompt_tokens = f->facts.prompt_tokens;
-    held->max_tokens = place_output(&f->facts);
+    held->max_tokens = place_output_tokens(&f->facts);
     held->pieces = sched_pieces_of(SCHED_SMALL_PIECE_TOKENS, held->prompt_tokens, held->max_tokens);
     codec_copy_string(held->prefill, sizeof(held->prefill), f->placement.prefill);
-    const char *const own = f->hold.instance ? f->hold.instance->listed.id : f->placement.own;
+    const char *const own = f->hold.instance ? f->hold.instance->listed.id : f->placement.local_decode;
     codec_copy_string(held->decode, sizeof(held->decode), f->placement.decode[0] ? f->placement.decode : own);
 }
 
@@ -364,9 +365,9 @@
         if (listed)
             fill_held(f, &renew.held[renew.held_n++]);
     }
-    if (renew.count > 0 || fw->renewed_any || listed)
+    if (renew.count > 0 || fw->has_counted || listed)
         (void)reporter_call_leader(fw->scheduler, MSG_RENEW, &renew, RENEW_MS, on_renewed, fw);
-    fw->renewed_any = renew.count > 0;
+    fw->has_counted = renew.count > 0;
     free(renew.held);
 }
 
@@ -386,7 +387,7 @@
     loop_arm(fw->loop, &fw->renewal, tc_time_now() + RENEW_SOON_MS, on_renewal, fw);
 }
 
-void place_start(forwarder_t *fw)
+void place_start_renewal(forwarder_t *fw)
 {
     on_renewal(fw);
 }
--- /dev/null
+++ b/lib/forward/forward_probe.c
@@ -0,0 +1,170 @@
+/* Whether a back end whose answer was lost has ended, or only a connection to it: it is looked at once for all requests
+ * that lost their answers there, and those that can go on wait for what is found. */
+
+#include <string.h>
+
+#include "common/counter.h"
+#include "common/log.h"
+#include "forward/forward_internal.h"
+
+COUNTER_DEFINE(c_ended, "counter", "trackcove_forward_backends_ended_total",
+               "Back ends found to have ended while they ran requests of this box")
+
+/* ===== Constants ===== */
+
+enum {
+    PROBE_DELAY_MS = 5, /* before a look: a process that ends closes its sockets one after the other, the one it listens
+                          at among them */
+    PROBE_INTERVAL_MS = 20, /* between looks while calls of this box are on their way there */
+    PROBE_LIMIT_MS = 300    /* in all: calls that find nobody fail by then, see CONNECT_MS */
+};
+
+/* ===== Types ===== */
+
+struct probe {
+    struct cds_list_head node; /* among the forwarder's */
+    forwarder_t *owner;
+    instance_t *instance; /* a reference */
+    loop_timer_t timer;
+    web_probe_t web;
+    tc_time_t lost_at;            /* the first answer was */
+    GArray *lost;                 /* uint64_t: fingerprints of the requests whose answers were */
+    struct cds_list_head waiters; /* look_wait_t */
+};
+
+/* ===== Ends of looks ===== */
+
+static void probe_free(probe_t *probe)
+{
+    loop_disarm(&probe->timer);
+    web_probe_cancel(&probe->web);
+    cds_list_del(&probe->node);
+    instance_unref(probe->instance);
+    g_array_free(probe->lost, TRUE);
+    g_free(probe);
+}
+
+static void log_probe(const probe_t *probe, web_probe_end_t found, bool ended)
+{
+    static const char *const names[] = {"open", "refused", "silent"};
+    log_line_t line;
+    log_begin(&line, LOG_INFO, "backend_looked");
+    log_str(&line, "backend", probe->instance->listed.id);
+    log_str(&line, "addr", probe->instance->listed.addr);
+    log_str(&line, "found", names[found]);
+    log_int(&line, "ended", ended);
+    log_int(&line, "lost", probe->lost->len);
+    log_int(&line, "running", probe->instance->running);
+    log_end(&line);
+}
+
+/** The end counts against all that ran there, and others are to know. */
+static void record_end(const probe_t *probe)
+{
+    forwarder_t *const fw = probe->owner;
+    const tc_time_t now = tc_time_now();
+    counter_add(&c_ended, 1);
+    for (guint i = 0; i < probe->lost->len; i++)
+        (void)quarantine_add_crash(fw->quarantine, g_array_index(probe->lost, uint64_t, i), probe->instance->listed.id,
+                                 probe->lost_at, now);
+    if (fw->scheduler)
+        reporter_report_now(fw->scheduler);
+}
+
+/** Those that waited go on. What they do may end them, and others. */
+static void resume_waiters(probe_t *probe, bool ended)
+{
+    while (!cds_list_empty(&probe->waiters)) {
+        probe_wait_t *const wait = cds_list_first_entry(&probe->waiters, probe_wait_t, node);
+        forward_t *const f = wait->request;
+        probe_leave(f);
+        call_resume_probed(f, probe->instance, ended);
+    }
+}
+
+static void on_probe_due(void *arg);
+
+/** Whether to look once more: a call that was on its way there when the back end ended counts as running until it has
+ *  found nobody. */
+static bool is_undecided(const probe_t *probe, web_probe_end_t found, tc_time_t now)
+{
+    return found == WEB_PROBE_REFUSED && probe->instance->running > 0 && now - probe->lost_at < PROBE_LIMIT_MS;
+}
+
+/** Nobody listens there, and nothing of this box runs there any more: it has ended. A busy back end may refuse a
+ *  connection as well, but goes on with what it runs. */
+static void on_probed(void *arg, web_probe_end_t found)
+{
+    probe_t *const probe = arg;
+    const tc_time_t now = tc_time_now();
+    if (is_undecided(probe, found, now)) {
+        loop_arm(probe->owner->loop, &probe->timer, now + PROBE_INTERVAL_MS, on_probe_due, probe);
+        return;
+    }
+    const bool ended = found == WEB_PROBE_REFUSED && probe->instance->running == 0;
+    log_probe(probe, found, ended);
+    if (ended)
+        record_end(probe);
+    resume_waiters(probe, ended);
+    probe_free(probe);
+}
+
+static void on_probe_due(void *arg)
+{
+    probe_t *const probe = arg;
+    web_probe(&probe->web, probe->owner->loop, probe->instance->listed.addr, CONNECT_TIMEOUT_MS, on_probed, probe);
+}
+
+/* ===== Begin ===== */
+
+static probe_t *probe_find(const forwarder_t *fw, const instance_t *instance)
+{
+    probe_t *probe;
+    cds_list_for_each_entry(probe, &fw->probes, node)
+        if (probe->instance == instance)
+            return probe;
+    return NULL;
+}
+
+static probe_t *probe_create(forwarder_t *fw, instance_t *instance)
+{
+    probe_t *const probe = g_new0(probe_t, 1);
+    probe->owner = fw;
+    probe->instance = instance_ref(instance);
+    probe->lost_at = tc_time_now();
+    probe->lost = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    CDS_INIT_LIST_HEAD(&probe->waiters);
+    cds_list_add(&probe->node, &fw->probes);
+    loop_arm(fw->loop, &probe->timer, probe->lost_at + PROBE_DELAY_MS, on_probe_due, probe);
+    return probe;
+}
+
+probe_t *probe_begin(forward_t *f, instance_t *instance)
+{
+    probe_t *probe = probe_find(f->owner, instance);
+    if (!probe)
+        probe = probe_create(f->owner, instance);
+    g_array_append_val(probe->lost, f->fingerprint);
+    return probe;
+}
+
+void probe_wait(forward_t *f, probe_t *probe, dialect_op_t op, const char *why)
+{
+    f->probe_waiter = (probe_wait_t){.request = f, .probe = probe, .op = op, .why = why};
+    cds_list_add_tail(&f->probe_waiter.node, &probe->waiters);
+}
+
+void probe_leave(forward_t *f)
+{
+    if (!f->probe_waiter.probe)
+        return;
+    cds_list_del(&f->probe_waiter.node);
+    f->probe_waiter.probe = NULL;
+}
+
+void probes_destroy(forwarder_t *fw)
+{
+    probe_t *probe, *next;
+    cds_list_for_each_entry_safe(probe, next, &fw->probes, node)
+        probe_free(probe);
+}
--- a/lib/forward/forward_ask.c
+++ b/lib/forward/forward_query.c
@@ -7,42 +7,42 @@
 /* ===== To the leader ===== */
 
 /** A question under way. The transport can't take it back, so it outlives its request when the caller leaves. */
-struct leader_ask {
+struct leader_query {
     forward_t *request; /* NULL once it has ended */
-    leader_ask_t **slot;
-    leader_answer_t fn;
+    leader_query_t **slot;
+    leader_answer_fn_t fn;
 };
 
 static void on_leader_answer(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    leader_ask_t *const ask = arg;
-    forward_t *const f = ask->request;
-    const leader_answer_t fn = ask->fn;
+    leader_query_t *const query = arg;
+    forward_t *const f = query->request;
+    const leader_answer_fn_t fn = query->fn;
     (void)err; /* what counts is that there is no answer */
     if (f)
-        *ask->slot = NULL;
-    g_free(ask);
+        *query->slot = NULL;
+    g_free(query);
     if (f)
         fn(f, rc, type, message);
 }
 
-bool leader_ask(forward_t *f, leader_ask_t **slot, uint32_t type, const void *message, tc_time_t limit,
-                leader_answer_t fn)
+bool leader_query(forward_t *f, leader_query_t **slot, uint32_t type, const void *message, tc_time_t limit,
+                  leader_answer_fn_t fn)
 {
     assert(!*slot); /* one at a time: an answer to an older question would pass for the newer one's */
-    leader_ask_t *const ask = g_new0(leader_ask_t, 1);
-    ask->request = f;
-    ask->slot = slot;
-    ask->fn = fn;
-    *slot = ask;
-    if (reporter_call_leader(f->owner->scheduler, type, message, limit, on_leader_answer, ask))
+    leader_query_t *const query = g_new0(leader_query_t, 1);
+    query->request = f;
+    query->slot = slot;
+    query->fn = fn;
+    *slot = query;
+    if (reporter_call_leader(f->owner->scheduler, type, message, limit, on_leader_answer, query))
         return true;
     *slot = NULL;
-    g_free(ask);
+    g_free(query);
     return false;
 }
 
-void leader_ask_drop(leader_ask_t **slot)
+void leader_query_drop(leader_query_t **slot)
 {
     if (*slot)
         (*slot)->request = NULL;
@@ -53,15 +53,15 @@
 
 static void on_engine_head(void *arg, const web_head_t *head)
 {
-    const engine_ask_t *const e = arg;
-    notice_hear(e->request->owner, e->instance, head);
+    const engine_query_t *const e = arg;
+    notice_apply(e->request->owner, e->instance, head);
 }
 
-engine_ask_t *engine_ask(forward_t *f, instance_t *instance, GByteArray *request, const engine_ask_limits_t *limits,
-                         web_ask_fn_t fn)
+engine_query_t *engine_query(forward_t *f, instance_t *instance, GByteArray *request,
+                             const engine_query_limits_t *limits, web_ask_fn_t fn)
 {
     assert(instance_accepts_work(instance, tc_time_now())); /* promise: as of requests */
-    engine_ask_t *const e = g_new0(engine_ask_t, 1);
+    engine_query_t *const e = g_new0(engine_query_t, 1);
     e->request = f;
     e->instance = instance;
     e->ask.body = g_byte_array_new();
@@ -76,7 +76,7 @@
     return e;
 }
 
-void engine_ask_free(engine_ask_t *e)
+void engine_query_free(engine_query_t *e)
 {
     web_ask_cancel(&e->ask);
     instance_unref(e->instance);
@@ -91,19 +91,19 @@
     struct cds_list_head node;
     forwarder_t *owner;
     instance_t *instance; /* a reference */
-} upkeep_t;
+} cleanup_t;
 
-static void upkeep_free(upkeep_t *u)
+static void cleanup_free(cleanup_t *u)
 {
     cds_list_del(&u->node);
     instance_unref(u->instance);
     g_free(u);
 }
 
-static web_verdict_t on_upkeep_head(void *arg, const web_head_t *head)
+static web_verdict_t on_cleanup_head(void *arg, const web_head_t *head)
 {
-    const upkeep_t *const u = arg;
-    notice_hear(u->owner, u->instance, head);
+    const cleanup_t *const u = arg;
+    notice_apply(u->owner, u->instance, head);
     return WEB_TAKE;
 }
 
@@ -112,29 +112,29 @@
     (void)arg, (void)data, (void)size;
 }
 
-static void on_upkeep_end(void *arg, web_end_t how)
+static void on_cleanup_end(void *arg, web_end_t how)
 {
     (void)how; /* what an engine keeps for us it drops by itself soon after */
-    upkeep_free(arg);
+    cleanup_free(arg);
 }
 
-void upkeep_call(forwarder_t *fw, instance_t *instance, GByteArray *request)
+void cleanup_call(forwarder_t *fw, instance_t *instance, GByteArray *request)
 {
     if (!instance_accepts_maintenance(instance, tc_time_now())) {
         g_byte_array_unref(request); /* an engine drops by itself what nobody takes */
         return;
     }
-    upkeep_t *const u = g_new0(upkeep_t, 1);
+    cleanup_t *const u = g_new0(cleanup_t, 1);
     u->owner = fw;
     u->instance = instance_ref(instance);
-    cds_list_add(&u->node, &fw->upkeeps);
-    const web_sink_t sink = {.on_head = on_upkeep_head, .on_data = ignore_data, .on_end = on_upkeep_end, .arg = u};
-    (void)web_call(fw->client, instance->listed.addr, request, true, CONNECT_MS, &sink);
+    cds_list_add(&u->node, &fw->cleanups);
+    const web_sink_t sink = {.on_head = on_cleanup_head, .on_data = ignore_data, .on_end = on_cleanup_end, .arg = u};
+    (void)web_call(fw->client, instance->listed.addr, request, true, CONNECT_TIMEOUT_MS, &sink);
 }
 
-void upkeeps_end(forwarder_t *fw)
+void cleanups_destroy(forwarder_t *fw)
 {
-    upkeep_t *u, *next;
-    cds_list_for_each_entry_safe(u, next, &fw->upkeeps, node)
-        upkeep_free(u);
+    cleanup_t *u, *next;
+    cds_list_for_each_entry_safe(u, next, &fw->cleanups, node)
+        cleanup_free(u);
 }
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -16,14 +16,14 @@
 /* ===== This box's part ===== */
 
 /** Whether the leader hands out a part of the service's budget: of those whose requests the scheduler places. */
-static bool shares_with_leader(const forward_t *f)
+static bool leader_shares_budget(const forward_t *f)
 {
     return f->split && f->owner->scheduler && mechanism_is_on(MECHANISM_RETRY_LENDING);
 }
 
 static retry_rules_t rules_of(const forward_t *f)
 {
-    return retry_rules_part(&f->owner->options.retries, shares_with_leader(f) ? RETRY_BOXES_PART : 1);
+    return retry_rules_part(&f->owner->options.retries, leader_shares_budget(f) ? RETRY_BOXES_PART : 1);
 }
 
 void retry_earn(forward_t *f)
@@ -46,23 +46,23 @@
 
 /* ===== Arrivals of a request ===== */
 
-void retry_note(forward_t *f, dialect_op_t op, arrival_t how)
+void retry_record_arrival(forward_t *f, dialect_op_t op, arrival_t how)
 {
-    const bool first_prefill = op == DIALECT_PREFILL && how == ARRIVAL_TAKEN && !f->retry.read;
-    f->retry.read = f->retry.read || first_prefill;
+    const bool first_prefill = op == DIALECT_PREFILL && how == ARRIVAL_TAKEN && !f->retry.prefilled;
+    f->retry.prefilled = f->retry.prefilled || first_prefill;
     if (how != ARRIVAL_NONE && !first_prefill)
         f->retry.counted++;
 }
 
-bool retry_owes(const forward_t *f, dialect_op_t op)
+bool retry_is_unpaid(const forward_t *f, dialect_op_t op)
 {
-    const unsigned before = f->retry.counted + (op == DIALECT_PREFILL && f->retry.read);
+    const unsigned before = f->retry.counted + (op == DIALECT_PREFILL && f->retry.prefilled);
     return before > f->retry.paid; /* the first is free, so those before it are what must be paid */
 }
 
 /* ===== The leader's part ===== */
 
-static void give_up(forward_t *f)
+static void fail_used_up(forward_t *f)
 {
     forward_fail(f, "retry budget is used up");
 }
@@ -70,7 +70,7 @@
 static void deny(forward_t *f)
 {
     counter_add(&c_denied, 1);
-    f->retry.denied(f);
+    f->retry.on_denied(f);
 }
 
 /** No answer is no. */
@@ -82,7 +82,7 @@
     }
     counter_add(&c_lent, 1);
     f->retry.paid++;
-    f->retry.then(f);
+    f->retry.on_granted(f);
 }
 
 static bool ask_leader(forward_t *f)
@@ -90,27 +90,27 @@
     msg_retry_t message = {0};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
     codec_copy_string(message.service, sizeof(message.service), f->service);
-    return leader_ask(f, &f->retry.asking, MSG_RETRY, &message, ANSWER_MS, on_answer);
+    return leader_query(f, &f->retry.query, MSG_RETRY, &message, ANSWER_MS, on_answer);
 }
 
-void retry_ask(forward_t *f, void (*then)(forward_t *f), void (*denied)(forward_t *f))
+void retry_request(forward_t *f, void (*on_granted)(forward_t *f), void (*on_denied)(forward_t *f))
 {
     if (retry_spend(f)) {
-        then(f);
+        on_granted(f);
         return;
     }
-    f->retry.then = then;
-    f->retry.denied = denied;
-    if (!shares_with_leader(f) || !ask_leader(f))
+    f->retry.on_granted = on_granted;
+    f->retry.on_denied = on_denied;
+    if (!leader_shares_budget(f) || !ask_leader(f))
         deny(f);
 }
 
-void retry_then(forward_t *f, void (*then)(forward_t *f))
+void retry_or_fail(forward_t *f, void (*on_granted)(forward_t *f))
 {
-    retry_ask(f, then, give_up);
+    retry_request(f, on_granted, fail_used_up);
 }
 
-void retry_end(forward_t *f)
+void retry_cancel(forward_t *f)
 {
-    leader_ask_drop(&f->retry.asking);
+    leader_query_drop(&f->retry.query);
 }
--- a/lib/forward/forward_stop.c
+++ b/lib/forward/forward_stop.c
@@ -18,14 +18,14 @@
     return f->split ? f->facts.output_tokens : 0;
 }
 
-void stop_learn(const forward_t *f)
+void stop_record(const forward_t *f)
 {
     service_time_record(service_time_of(f), tc_time_now() - f->request.arrived, output_of(f), f->events);
 }
 
 bool stop_allows(const forward_t *f)
 {
-    const tc_time_t end = f->owner->stop_end;
+    const tc_time_t end = f->owner->stop_deadline;
     if (!end || f->deadline <= end)
         return true;
     const tc_time_t takes = service_time_estimate(service_time_of(f), output_of(f));
@@ -34,6 +34,6 @@
 
 void forwarder_stop(forwarder_t *fw, tc_time_t last, tc_time_t end)
 {
-    fw->stop_last = last;
-    fw->stop_end = end;
+    fw->stop_begin_until = last;
+    fw->stop_deadline = end;
 }
--- a/lib/forward/forward_stream.c
+++ b/lib/forward/forward_stream.c
@@ -75,7 +75,7 @@
 }
 
 /** Whether an event may stand behind another: ids rise. Of ids that are no whole numbers only the same one is known. */
-static bool stands_behind(const char *id, const char *after)
+static bool is_later_id(const char *id, const char *after)
 {
     if (!is_number(id) || !is_number(after))
         return strcmp(id, after) != 0;
@@ -90,69 +90,69 @@
 /** Bytes that silent runs left of an event, by their request. */
 static GHashTable *left_over;
 
-static void keep_left_over(const step_t *s)
+static void keep_left_over(const backend_call_t *call)
 {
     if (!left_over)
         left_over = g_hash_table_new(NULL, NULL);
-    if (s->given_up)
-        g_hash_table_insert(left_over, s->request, g_byte_array_ref(s->run.partial));
+    if (call->given_up)
+        g_hash_table_insert(left_over, call->request, g_byte_array_ref(call->run.partial));
 }
 
-static void add_left_over(step_t *s)
+static void add_left_over(backend_call_t *call)
 {
-    GByteArray *const bytes = left_over ? g_hash_table_lookup(left_over, s->request) : NULL;
+    GByteArray *const bytes = left_over ? g_hash_table_lookup(left_over, call->request) : NULL;
     if (!bytes)
         return;
-    g_hash_table_remove(left_over, s->request);
-    if (s->request->stream_runs > 0) /* else they are of another request, which stood there before */
-        g_byte_array_append(s->run.partial, bytes->data, bytes->len);
+    g_hash_table_remove(left_over, call->request);
+    if (call->request->stream_runs > 0) /* else they are of another request, which stood there before */
+        g_byte_array_append(call->run.partial, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
 }
 
 /* ===== Runs ===== */
 
-void stream_begin(step_t *s)
+void stream_begin(backend_call_t *call)
 {
-    forward_t *const f = s->request;
-    s->run.partial = g_byte_array_new();
+    forward_t *const f = call->request;
+    call->run.partial = g_byte_array_new();
     if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
-        add_left_over(s);
-    s->run.after = g_strdup(f->last_event);
+        add_left_over(call);
+    call->run.after = g_strdup(f->last_event);
     f->stream_runs++;
 }
 
-bool stream_has_begun(const step_t *s)
+bool stream_has_begun(const backend_call_t *call)
 {
-    return s->run.partial != NULL;
+    return call->run.partial != NULL;
 }
 
-bool stream_is_whole(const step_t *s)
+bool stream_at_boundary(const backend_call_t *call)
 {
-    return s->run.partial->len == 0;
+    return call->run.partial->len == 0;
 }
 
-void stream_end(step_t *s, const char *why)
+void stream_end(backend_call_t *call, const char *why)
 {
-    if (!stream_has_begun(s))
+    if (!stream_has_begun(call))
         return;
-    forward_log_run(s, why);
-    counter_add(&c_unfinished, !stream_is_whole(s));
+    forward_log_run(call, why);
+    counter_add(&c_unfinished, !stream_at_boundary(call));
     if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
-        keep_left_over(s);
-    g_byte_array_unref(s->run.partial);
-    g_free(s->run.after);
-    g_free(s->run.first);
-    g_free(s->run.last);
-    s->run = (stream_run_t){0};
+        keep_left_over(call);
+    g_byte_array_unref(call->run.partial);
+    g_free(call->run.after);
+    g_free(call->run.first);
+    g_free(call->run.last);
+    call->run = (stream_run_t){0};
 }
 
 /* ===== Passing on ===== */
 
 /** The event that is passed on has an id, which is taken over. */
-static void note_id(step_t *s, char *id)
+static void record_id(backend_call_t *call, char *id)
 {
-    forward_t *const f = s->request;
-    stream_run_t *const run = &s->run;
+    forward_t *const f = call->request;
+    stream_run_t *const run = &call->run;
     if (!run->first)
         run->first = g_strdup(id);
     g_free(run->last);
@@ -164,20 +164,20 @@
 /** A whole event has come. @return whether the caller is to get it: a run that begins anew, in spite of the event that
  *  it was asked to go on behind, may word the same answer in another way and divide it into other events, so that
  *  what of it the caller has not got yet can't be told. */
-static bool take_event(step_t *s, const char *event, size_t size)
+static bool accept_event(backend_call_t *call, const char *event, size_t size)
 {
-    forward_t *const f = s->request;
-    stream_run_t *const run = &s->run;
+    forward_t *const f = call->request;
+    stream_run_t *const run = &call->run;
     if (empty_line(event, size) > 0)
         return true;
     char *const id = read_id(event, size);
-    if (id && run->after[0] && route_is_repeatable(f->route) && !stands_behind(id, run->after)) {
+    if (id && run->after[0] && route_is_repeatable(f->route) && !is_later_id(id, run->after)) {
         g_free(id);
         return false;
     }
     if (id)
-        note_id(s, id);
-    f->unnamed = !id && (f->unnamed || has_data(event, size));
+        record_id(call, id);
+    f->has_unnamed_event = !id && (f->has_unnamed_event || has_data(event, size));
     run->events++;
     run->bytes += size;
     f->events++;
@@ -186,7 +186,7 @@
     return true;
 }
 
-static void note_time(forward_t *f, tc_time_t now)
+static void record_time(forward_t *f, tc_time_t now)
 {
     const tc_time_t pause = f->event_at ? now - f->event_at : 0;
     f->pause = pause > f->pause ? pause : f->pause;
@@ -195,32 +195,32 @@
 }
 
 /** Hand the first @p used of the kept bytes to the caller. */
-static void pass_on(step_t *s, size_t used)
+static void forward_events(backend_call_t *call, size_t used)
 {
     if (used == 0)
         return;
-    note_time(s->request, tc_time_now());
-    web_add(s->request->exchange, s->run.partial->data, used);
-    g_byte_array_remove_range(s->run.partial, 0, (guint)used);
+    record_time(call->request, tc_time_now());
+    web_add(call->request->exchange, call->run.partial->data, used);
+    g_byte_array_remove_range(call->run.partial, 0, (guint)used);
 }
 
-stream_verdict_t stream_take(step_t *s, const char *data, size_t size)
+stream_verdict_t stream_feed(backend_call_t *call, const char *data, size_t size)
 {
-    stream_run_t *const run = &s->run;
+    stream_run_t *const run = &call->run;
     g_byte_array_append(run->partial, (const guint8 *)data, (guint)size);
     const char *const bytes = (const char *)run->partial->data;
     size_t used = 0, from = run->searched, length;
     bool goes_on = true;
     while (goes_on && (length = event_length(bytes + used, from, run->partial->len - used)) > 0) {
-        goes_on = take_event(s, bytes + used, length);
+        goes_on = accept_event(call, bytes + used, length);
         used += goes_on ? length : 0;
         from = 0;
     }
-    pass_on(s, used);
+    forward_events(call, used);
     run->searched = run->partial->len;
     if (!goes_on) {
         counter_add(&c_repeated, 1);
         return STREAM_REPEATED;
     }
-    return run->partial->len > EVENT_MAX ? STREAM_TOO_LARGE : STREAM_TAKEN;
+    return run->partial->len > EVENT_MAX ? STREAM_TOO_LARGE : STREAM_OK;
 }
