--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -41,7 +41,7 @@
     hold_release(f);
     locate_cancel(f);
     handle_release(f);
-    f->owner->busy--;
+    f->owner->in_flight--;
     cds_list_del(&f->node);
     g_ptr_array_free(f->tried, TRUE);
     g_ptr_array_free(f->tried_prefill, TRUE);
@@ -420,7 +420,7 @@
     const bool hurried = facts->caller_timeout > 0 && facts->caller_timeout < route->timeout;
     f->deadline = request->arrived + (hurried ? facts->caller_timeout : route->timeout) - ANSWER_MARGIN_MS;
     cds_list_add(&f->node, &fw->requests);
-    fw->busy++;
+    fw->in_flight++;
     return f;
 }
 
@@ -505,7 +505,7 @@
 
 void forwarder_destroy(forwarder_t *fw)
 {
-    assert(fw->busy == 0); /* requests hold the forwarder */
+    assert(fw->in_flight == 0); /* requests hold the forwarder */
     loop_disarm(&fw->renewal);
     probes_destroy(fw);
     cleanups_destroy(fw);
@@ -555,5 +555,5 @@
 
 unsigned forwarder_in_flight(const forwarder_t *fw)
 {
-    return fw->busy;
+    return fw->in_flight;
 }
--- a/lib/forward/forward.h
+++ b/lib/forward/forward.h
@@ -1,12 +1,11 @@
 /** @file forward.h
- * Forwarded requests: from a caller to the back ends that serve it, and the answer back, whole or not at all.
+ * Forwards requests from callers to back ends, and the answers back, complete or not at all.
  *
- * A request is routed, placed (a prefill and a decode engine where the service
- * has them, else one back end), sent, and answered. What must run at most once is
- * sent on only until a back end may have begun it. A refusal with 429 or 503 is
- * given only while no back end can have run the request.
+ * A request is routed, placed (on a prefill and a decode engine where the service has them, otherwise on one back end),
+ * sent and answered. A request that must run at most once is sent to further back ends only until one may have begun
+ * it. It is refused with 429 or 503 only while no back end can have run it.
  *
- * Everything runs in the loop's thread.
+ * All functions run in the loop's thread.
  */
 #ifndef TRACKCOVE_FORWARD_FORWARD_H
 #define TRACKCOVE_FORWARD_FORWARD_H
@@ -26,16 +25,16 @@
 
 typedef struct forwarder forwarder_t;
 
-/** What a forwarder knows of its box. */
+/** Identity and settings of the box. */
 typedef struct {
-    const char *box;      /**< name of this box */
-    uint64_t incarnation; /**< of this start of it */
-    const char *dc;       /**< data centre of this box */
+    const char *box;      /**< name of the box */
+    uint64_t incarnation; /**< differs with each start of the box */
+    const char *dc;       /**< data centre of the box */
     retry_rules_t retries;
-    tc_time_t silence_timeout_ms; /**< a stream that may be taken up elsewhere is, after a silence of this long, where
-                              its route names no pause; ms */
-    tc_time_t config_fresh_ms; /**< a box that no leader answered for so long may not know of the newest configuration,
-                           so it says of no request that there is no such route or key; ms */
+    tc_time_t silence_timeout_ms; /**< a resumable stream moves to another back end after a silence of this long, when
+                                     its route has no gap target; ms */
+    tc_time_t config_fresh_ms;    /**< without an answer of a leader for this long, the box may not have the newest
+                                     configuration, and no longer reports a route or key as unknown; ms */
     cap_rules_t caps;
     limit_rules_t limits;
 } forwarder_options_t;
@@ -45,34 +44,36 @@
 /** @p fleet and @p client are borrowed; strings of @p options too. */
 forwarder_t *forwarder_create(loop_t *loop, fleet_t *fleet, web_client_t *client, const forwarder_options_t *options);
 
-/** Only when no request is under way. */
+/** Must not be called while requests are in flight. */
 void forwarder_destroy(forwarder_t *forwarder);
 
-/** Requests from now on are routed by @p table; a reference is taken. NULL: none is known. */
+/** Routes new requests by @p table, of which a reference is taken. NULL: no configuration is known. */
 void forwarder_set_routes(forwarder_t *forwarder, route_table_t *table);
-/** The routes or the back ends have changed: requests that waited for them go on. */
+/** The routes, the back ends or their limits have changed: requests that waited for them continue. */
 void forwarder_on_change(forwarder_t *forwarder);
-/** Ask the scheduler beside the leader of the control boxes for placements; without it, or while it does not answer,
- *  the box places by itself. */
+/** Uses the scheduler, which runs beside the leader of the control boxes. Without it, or while it does not answer, the
+ *  box places requests locally. */
 void forwarder_set_scheduler(forwarder_t *forwarder, reporter_t *reporter);
-/** The box is to end at @p end. From now on a request is begun only before @p last, and when it is expected to be over
- * by the end; others are refused as not run, and their callers sent to another box at once. Those under way go on. */
+/** Stops the box, which ends at @p end. From now on a request begins only before @p last, and only if it is expected to
+ *  be over by @p end. Others are refused as not run, with a Retry-After that sends the caller to another box at once.
+ *  Requests in flight continue. */
 void forwarder_stop(forwarder_t *forwarder, tc_time_t last, tc_time_t end);
-/** So many boxes are there now, by the newest list; 0: none has come yet. */
+/** Sets the number of boxes by the newest list; 0: no list has been received. */
 void forwarder_set_boxes(forwarder_t *forwarder, unsigned boxes);
-/** What the box knows of requests under which back ends end: for its reports. Lives as long as the forwarder. */
+/** Requests that are quarantined because back ends ended while running them, for the reports. Owned by the forwarder.
+ */
 quarantine_t *forwarder_quarantine(forwarder_t *forwarder);
-/** What the box lets in of workspaces with usage caps: for its reports. Lives as long as the forwarder. */
+/** Usage of capped workspaces at this box, for the reports. Owned by the forwarder. */
 cap_shares_t *forwarder_caps(forwarder_t *forwarder);
-/** What leaders are to know of back ends by their answers, for a report: fills in its limits, limits_hash, limits_used
- *  and notices, for free(). */
+/** Fills in what the box learnt from answers of back ends: limits, limits_hash, limits_used, cold_used and notices of
+ * the report. The arrays are for free(). */
 void forwarder_fill_report(forwarder_t *forwarder, msg_report_t *report);
-/** A leader answered that report. @return whether it is to be told more at once */
+/** Applies the limits in a leader's answer to a report. @return whether another report should follow at once */
 bool forwarder_apply_limits(forwarder_t *forwarder, const msg_report_ack_t *ack);
-/** Requests under way. */
+/** Number of requests in flight. */
 unsigned forwarder_in_flight(const forwarder_t *forwarder);
 
-/** A web_handler_t; @p arg is the forwarder. */
+/** A web_handler_t. @param arg the forwarder */
 void forwarder_handle(void *arg, web_exchange_t *exchange, const web_request_t *request);
 
 #endif
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -27,7 +27,7 @@
 {
     loop_disarm(&e->limit);
     cds_list_del(&e->node);
-    e->owner->busy--;
+    e->owner->in_flight--;
     g_free(e);
 }
 
@@ -70,7 +70,7 @@
     e->exchange = exchange;
     e->request = *request;
     cds_list_add_tail(&e->node, &fw->early);
-    fw->busy++;
+    fw->in_flight++;
     web_on_gone(exchange, on_gone, e);
     loop_arm(fw->loop, &e->limit, now + EARLY_WAIT_MS, on_limit, e);
     return true;
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -353,7 +353,7 @@
     msg_renew_t renew = {.incarnation = fw->options.incarnation, .listed = listed};
     codec_copy_string(renew.cell, sizeof(renew.cell), CELL);
     codec_copy_string(renew.box, sizeof(renew.box), fw->options.box);
-    renew.held = calloc(fw->busy + 1, sizeof(*renew.held));
+    renew.held = calloc(fw->in_flight + 1, sizeof(*renew.held));
     if (!renew.held)
         abort();
     const forward_t *f;
--- a/lib/forward/reasons.h
+++ b/lib/forward/reasons.h
@@ -1,24 +1,24 @@
 /** @file reasons.h
- * Why a request was refused for want of room, as the log says it: read again by account.h.
+ * Reasons for refusing a request, as they stand in the log, where account.h reads them.
  */
 #ifndef TRACKCOVE_FORWARD_REASONS_H
 #define TRACKCOVE_FORWARD_REASONS_H
 
 #define REASON_REFUSED "refused by the scheduler"
-#define REASON_NOT_IN_TIME "no room in time" /* the scheduler did not answer while waiting was of use */
-#define REASON_NO_ROOM "no engine has room"  /* that was asked to set memory aside */
+#define REASON_NOT_IN_TIME "no room in time" /* the scheduler did not answer while waiting was useful */
+#define REASON_NO_ROOM "no engine has room"  /* none of the engines asked for a memory reservation */
 
-/** Back ends that are left have reached the limits that they name. */
+/** The remaining back ends have reached their rate limits. */
 #define REASON_LIMITED "back ends have reached their limits"
 
-/** All back ends asked this box for no calls. */
+/** All back ends are backing off: they asked this box for no calls for a while. */
 #define REASON_BACKING_OFF "back ends asked for no calls"
 
-/** All data centres with back ends for it are evacuated. */
+/** All data centres with back ends for the service are evacuated. */
 #define REASON_EVACUATED "its data centres are evacuated"
 
-/* Back ends ended under it: see cluster/quarantine.h. */
-#define REASON_QUARANTINED "back ends ended whenever they ran it" /* it is sent to none */
-#define REASON_BACKEND_ENDED "another back end ended under it"    /* this box repeats it no more */
+/* Back ends ended while running the request, see cluster/quarantine.h. */
+#define REASON_QUARANTINED "back ends ended whenever they ran it" /* the request is quarantined */
+#define REASON_BACKEND_ENDED "another back end ended under it"    /* this box does not retry it again */
 
 #endif
--- a/lib/forward/route.c
+++ b/lib/forward/route.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* ===== Making and ending ===== */
+/* ===== Creating and freeing ===== */
 
 static void target_clear(void *target)
 {
@@ -37,7 +37,7 @@
     t->version = version;
     t->routes = g_ptr_array_new_with_free_func(free_route);
     t->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, service_free);
-    t->places = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    t->by_prefix = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     t->refs = 1;
     return t;
 }
@@ -52,7 +52,7 @@
 {
     if (!t || --t->refs > 0)
         return;
-    g_hash_table_destroy(t->places);
+    g_hash_table_destroy(t->by_prefix);
     g_hash_table_destroy(t->services);
     g_ptr_array_free(t->routes, TRUE);
     workspaces_free(t->workspaces);
@@ -61,16 +61,16 @@
 
 /* ===== Building ===== */
 
-static char *place_of(const char *host, const char *prefix)
+static char *prefix_key(const char *host, const char *prefix)
 {
-    return g_strconcat(host, " ", prefix, NULL); /* a host holds no blank */
+    return g_strconcat(host, " ", prefix, NULL); /* a host contains no space */
 }
 
 bool route_table_add(route_table_t *t, route_t *route)
 {
-    char *const place = place_of(route->host, route->prefix);
-    if (g_hash_table_contains(t->places, place)) {
-        g_free(place);
+    char *const key = prefix_key(route->host, route->prefix);
+    if (g_hash_table_contains(t->by_prefix, key)) {
+        g_free(key);
         route_free(route);
         return false;
     }
@@ -78,7 +78,7 @@
     for (guint i = 0; i < route->targets->len; i++)
         route->weight_sum += g_array_index(route->targets, route_target_t, i).weight;
     g_ptr_array_add(t->routes, route);
-    g_hash_table_insert(t->places, place, route);
+    g_hash_table_insert(t->by_prefix, key, route);
     return true;
 }
 
@@ -101,18 +101,18 @@
 
 const route_t *route_table_find(const route_table_t *t, const char *host, const char *target)
 {
-    char name[256], path[1024], place[sizeof(name) + sizeof(path) + 2];
+    char name[256], path[1024], key[sizeof(name) + sizeof(path) + 2];
     g_strlcpy(name, host, sizeof(name));
     name[strcspn(name, ":")] = '\0';
     for (char *c = name; *c; c++)
         *c = g_ascii_tolower(*c);
     g_strlcpy(path, target, sizeof(path));
     path[strcspn(path, "?#")] = '\0';
-    /* Every prefix ends with a slash: try each slash of the path, the last one first. */
+    /* Every prefix ends with a slash: try the path up to each slash, longest first. */
     for (char *slash = strrchr(path, '/'); slash; slash = strrchr(path, '/')) {
         slash[1] = '\0';
-        g_snprintf(place, sizeof(place), "%s %s", name, path);
-        const route_t *const route = g_hash_table_lookup(t->places, place);
+        g_snprintf(key, sizeof(key), "%s %s", name, path);
+        const route_t *const route = g_hash_table_lookup(t->by_prefix, key);
         if (route)
             return route;
         slash[0] = '\0';
--- a/lib/forward/route.h
+++ b/lib/forward/route.h
@@ -1,6 +1,6 @@
 /** @file route.h
- * Routing table: which service a request goes to, and under which bounds. Built once from a configuration, then
- * read only; a request keeps the table it was routed by until it ends.
+ * Routing table: maps a request to its service and bounds. Built once from a configuration, then read only. A request
+ * holds a reference to the table it was routed by until it ends.
  */
 #ifndef TRACKCOVE_FORWARD_ROUTE_H
 #define TRACKCOVE_FORWARD_ROUTE_H
@@ -17,14 +17,14 @@
 
 /* ===== Types ===== */
 
-/** What may happen to a request more than once. */
+/** How often a request may run. */
 typedef enum {
-    ROUTE_SAFE,   /**< may run any number of times */
-    ROUTE_UNSAFE, /**< may run at most once */
-    ROUTE_STREAM  /**< answered by events; at most once, unless it may be resumed */
+    ROUTE_SAFE,   /**< any number of times */
+    ROUTE_UNSAFE, /**< at most once */
+    ROUTE_STREAM  /**< answered by a stream of events; at most once, unless resumable */
 } route_kind_t;
 
-/** One of the services that a route's requests are shared out to. */
+/** One of the services among which a route's requests are split by weight. */
 typedef struct {
     char *service;
     uint32_t weight;
@@ -36,12 +36,12 @@
     char *prefix; /**< begins and ends with a slash */
     route_kind_t kind;
     bool resumable;
-    bool auth_exempt;         /**< whoever asks is served, without a key */
+    bool auth_exempt;         /**< requests need no key */
     uint32_t priority;        /**< 0 is the most urgent */
-    uint32_t max_attempts;    /**< most back ends that one request may run on */
-    tc_time_t timeout;        /**< longest time a request is held */
-    tc_time_t latency_target; /**< answers later than this earn less */
-    tc_time_t gap_target;     /**< streams with a longer pause between two events earn less; 0 when unknown */
+    uint32_t max_attempts;    /**< back ends that one request may run on, at most */
+    tc_time_t timeout;        /**< time a request may take in all, ms */
+    tc_time_t latency_target; /**< target for the answer or the first event, ms */
+    tc_time_t gap_target;     /**< target for the gap between two events of a stream, ms; 0: none */
     GArray *targets;          /**< route_target_t */
     uint32_t weight_sum;
 } route_t;
@@ -49,53 +49,53 @@
 /** One service. Owned by its table. */
 typedef struct {
     char *name;
-    uint32_t max_connections; /**< of all boxes together, to one back end */
-    bool engines;             /**< its back ends compute prompts and tokens */
-    uint32_t slots;           /**< requests that one engine runs at once */
-    uint32_t memory_tokens;   /**< KV cache of one engine */
-    double link_tokens_s;     /**< KV cache that one engine's link carries, tokens a second; 0 when unknown */
-    double cold_rate;         /**< requests a second of all boxes that a cold back end bears; 0: as any other */
-    tc_time_t hold_ttl;       /**< longest time that memory of an engine can be set aside, 0 for never */
-    tc_time_t handle_ttl;     /**< how long a prefill result is kept */
+    uint32_t max_connections; /**< to one back end, from all boxes together */
+    bool engines;             /**< its back ends are inference engines */
+    uint32_t slots;           /**< concurrent requests per engine */
+    uint32_t memory_tokens;   /**< KV cache per engine, in tokens */
+    double link_tokens_s;     /**< transfer rate of one engine's link for KV cache, tokens/s; 0 when unknown */
+    double cold_rate;         /**< requests/s from all boxes that a cold back end can serve; 0: no limit */
+    tc_time_t hold_ttl;       /**< longest memory reservation at an engine, ms; 0: not supported */
+    tc_time_t handle_ttl;     /**< how long an engine keeps a prefill result, ms */
 } route_service_t;
 
-/** All routes of one version of the configuration. Counted references. */
+/** All routes of one version of the configuration. Reference counted. */
 typedef struct {
     uint64_t version;
     web_limits_t limits;
     GPtrArray *routes;        /**< route_t */
     GHashTable *services;     /**< name to route_service_t */
-    GHashTable *places;       /**< host and prefix to route_t */
-    workspaces_t *workspaces; /**< NULL: the configuration knows none, and requests need no key */
+    GHashTable *by_prefix;    /**< host and prefix to route_t */
+    workspaces_t *workspaces; /**< NULL: none are configured, and requests need no key */
     unsigned refs;
 } route_table_t;
 
 /* ===== Public functions ===== */
 
-/** An empty table, with one reference. */
+/** Creates an empty table with one reference. */
 route_table_t *route_table_create(uint64_t version);
-/** One more reference. @return @p table */
+/** Adds a reference. @return @p table */
 route_table_t *route_table_ref(route_table_t *table);
-/** One reference less; freed with the last. NULL is none. */
+/** Drops a reference and frees the table with the last one. NULL is ignored. */
 void route_table_unref(route_table_t *table);
 
-/** Take over a route with its targets. @return false, with the route freed, when its place is taken */
+/** Adds a route, whose ownership is taken. @return false, with the route freed, when its host and prefix are in use */
 bool route_table_add(route_table_t *table, route_t *route);
-/** Free a route that no table took over. */
+/** Frees a route that is in no table. */
 void route_free(route_t *route);
 
-/** Take over a service. @return false, with the service freed, when its name is taken */
+/** Adds a service, whose ownership is taken. @return false, with the service freed, when its name is in use */
 bool route_table_add_service(route_table_t *table, route_service_t *service);
-/** The service of that name, or NULL. */
+/** @return the service of that name, or NULL */
 const route_service_t *route_table_service(const route_table_t *table, const char *name);
 
-/** The route of that host (a port behind it is passed over) whose prefix begins the path and is longest, or NULL. */
+/** @return the route of that host with the longest prefix of the path, or NULL. A port in @p host is ignored. */
 const route_t *route_table_find(const route_table_t *table, const char *host, const char *target);
 
-/** Which of a route's services takes a request. @param draw a random number */
+/** Chooses one of the route's services by weight. @param draw a random number */
 const char *route_pick_service(const route_t *route, uint32_t draw);
 
-/** Whether a request of this route may run again after it may have run. */
+/** Whether a request of the route may run more than once. */
 bool route_is_repeatable(const route_t *route);
 
 #endif
--- a/lib/forward/service_time.c
+++ b/lib/forward/service_time.c
@@ -1,17 +1,17 @@
 #include "forward/service_time.h"
 
-/** What the longest time seen loses with each request: half of it after some thirty. */
-static const double FADE = 0.98;
-/** Beside the longest time seen: engines slow down as they fill. */
+/** Factor by which the longest observed time decays with each request: by half after about 30 requests. */
+static const double DECAY = 0.98;
+/** Safety factor on the longest observed time, since engines slow down as their load grows. */
 static const double MARGIN = 1.1;
 
-/** Streams that tell nothing yet of how long one may be: where one in twenty generates all it may, as on the users'
- *  sheets, fifty have shown it with a chance of 0.92. A box that refuses meanwhile costs its callers a few ms. */
+/** Number of streams before there is an estimate. If one in 20 streams reaches its output limit, as in the users' data
+ *  sheets, one of 50 has done so with a probability of 0.92. A refusal before that costs the caller a few ms. */
 enum { STREAMS_MIN = 50 };
 
-static void keep_longest(double *longest, double ms)
+static void update_longest(double *longest, double ms)
 {
-    *longest *= FADE;
+    *longest *= DECAY;
     if (ms > *longest)
         *longest = ms;
 }
@@ -19,10 +19,10 @@
 void service_time_record(service_time_t *stats, tc_time_t took, unsigned tokens, unsigned events)
 {
     stats->seen++;
-    keep_longest(&stats->whole_ms, (double)took);
+    update_longest(&stats->whole_ms, (double)took);
     if (tokens == 0 || events == 0)
         return;
-    keep_longest(&stats->event_ms, (double)took / events);
+    update_longest(&stats->event_ms, (double)took / events);
     const double density = (double)events / tokens;
     if (density > stats->density)
         stats->density = density;
--- a/lib/forward/service_time.h
+++ b/lib/forward/service_time.h
@@ -1,6 +1,6 @@
 /** @file service_time.h
- * How long requests of a service take, as this box has seen it: for a box that stops, which must not begin what it
- * would have to cut off. Slow ones count: the question is how long a request may take, not how long it will.
+ * Service time of requests as observed by this box. A stopping box uses it to accept only requests that it need not cut
+ * off, so the estimate is an upper bound, derived from the slowest requests.
  */
 #ifndef TRACKCOVE_FORWARD_SERVICE_TIME_H
 #define TRACKCOVE_FORWARD_SERVICE_TIME_H
@@ -11,22 +11,22 @@
 
 /* ===== Types ===== */
 
-/** Of one service. Zeroed: nothing was seen. */
+/** Statistics of one service. Zero-initialized: no requests seen. */
 typedef struct {
-    unsigned seen;   /**< requests */
-    double whole_ms; /**< the longest lately, from its arrival to the end of its answer */
-    double event_ms; /**< the slowest stream lately: time for each of its events */
-    double density;  /**< most events for each token that a stream might have generated. Engines generate a fixed
-                          number of tokens an event, so a stream that generated all it might shows it for good */
+    unsigned seen;   /**< number of requests */
+    double whole_ms; /**< longest recent request, from its arrival to the end of its answer */
+    double event_ms; /**< time per event of the slowest recent stream */
+    double density;  /**< largest number of events per token of the output limit. Engines generate a fixed number
+                          of tokens per event, so one stream that reached its limit shows the true value */
 } service_time_t;
 
 /* ===== Public functions ===== */
 
-/** A request was answered whole. @param tokens that it might have generated at most, and @p events that its answer had:
- *  0 when it was no stream */
+/** Records a completely answered request. @param took in ms @param tokens output limit, and @p events of its answer; 0
+ *  when it was no stream */
 void service_time_record(service_time_t *stats, tc_time_t took, unsigned tokens, unsigned events);
 
-/** Time that a request which begins now may need, ms; TC_TIME_NEVER when nothing tells. */
+/** Upper bound for a request that begins now, ms; TC_TIME_NEVER when there is too little data. */
 tc_time_t service_time_estimate(const service_time_t *stats, unsigned tokens);
 
 #endif
