--- a/lib/forward/dialect.h
+++ b/lib/forward/dialect.h
@@ -84,7 +84,7 @@
 
 /** Properties of an answer, from its head. */
 typedef struct {
-    bool matches_request; /**< false: the late answer of an earlier request */
+    bool matches_request; /**< false: its id shows the late answer of an earlier request */
     bool not_run;         /**< the back end states that it did not run the request and will not */
     bool wrong_instance;  /**< as not_run, since its instance or role differs from the list */
     bool authentic;       /**< it carries the back end's proof of origin, and its body is unmodified */
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -31,7 +31,7 @@
 
 static void forward_free(forward_t *f)
 {
-    assert(!f->call); /* a call under way would report to freed memory */
+    assert(!f->call); /* a call in flight would report to freed memory */
     loop_disarm(&f->limit);
     loop_disarm(&f->call_timer);
     retry_cancel(f);
@@ -60,9 +60,10 @@
     forward_free(f);
 }
 
+/** No Retry-After is sent. */
 enum { NO_RETRY_AFTER = -1 };
 
-/** Answer without a body. @param after when the caller may come back, ms; NEVER: nothing is said of it */
+/** Sends an answer without a body. @param after Retry-After in ms, or NO_RETRY_AFTER */
 static void answer_empty(web_exchange_t *exchange, int status, tc_time_t after)
 {
     char *const head = after == NO_RETRY_AFTER ? g_strdup("") : dialect_retry_after(after);
@@ -84,14 +85,14 @@
     const int status = f->runs == 0 ? STATUS_NOT_RUN : (late ? 504 : 502);
     counter_add(f->runs == 0 ? &c_not_run : &c_unknown, 1);
     forward_log_end(f, "failed", why, status);
-    /* Promise: 503 says that the request did not run, so it is given only while no back end can have begun it. */
+    /* Guarantee: 503 states that the request did not run, so it is sent only while no back end can have begun it. */
     answer_empty(f->exchange, status, f->runs == 0 ? retry_after : NO_RETRY_AFTER);
     forward_free(f);
 }
 
 void forward_refuse(forward_t *f, int status, const char *why, tc_time_t after)
 {
-    assert(f->runs == 0 && !f->begun && !f->call); /* promise: what is refused as not run has not run */
+    assert(f->runs == 0 && !f->begun && !f->call); /* guarantee: a request refused as not run has not run */
     counter_add(&c_not_run, 1);
     forward_log_end(f, "failed", why, status);
     answer_empty(f->exchange, status, after > 0 ? after : NO_RETRY_AFTER);
@@ -121,10 +122,11 @@
                            .random = g_rand_int(f->owner->random)};
 }
 
-/** Other callers that were refused for the same reason come back beside this one: up to so much later. */
+/** Jitter of the Retry-After of callers that are refused for the same reason, so that they do not return together. */
 enum { REOPEN_JITTER_MS = 400 };
 
-/** No back end is left, or those that are take no work for a while: then its caller is told when one does. */
+/** Fails a request for which no back end is left, or none that accepts work now. In the latter case Retry-After is set
+ * to when one will. */
 static void fail_without_backend(forward_t *f, stage_t stage)
 {
     const fleet_query_t wish = wish_of(f, stage);
@@ -158,8 +160,8 @@
 {
     forward_t *const f = arg;
     if (f->call && f->call->op != DIALECT_PREFILL && web_call_sent(f->call->http))
-        f->runs++; /* it is with a back end that has not answered */
-    forward_fail(f, "time is over");
+        f->runs++; /* a back end has the request and has not answered */
+    forward_fail(f, "deadline exceeded");
 }
 
 static void on_caller_gone(void *arg)
@@ -179,7 +181,7 @@
     return fleet_choose(f->owner->fleet, &wish);
 }
 
-/** Drop a reference that was only asked for. @return whether there was one */
+/** Drops a reference that is not needed. @return whether there was one */
 static bool drop_choice(instance_t *instance)
 {
     if (instance)
@@ -199,7 +201,7 @@
     return drop_choice(fleet_choose(f->owner->fleet, &wish));
 }
 
-/** The scheduler's choice, else our own. */
+/** Engine with the reservation, else the scheduler's choice, else a local one. */
 static instance_t *choose_engine(forward_t *f, stage_t stage)
 {
     if (stage == STAGE_DECODE && f->hold.instance)
@@ -208,19 +210,19 @@
     return chosen ? chosen : forward_choose(f, stage);
 }
 
-/** Promise: a key that was taken away begins nothing any more, also where its request has waited since before. Runs
- * that it began are not cut. @return false, with the request freed, when it was refused */
+/** Guarantee: a revoked key begins no run, even if its request arrived before the revocation and waited since. Runs in
+ *  progress are not cut off. @return false, with the request refused and freed, when the key was revoked */
 static bool is_still_allowed(forward_t *f)
 {
     if (f->runs > 0 || f->begun || caller_is_allowed(f))
         return true;
     counter_add(&c_no_key, 1);
     const int status = caller_status(f->owner, STATUS_NO_KEY);
-    forward_refuse(f, status, "its key was taken away", status == STATUS_NO_KEY ? 0 : RETRY_ELSEWHERE_MS);
+    forward_refuse(f, status, "its key was revoked", status == STATUS_NO_KEY ? 0 : RETRY_ELSEWHERE_MS);
     return false;
 }
 
-/** Of the stage that a call is to, where the service has engines. */
+/** Stage of the engine that a call goes to; STAGE_NONE when the service has no engines. */
 static stage_t stage_of_ask(const forward_t *f, dialect_op_t op)
 {
     if (!f->split)
@@ -234,7 +236,7 @@
         fail_without_backend(f, stage_of_ask(f, op));
         return;
     }
-    /* Promise: a request under which so many back ends have ended is sent to no other one, whoever found it out. */
+    /* Guarantee: a quarantined request is sent to no further back end, whichever box found out. */
     if (is_quarantined(f)) {
         instance_unref(instance);
         forward_fail_quarantined(f);
@@ -249,7 +251,7 @@
 
 void forward_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
-    if (!instance_accepts_work(instance, tc_time_now())) { /* since it was chosen */
+    if (!instance_accepts_work(instance, tc_time_now())) { /* changed since it was chosen */
         f->repeats_engine = false;
         instance_unref(instance);
         forward_continue(f);
@@ -262,13 +264,13 @@
     call_begin(f, op, instance);
 }
 
-/** Send a stream that is taken up again to the engine that keeps its prompt, if one does. */
+/** Sends a resumed stream to the engine that caches its prompt, if there is one. */
 static bool send_to_located(forward_t *f)
 {
     instance_t *const located = f->locate.instance;
     if (!located)
         return false;
-    f->locate.instance = NULL; /* once: when it can't, the stream is placed like any other */
+    f->locate.instance = NULL; /* used once: if the engine cannot take it, the stream is placed like any other */
     if (!instance_accepts_work(located, tc_time_now())) {
         instance_unref(located);
         return false;
@@ -278,8 +280,8 @@
     return true;
 }
 
-/** Whether memory must be set aside first, since no scheduler knows of any: then the request goes on later, or has
- *  failed. */
+/** Reserves memory first when no scheduler chose the engine. @return true when the request continues later or has
+ *  failed */
 static bool wait_for_hold(forward_t *f)
 {
     if (!place_is_local(f) || f->hold.instance)
@@ -287,14 +289,14 @@
     if (hold_request(f))
         return true;
     if (f->hold.tries == 0)
-        return false; /* engines set nothing aside, or there is none to ask */
+        return false; /* the engines make no reservations, or there is none to ask */
     if (!hold_request_later(f))
         forward_fail_full(f, REASON_NO_ROOM);
     return true;
 }
 
-/** Read the prompt on a prefill engine, then decode. Without a prefill engine the decode engine reads the prompt
- *  itself, slowly. */
+/** Reads the prompt on a prefill engine, then decodes. Without a prefill engine the decode engine reads the prompt
+ * itself, which is slower. */
 static void send_to_engines(forward_t *f)
 {
     const bool read = f->handle.instance || place_is_solo(f);
@@ -307,7 +309,7 @@
     }
     if (prefill && !drop_choice(choose_engine(f, STAGE_DECODE))) {
         instance_unref(prefill);
-        fail_without_backend(f, STAGE_DECODE); /* the prompt would be read for nothing */
+        fail_without_backend(f, STAGE_DECODE); /* the prefill would be wasted */
         return;
     }
     if (prefill) {
@@ -318,8 +320,8 @@
     send_to(f, f->handle.instance ? DIALECT_DECODE : DIALECT_SERVE, choose_engine(f, STAGE_DECODE));
 }
 
-/** Whether all engines that could answer it asked for no calls for longer than it may wait, or are evacuated: it can't
- *  be served. */
+/** Whether the request cannot be served: all suitable engines are evacuated, or asked for no calls for longer than it
+ * may wait. */
 static bool is_unservable(const forward_t *f)
 {
     const fleet_query_t wish = wish_of(f, STAGE_DECODE);
@@ -343,13 +345,13 @@
         return;
     }
     if (locate_begin(f))
-        return; /* goes on when the engines have answered */
+        return; /* continues when the engines have answered */
     if (send_to_located(f))
         return;
     if (place_request(f))
-        return; /* goes on when the scheduler has answered */
+        return; /* continues when the scheduler has answered */
     if (wait_for_hold(f))
-        return; /* goes on when an engine has answered, or in a moment */
+        return; /* continues when an engine has answered, or after PLACE_RETRY_MS */
     send_to_engines(f);
 }
 
@@ -387,8 +389,8 @@
     instance_unref(instance);
 }
 
-/** Refuse a request for what the configuration does not know. A caller takes the final status for the last word, so a
- *  box that may not know the newest configuration says that the request has not run instead. */
+/** Refuses a request for something that is missing in the configuration. Callers do not retry after the final status,
+ * so a box whose configuration may be outdated answers that the request has not run instead. */
 static void refuse_unknown(forwarder_t *fw, web_exchange_t *exchange, const dialect_request_t *facts, int final,
                            const char *why)
 {
@@ -431,16 +433,16 @@
     dialect_request_t facts;
     dialect_read_request(request, &facts);
     if (fw->stop_begin_until && tc_time_now() >= fw->stop_begin_until) {
-        refuse(exchange, &facts, STATUS_NOT_RUN, "this box stops", RETRY_ELSEWHERE_MS);
+        refuse(exchange, &facts, STATUS_NOT_RUN, "this box is stopping", RETRY_ELSEWHERE_MS);
         return;
     }
     if (!fw->table) {
-        refuse(exchange, &facts, STATUS_NOT_RUN, "no configuration is known yet", RETRY_AFTER_MS);
+        refuse(exchange, &facts, STATUS_NOT_RUN, "no configuration received yet", RETRY_AFTER_MS);
         return;
     }
     const char *const host = web_headers_get(request->headers, "Host");
     if (!host) {
-        refuse(exchange, &facts, STATUS_BAD_REQUEST, "no host", 0);
+        refuse(exchange, &facts, STATUS_BAD_REQUEST, "no Host header", 0);
         return;
     }
     const route_t *const route = route_table_find(fw->table, host, request->target);
@@ -458,7 +460,7 @@
     forward_t *const f = forward_create(fw, exchange, request, &facts, route, caller.workspace);
     forward_log_routed(f);
     if (!stop_allows(f)) {
-        fail(f, "this box stops before it would end", RETRY_ELSEWHERE_MS);
+        fail(f, "this box stops before the request would end", RETRY_ELSEWHERE_MS);
         return;
     }
     if (is_quarantined(f)) {
@@ -478,7 +480,7 @@
         forward_route(fw, exchange, request);
 }
 
-/* ===== Life ===== */
+/* ===== Life cycle ===== */
 
 forwarder_t *forwarder_create(loop_t *loop, fleet_t *fleet, web_client_t *client, const forwarder_options_t *options)
 {
@@ -505,7 +507,7 @@
 
 void forwarder_destroy(forwarder_t *fw)
 {
-    assert(fw->in_flight == 0); /* requests hold the forwarder */
+    assert(fw->in_flight == 0); /* requests point to the forwarder */
     loop_disarm(&fw->renewal);
     probes_destroy(fw);
     cleanups_destroy(fw);
@@ -540,7 +542,7 @@
 
 unsigned forward_boxes(const forwarder_t *fw)
 {
-    return fw->scheduler ? sharers_count(&fw->sharers) : 1; /* without a leader to hear of, there are no others */
+    return fw->scheduler ? sharers_count(&fw->sharers) : 1; /* without a leader there are no other boxes to learn of */
 }
 
 quarantine_t *forwarder_quarantine(forwarder_t *fw)
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -1,4 +1,4 @@
-/* One call to one back end: sending, reading its answer, and what the outcome means for the request. */
+/* Calls to back ends: sends a request, reads the answer and decides from the outcome how the request continues. */
 
 #include <assert.h>
 #include <string.h>
@@ -18,14 +18,14 @@
 COUNTER_DEFINE(c_wasted, "counter", "trackcove_forward_prefill_wasted_tokens_total",
                "Prompt tokens computed and not used by a decode engine")
 
-/* ===== Ending a step ===== */
+/* ===== Ending a call ===== */
 
-/** Take the step off its request. @param why for the log */
+/** Detaches the call from its request and frees it. @param why for the log */
 static void call_free(backend_call_t *call, const char *why)
 {
     forward_t *const f = call->request;
     stream_end(call, why);
-    retry_cancel(f); /* a question on what could follow this call */
+    retry_cancel(f); /* the query asked for what could follow this call */
     loop_disarm(&f->call_timer);
     instance_end(call->instance, call->tokens, call->ends);
     instance_unref(call->instance);
@@ -64,9 +64,9 @@
     handle_clear(f);
 }
 
-/* ===== Looking ===== */
+/* ===== Runs ===== */
 
-/** Whether the request may run on one more back end when it may have run on this one. */
+/** Whether the request may run on one more back end after it may have run on this one. */
 static bool may_run_again(const forward_t *f)
 {
     if (SABOTAGE_IS(SABOTAGE_RUN_TWICE))
@@ -76,7 +76,7 @@
     return route_is_repeatable(f->route) && f->backends + !f->repeats_engine < f->route->max_attempts;
 }
 
-/** The back end that was asked last may have run the request. */
+/** Counts a run at the back end that was called last. */
 static void count_run(forward_t *f)
 {
     f->runs++;
@@ -84,7 +84,7 @@
     f->repeats_engine = false;
 }
 
-/** It is not tried again for this request. */
+/** Excludes an instance from further calls of this request. */
 static void mark_tried(forward_t *f, instance_t *instance, dialect_op_t op)
 {
     g_ptr_array_add(op == DIALECT_PREFILL ? f->tried_prefill : f->tried, instance_ref(instance));
@@ -92,7 +92,7 @@
 
 /* ===== Outcomes ===== */
 
-/** To another engine, the scheduler's choice if it chose the last one. */
+/** Continues at another engine, chosen by the scheduler if it chose the last one. */
 static void continue_elsewhere(forward_t *f)
 {
     if (f->failed_decode[0] && place_replan(f, f->failed_decode, f->trouble))
@@ -100,7 +100,7 @@
     forward_continue(f);
 }
 
-/** The request did not arrive, or was turned away: another back end may take it. */
+/** Handles a call that did not reach the back end or was refused: another back end may take the request. */
 static void handle_not_run(backend_call_t *call, const char *why, bool refused)
 {
     forward_t *const f = call->request;
@@ -117,7 +117,7 @@
         instance_failed(call->instance, now);
     mark_tried(f, call->instance, call->op);
     if (op == DIALECT_PREFILL)
-        place_report(f, PHASE_PREFILL, call->instance); /* the scheduler leaves it alone for a moment */
+        place_report(f, PHASE_PREFILL, call->instance); /* the scheduler avoids it for a moment */
     if (op == DIALECT_DECODE && refused && f->handle.instance && now >= f->handle.until)
         handle_clear(f);
     codec_copy_string(f->failed_decode, sizeof(f->failed_decode),
@@ -130,8 +130,8 @@
         continue_elsewhere(f);
 }
 
-/** An engine whose answer was lost has the prompt still, unless it died with it: it is asked once more, which computes
- *  nothing anew. */
+/** Calls an engine whose answer was lost once more. Unless it has ended, it still caches the prompt and need not
+ * compute it again. */
 static void retry_same_engine(forward_t *f, instance_t *instance, dialect_op_t op)
 {
     if (!mechanism_is_on(MECHANISM_SAME_ENGINE) || !f->split || f->same_engine_tried || instance->failures > 1) {
@@ -145,21 +145,21 @@
         locate_set(f, instance);
 }
 
-/** The engine has ended: another one is asked for, of the scheduler if it chose that one. */
+/** Excludes an engine that has ended. If the scheduler chose it, it is asked for another. */
 static void exclude_ended(forward_t *f, instance_t *instance, dialect_op_t op)
 {
     mark_tried(f, instance, op);
     codec_copy_string(f->failed_decode, sizeof(f->failed_decode), op == DIALECT_PREFILL ? "" : instance->listed.id);
     f->trouble = TROUBLE_STALLED;
     if (op == DIALECT_PREFILL)
-        place_report(f, PHASE_PREFILL, instance); /* no box need find it out again */
+        place_report(f, PHASE_PREFILL, instance); /* so that other boxes need not find out */
 }
 
-/** Ends that count against a request that its box repeats by itself. After a second one its caller has to come back: a
- *  third would take what else runs on a back end along, and the caller may not. */
+/** Back ends that may end under a request before this box stops retrying it. After the second one the caller has to
+ *  retry: a third would abort everything else that runs on its back end, and the caller may not come back. */
 enum { REPEAT_ENDS_MAX = 2 };
 
-/** Go on after a lost answer, if that is paid for. */
+/** Retries after a lost answer, if the retry budget allows it. */
 static void retry_lost(forward_t *f, dialect_op_t op, const char *why)
 {
     if (op == DIALECT_PREFILL)
@@ -177,7 +177,7 @@
         forward_fail(f, REASON_BACKEND_ENDED);
         return;
     }
-    f->failed_decode[0] = '\0'; /* of a call before */
+    f->failed_decode[0] = '\0'; /* of an earlier call */
     if (ended)
         exclude_ended(f, instance, op);
     else
@@ -185,7 +185,7 @@
     retry_lost(f, op, f->probe_waiter.why);
 }
 
-/** The back end may have run the request and its answer is lost. */
+/** Handles a lost answer; the back end may have run the request. */
 static void handle_lost_answer(backend_call_t *call, const char *why)
 {
     forward_t *const f = call->request;
@@ -196,9 +196,9 @@
     instance_failed(call->instance, tc_time_now());
     probe_t *const probe = call->given_up ? NULL : probe_begin(f, call->instance);
     if (op == DIALECT_PREFILL && call->given_up)
-        place_report(f, PHASE_PREFILL, call->instance); /* no box need find it out again */
+        place_report(f, PHASE_PREFILL, call->instance); /* so that other boxes need not find out */
     if (op == DIALECT_DECODE && f->handle.instance)
-        handle_clear(f); /* taken, or about to lapse */
+        handle_clear(f); /* taken, or about to expire */
     if (call->given_up)
         mark_tried(f, call->instance, op);
     f->failed_decode[0] = '\0';
@@ -214,14 +214,14 @@
         retry_lost(f, op, why);
 }
 
-/** A run has ended well: whatever ended under the request before was not its doing. */
+/** Clears the quarantine after a successful run: the request did not cause the earlier ends of back ends. */
 static void clear_quarantine(const forward_t *f)
 {
     if (forward_backend_ends(f) > 0)
         quarantine_clear(f->owner->quarantine, f->fingerprint, tc_time_now());
 }
 
-/** A whole answer that the back end stands for, success or failure. */
+/** Delivers a complete, authentic answer, success or failure. */
 static void deliver(backend_call_t *call)
 {
     forward_t *const f = call->request;
@@ -265,7 +265,7 @@
     handle_lost_answer(call, "stream broke off");
 }
 
-/** Whether there is another back end that could go on, and @p fits it. */
+/** Whether there is another back end that satisfies @p fits and could continue. */
 static bool has_other(const backend_call_t *call, bool (*fits)(forward_t *f, stage_t stage))
 {
     forward_t *const f = call->request;
@@ -275,21 +275,21 @@
     return is;
 }
 
-/** A failure that the back end stands for is tried once more elsewhere, where that is allowed and of use: at one that
- *  names no limit, which would not have it in the end. */
+/** Retries an authentic failure once at another back end, if allowed. Only back ends without a rate limit are used,
+ * since one with a limit might refuse the request in the end. */
 static bool try_elsewhere(backend_call_t *call)
 {
     forward_t *const f = call->request;
     if (!mechanism_is_on(MECHANISM_SECOND_TRY) || call->status < 500 || f->begun || !may_run_again(f) ||
         !has_other(call, forward_has_unlimited) || !retry_spend(f))
         return false;
-    forward_log(f, "backend_failed", "tried once more elsewhere", call->status, call->instance);
+    forward_log(f, "backend_failed", "retried at another back end", call->status, call->instance);
     retry_record_arrival(f, call->op, ARRIVAL_TAKEN);
     count_run(f);
     mark_tried(f, call->instance, call->op);
     if (f->handle.instance)
         handle_clear(f);
-    call_free(call, "tried once more elsewhere");
+    call_free(call, "retried at another back end");
     forward_continue(f);
     return true;
 }
@@ -299,7 +299,7 @@
     forward_t *const f = call->request;
     if (call->reply.not_run) {
         counter_add(&c_refused, 1);
-        handle_not_run(call, "turned away", true);
+        handle_not_run(call, "refused by the back end", true);
         return;
     }
     if (call->op == DIALECT_PREFILL) {
@@ -316,7 +316,7 @@
     if (try_elsewhere(call))
         return;
     if (f->begun) {
-        handle_lost_answer(call, "stream could not be taken up");
+        handle_lost_answer(call, "stream could not be resumed");
         return;
     }
     deliver(call);
@@ -324,7 +324,7 @@
 
 /* ===== Reports of the call ===== */
 
-/** This box ends the call. */
+/** Cancels the call from this side. */
 static void give_up(backend_call_t *call, const char *why)
 {
     web_call_cancel(call->http);
@@ -335,22 +335,21 @@
 static void on_prefill_timeout(void *arg)
 {
     backend_call_t *const call = ((forward_t *)arg)->call;
-    assert(call); /* disarmed with the step */
-    give_up(call, "prefill engine is silent");
+    assert(call); /* disarmed with the call */
+    give_up(call, "prefill engine did not answer in time");
 }
 
 static void arm_silence_timer(forward_t *f);
 
-/** The run is silent and another can follow: once all that this takes is paid for, it is given up. The silence is none
- *  while bytes wait to be read: this box stood still, or they came while the leader was asked. */
+/** Gives up a silent run, once the retry budget covers the next run. The run is not silent while bytes wait to be read:
+ *  this box was suspended, or they arrived while the leader was queried. */
 static void give_up_when_granted(forward_t *f)
 {
     if (web_call_has_news(f->call->http)) {
         arm_silence_timer(f);
         return;
     }
-    /* This run counts, and so does the prompt that is read anew; without a prefill engine the run behind it reads it.
-     */
+    /* This run counts, and so does a second prefill; without a prefill engine the next run reads the prompt. */
     const bool prefills = f->split && f->retry.prefilled && forward_has_any(f, STAGE_PREFILL);
     const unsigned before = f->retry.counted + 1 + prefills;
     if (before > f->retry.paid)
@@ -359,27 +358,27 @@
         give_up(f->call, "stream is silent");
 }
 
-/** Giving a run up ends it for good, so it is done only when another run can follow: else it is waited for. */
+/** Gives up a silent run only when another can follow; otherwise waits on. */
 static void on_run_silent(void *arg)
 {
     forward_t *const f = arg;
-    assert(f->call); /* disarmed with the step */
+    assert(f->call); /* disarmed with the call */
     if (has_other(f->call, forward_has_any))
         give_up_when_granted(f);
     else
         arm_silence_timer(f);
 }
 
-/** A stream that may be taken up elsewhere is not waited for longer than its pauses allow. */
+/** Arms the silence timeout of a stream that may resume elsewhere, derived from the gap target of its route. */
 static void arm_silence_timer(forward_t *f)
 {
     const tc_time_t pauses = SILENCE_GAP_TARGETS * f->route->gap_target;
     const tc_time_t limit = pauses > 0 ? pauses : f->owner->options.silence_timeout_ms;
-    retry_cancel(f); /* what was asked of the leader was for a silence that is over */
+    retry_cancel(f); /* the query to the leader concerned a silence that is over */
     if (may_run_again(f))
         loop_arm(f->owner->loop, &f->call_timer, tc_time_now() + limit, on_run_silent, f);
     else
-        loop_disarm(&f->call_timer); /* of an event before */
+        loop_disarm(&f->call_timer); /* armed for an earlier event */
 }
 
 static web_verdict_t on_head(void *arg, const web_head_t *head)
@@ -388,7 +387,7 @@
     forward_t *const f = call->request;
     dialect_reply_t reply;
     dialect_read_reply(head, f->facts.id, &reply);
-    notice_apply(f->owner, call->instance, head); /* a late answer of another request comes from the same back end */
+    notice_apply(f->owner, call->instance, head); /* even the late answer of another request comes from this back end */
     if (!reply.matches_request)
         return WEB_SKIP;
     call->reply = reply;
@@ -424,8 +423,8 @@
     }
     switch (stream_feed(call, data, size)) {
     case STREAM_OK: arm_silence_timer(call->request); break;
-    case STREAM_REPEATED: give_up(call, "run does not go on behind the last event"); break;
-    case STREAM_TOO_LARGE: forward_fail(call->request, "event is too large"); break; /* it would be on every engine */
+    case STREAM_REPEATED: give_up(call, "run does not continue after the last event"); break;
+    case STREAM_TOO_LARGE: forward_fail(call->request, "event exceeds 4 MiB"); break; /* it would be on every engine */
     }
 }
 
@@ -434,20 +433,20 @@
     backend_call_t *const call = arg;
     call->http = NULL;
     if (how == WEB_END_UNSENT)
-        handle_not_run(call, "no connection", false);
-    else if (stream_has_begun(call)) /* which a refusal never is */
+        handle_not_run(call, "connection to the back end failed", false);
+    else if (stream_has_begun(call)) /* a refusal is never streamed */
         handle_stream_end(call, how);
     else if (how == WEB_END_WHOLE)
         handle_answer(call);
     else if (how == WEB_END_CUT && call->reply.not_run)
-        handle_not_run(call, "turned away", true);
+        handle_not_run(call, "refused by the back end", true);
     else
-        handle_lost_answer(call, how == WEB_END_CUT ? "answer broke off" : "connection broke");
+        handle_lost_answer(call, how == WEB_END_CUT ? "answer broke off" : "connection to the back end broke");
 }
 
 /* ===== Sending ===== */
 
-/** Kept connections may close at any moment, so only what may be sent again goes over them. */
+/** Kept-alive connections may close at any time, so only requests that may be sent again use them. */
 static bool may_reuse_connection(const forward_t *f, dialect_op_t op)
 {
     return op == DIALECT_PREFILL || route_is_repeatable(f->route);
@@ -455,9 +454,10 @@
 
 void call_begin(forward_t *f, dialect_op_t op, instance_t *instance)
 {
-    assert(!f->call); /* one call at a time: a request never runs on two back ends by our will */
+    assert(!f->call); /* one call at a time: a request never runs on two back ends deliberately */
     const tc_time_t now = tc_time_now();
-    assert(instance_accepts_work(instance, now)); /* promise: none to a back end that leaves or asked for no calls */
+    assert(instance_accepts_work(instance,
+                               now)); /* guarantee: no call to a back end that is leaving or asked for no calls */
     counter_add(&c_calls, 1);
     backend_call_t *const call = g_new0(backend_call_t, 1);
     call->request = f;
@@ -480,7 +480,7 @@
     GByteArray *const request = dialect_write_request(&f->request, instance->listed.addr, &params);
     f->call = call;
     if (f->hold.instance == instance)
-        hold_clear(f); /* it serves once */
+        hold_clear(f); /* a reservation serves one call */
     call->ends = forward_backend_ends(f);
     instance_begin(instance, call->tokens, call->ends);
     forward_log(f, "send", op == DIALECT_PREFILL ? "prefill" : (op == DIALECT_DECODE ? "decode" : "serve"), 0,
--- a/lib/forward/forward_caller.c
+++ b/lib/forward/forward_caller.c
@@ -1,10 +1,11 @@
-/* Whose request it is, and whether this box may say that it is nobody's. */
+/* Identifies the caller of a request, and decides whether an unknown key or route is a final refusal. */
 
 #include <string.h>
 
 #include "forward/forward_internal.h"
 
-enum { STATUS_UNSURE = 503 /* it has not run, and another box may know better */ };
+/** The request has not run, and another box may have a newer configuration. */
+enum { STATUS_UNSURE = 503 };
 
 caller_t caller_identify(const route_table_t *table, const route_t *route, const dialect_request_t *facts)
 {
@@ -17,8 +18,8 @@
         return (caller_t){.workspace = holder};
     switch (facts->key_state) {
     case DIALECT_KEY_NONE: return (caller_t){.why = "no key"};
-    case DIALECT_KEY_WRONG: return (caller_t){.why = "what it carries is not one key"};
-    case DIALECT_KEY_GIVEN: return (caller_t){.why = "nobody holds its key"};
+    case DIALECT_KEY_WRONG: return (caller_t){.why = "its credentials are not one key"};
+    case DIALECT_KEY_GIVEN: return (caller_t){.why = "its key is unknown"};
     }
     return (caller_t){.why = "no key"};
 }
@@ -33,7 +34,7 @@
     return !caller.why && strcmp(caller.workspace ? caller.workspace->name : "", before) == 0;
 }
 
-/** Whether this box can be sure that what its configuration does not know is not there. */
+/** Whether the configuration is current, so that what it lacks does not exist. */
 static bool config_is_fresh(const forwarder_t *fw)
 {
     return !fw->scheduler || reporter_is_current(fw->scheduler, fw->options.config_fresh_ms);
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -1,4 +1,5 @@
-/* How much a workspace may ask: by the leader, with the placement that a stream asks for anyway, else by this box. */
+/* Usage caps of workspaces. The leader checks them together with the placement of a stream; for other requests this box
+ * checks its share of the cap. */
 
 #include "common/counter.h"
 #include "common/log.h"
@@ -85,6 +86,6 @@
 
 void cap_refuse(forward_t *f, tc_time_t after)
 {
-    const cap_decision_t verdict = {.reason = "the leader's count of all boxes", .state_age = 0, .after = after};
+    const cap_decision_t verdict = {.reason = "the usage cap is reached over all boxes", .state_age = 0, .after = after};
     refuse(f, &verdict);
 }
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -1,5 +1,5 @@
-/* Requests that come before the box knows where to send them: in its first second it learns the configuration and the
- * back ends within some ten ms, so they wait for that instead of being refused. */
+/* Requests that arrive before the box has a configuration and back ends. After its start a box usually receives both
+ * within tens of ms, so such requests wait instead of being refused. */
 
 #include <urcu/list.h>
 
@@ -11,7 +11,7 @@
 
 /* ===== Types ===== */
 
-/** One that waits. */
+/** A waiting request. */
 typedef struct {
     struct cds_list_head node;
     forwarder_t *owner;
@@ -22,7 +22,7 @@
 
 /* ===== Ending ===== */
 
-/** Take it off the list and free it. */
+/** Removes the request from the queue and frees the entry. */
 static void early_end(early_request_t *e)
 {
     loop_disarm(&e->limit);
@@ -31,7 +31,7 @@
     g_free(e);
 }
 
-/** Begin the request: it is sent like any other by now, or refused. */
+/** Begins the request, which is then sent or refused like any other. */
 static void early_begin(early_request_t *e)
 {
     forwarder_t *const fw = e->owner;
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -1,5 +1,5 @@
-/* Memory set aside at a decode engine before the prompt is read: for boxes that place alone, whose guess of an engine's
- * room would otherwise be tested with a prompt that is read for nothing. */
+/* Memory reservations at decode engines, made before the prompt is read. Boxes that place locally use them: without a
+ * reservation, a wrong guess of an engine's free memory would waste a prefill. */
 
 #include <assert.h>
 #include <string.h>
@@ -44,7 +44,7 @@
         hold_release(f);
 }
 
-/* ===== The engine's answer ===== */
+/* ===== Answers ===== */
 
 static void hold_failed(const engine_query_t *h, const char *why, bool refused)
 {
@@ -66,24 +66,24 @@
     const engine_query_t *const h = arg;
     forward_t *const f = h->request;
     if (how == WEB_ASK_LATE) {
-        hold_failed(h, "no answer in time", false);
+        hold_failed(h, "engine did not answer in time", false);
         return;
     }
     const bool granted = how == WEB_ASK_WHOLE && h->ask.status == 200;
     char *const name = granted ? dialect_read_hold((const char *)h->ask.body->data, h->ask.body->len) : NULL;
     if (!name) {
-        hold_failed(h, how == WEB_ASK_WHOLE ? "no room" : "no answer", how == WEB_ASK_WHOLE);
+        hold_failed(h, how == WEB_ASK_WHOLE ? "engine has no room" : "engine did not answer", how == WEB_ASK_WHOLE);
         return;
     }
     counter_add(&c_taken, 1);
-    forward_log(f, "hold_taken", "memory set aside", h->ask.status, h->instance);
+    forward_log(f, "hold_taken", "memory reserved", h->ask.status, h->instance);
     f->hold.instance = instance_ref(h->instance);
     f->hold.name = name;
     drop_query(f);
     forward_continue(f);
 }
 
-/* ===== Asking ===== */
+/* ===== Requests ===== */
 
 bool hold_request(forward_t *f)
 {
@@ -93,7 +93,7 @@
     instance_t *const instance = forward_choose(f, STAGE_DECODE);
     if (!instance)
         return false;
-    assert(!f->hold.query); /* one question at a time */
+    assert(!f->hold.query); /* one query at a time */
     f->hold.tries++;
     static const engine_query_limits_t limits = {.connect_ms = CONNECT_TIMEOUT_MS, .answer_ms = HOLD_TIMEOUT_MS};
     const tc_time_t ttl = f->settings->hold_ttl < HOLD_MS ? f->settings->hold_ttl : HOLD_MS;
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -1,6 +1,6 @@
-/* Limits of back ends for all boxes together: those that they name, and what cold ones bear. A request to such a back
- * end is sent when the leader allows it, who counts what all boxes send, or, while none answers, within this box's part
- * of the limit. */
+/* Rate limits of back ends, shared by all boxes: limits that back ends announce, and the limit for cold back ends. The
+ * leader counts the requests of all boxes and permits each one; while it does not answer, this box's share of the limit
+ * applies. */
 
 #include <math.h>
 #include <stdlib.h>
@@ -20,9 +20,10 @@
 
 /* ===== Constants ===== */
 
-enum { ANSWER_MS = 100 /* the leader answers within a round trip; without it the box's own part counts */ };
+/** Timeout of the leader, which answers within a round trip. After it the box's own share of the limit applies. */
+enum { ANSWER_TIMEOUT_MS = 100 };
 
-/* ===== What is known ===== */
+/* ===== Known limits ===== */
 
 static void log_limit(const instance_t *instance, const char *from)
 {
@@ -36,7 +37,7 @@
     log_end(&line);
 }
 
-/** Whether this box knows something newer than the leader told, and other. */
+/** Whether this box knows a newer and different limit than the leader. */
 static bool is_newer_than_leader(const forwarder_t *fw, const instance_t *instance)
 {
     const instance_limit_t *const own = &instance->limit;
@@ -47,15 +48,15 @@
     return !same && own->seen_at > known->seen_at;
 }
 
-/** Whether this box knows of a limit where the leader knows none. Other news can wait for the next report: a back end
- *  may name another limit with each answer. */
+/** Whether this box knows a limit where the leader knows none. Other changes wait for the next report, since a back end
+ *  may announce another limit with each answer. */
 static bool is_urgent(const forwarder_t *fw, const instance_t *instance)
 {
     const limit_entry_t *const known = limit_table_find(fw->leader_limits, instance->listed.id);
     return instance->limit.is_set && !(known && known->is_set) && is_newer_than_leader(fw, instance);
 }
 
-/** @param from who says so, for the log @return whether the limit has changed */
+/** @param from source, for the log @return whether the limit has changed */
 static bool apply_limit(instance_t *instance, const instance_limit_t *limit, const char *from)
 {
     if (!instance_update_limit(instance, limit))
@@ -65,7 +66,7 @@
     return true;
 }
 
-/** Whether the absence of a limit means something: the back end itself answered, and did not fail. */
+/** Whether the answer shows the limit or its absence: the back end itself answered, and did not fail. */
 static bool is_backend_answer(const backend_call_t *call)
 {
     return call->reply.limited || (call->reply.success && (call->reply.authentic || call->op == DIALECT_PREFILL));
@@ -78,7 +79,7 @@
     const instance_limit_t limit = {.is_set = call->reply.limited, .rate = call->reply.limit, .seen_at = tc_time_now()};
     forwarder_t *const fw = call->request->owner;
     if (apply_limit(call->instance, &limit, "its answer") && fw->scheduler && is_urgent(fw, call->instance))
-        reporter_report_now(fw->scheduler); /* the scheduler grants more there until it knows */
+        reporter_report_now(fw->scheduler); /* until the scheduler knows, it exceeds the limit */
 }
 
 void limit_apply_leader_list(forwarder_t *fw)
@@ -152,22 +153,22 @@
     return is_new || has_urgent_update(fw);
 }
 
-/* ===== This box's part ===== */
+/* ===== This box's share ===== */
 
-/** Whether a request to the back end is counted by what cold ones bear. */
+/** Whether the limit for cold back ends applies. */
 static bool is_cold(const forward_t *f, const instance_t *instance)
 {
     return instance->cold && f->settings->cold_rate > 0;
 }
 
-/** A request to a back end, as caps see it. @param cap filled in, and referred to */
+/** One request to a back end as a charge to a cap. @param cap filled in; the result points to it */
 static cap_request_t ask_of(const instance_t *instance, double rate, cap_t *cap)
 {
     *cap = (cap_t){.unit = CAP_REQUESTS, .rate = MAX(rate, LIMIT_RATE_MIN)};
     return (cap_request_t){.name = instance->listed.id, .cap = cap, .units = 1, .leader_decides = true};
 }
 
-/** The leader has counted the request: the next one hears of it from this box. */
+/** Records a request that the leader has counted, so that this box can report it to the next leader. */
 static void record_sent(const forward_t *f, const instance_t *instance)
 {
     cap_t cap;
@@ -191,7 +192,7 @@
     return taken;
 }
 
-/** @param after when the box may send a request, ms, if it may not now */
+/** @param after time until the box may send a request, ms, if it may not now */
 static bool take_own_share(const forward_t *f, const instance_t *instance, tc_time_t *after)
 {
     forwarder_t *const fw = f->owner;
@@ -205,7 +206,8 @@
 
 /* ===== Deciding ===== */
 
-/** The back end gets none for a while: the request goes elsewhere. @param instance a reference, taken over */
+/** Closes the back end to requests of this box for @p after ms; the request continues elsewhere.
+ *  @param instance a reference, taken over */
 static void close_backend(forward_t *f, instance_t *instance, tc_time_t after, const char *why)
 {
     counter_add(&c_closed, 1);
@@ -225,7 +227,7 @@
     if (take_own_share(f, instance, &after))
         forward_send(f, op, instance);
     else
-        close_backend(f, instance, after, "this box's part of its limit");
+        close_backend(f, instance, after, "this box's share of the rate limit is used up");
 }
 
 static void on_answer(forward_t *f, int rc, uint32_t type, const void *message)
@@ -239,7 +241,7 @@
     }
     const msg_take_limit_ack_t *const ack = message;
     if (!ack->granted) {
-        close_backend(f, instance, ack->after_ms, "the leader's count of all boxes");
+        close_backend(f, instance, ack->after_ms, "the rate limit is reached over all boxes");
         return;
     }
     record_sent(f, instance);
@@ -252,7 +254,8 @@
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
     f->limit_wait.instance = instance;
     f->limit_wait.op = op;
-    if (f->owner->scheduler && leader_query(f, &f->limit_wait.query, MSG_TAKE_LIMIT, &message, ANSWER_MS, on_answer))
+    if (f->owner->scheduler &&
+        leader_query(f, &f->limit_wait.query, MSG_TAKE_LIMIT, &message, ANSWER_TIMEOUT_MS, on_answer))
         return true;
     f->limit_wait.instance = NULL;
     return false;
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -1,6 +1,5 @@
-/* Streams that their callers take up again: the engine that carried the answer is likely to keep the prompt, so that
- * nothing has to be computed anew there. Engines are asked what they keep, since the box that placed the request is
- * gone more often than not. */
+/* Resumed streams: the engine that delivered the answer probably still caches the prompt and need not compute it again.
+ * Engines are queried for their cache contents, since the box that placed the request is usually gone. */
 
 #include <assert.h>
 #include <string.h>
@@ -13,7 +12,7 @@
 COUNTER_DEFINE(c_asked, "counter", "trackcove_locate_asked_total", "Questions to engines which prompts they keep")
 COUNTER_DEFINE(c_found, "counter", "trackcove_locate_found_total", "Those of which an engine kept most of the prompt")
 
-/** Of a prompt, an engine must keep so much for the stream to be sent there: it reads what is missing at half pace. */
+/** Share of the prompt that an engine must cache to get the stream, since it reads the rest at half speed. */
 static const double CACHED_SHARE_MIN = 0.5;
 
 /* ===== Ending ===== */
@@ -34,13 +33,13 @@
 
 /* ===== Answers ===== */
 
-/** Keep what was found, if it is worth it. */
+/** Ends the search and keeps the engine found if it caches enough. */
 static void finish(forward_t *f)
 {
     const bool found = f->locate.instance && f->locate.tokens >= CACHED_SHARE_MIN * f->facts.prompt_tokens;
     counter_add(&c_looked, 1);
     counter_add(&c_found, found);
-    forward_log(f, "located", found ? "an engine keeps the prompt" : "no engine keeps the prompt", 0,
+    forward_log(f, "located", found ? "an engine caches the prompt" : "no engine caches the prompt", 0,
                 f->locate.instance);
     if (!found && f->locate.instance) {
         instance_unref(f->locate.instance);
@@ -56,7 +55,7 @@
     instance->prefix_report_at = tc_time_now();
 }
 
-/** Take the instance when it keeps more of the prompt than the best so far, by what it told last. */
+/** Selects the instance if its last answer shows a larger cached part of the prompt than the best so far. */
 static void consider(forward_t *f, instance_t *instance)
 {
     const unsigned tokens = dialect_read_cached_tokens((const char *)instance->prefix_report->data,
@@ -77,15 +76,15 @@
         cache_answer(query->instance, query->ask.body);
         consider(f, query->instance);
     }
-    assert(f->locate.pending > 0 && f->owner->locate_queries > 0); /* counted when it was asked */
+    assert(f->locate.pending > 0 && f->owner->locate_queries > 0); /* counted when the query was sent */
     f->owner->locate_queries--;
     if (--f->locate.pending > 0)
-        return; /* all answer, or are late */
+        return; /* wait for every answer or timeout */
     finish(f);
     forward_continue(f);
 }
 
-/* ===== Asking ===== */
+/* ===== Queries ===== */
 
 static void query_engine(void *arg, instance_t *instance)
 {
@@ -113,8 +112,8 @@
     f->locate.instance = instance_ref(instance);
 }
 
-/** Of a few engines all are asked, of more those behind the place where the scheduler begins its choice. Beyond them
- *  one that was placed by a box alone is found by luck. */
+/** Number of engines to query: in a small pool all, in a large one those behind the position where the scheduler starts
+ *  its choice. An engine that a box chose locally may be missed then. */
 static unsigned query_limit(const forward_t *f, const fleet_query_t *wish)
 {
     return fleet_count(f->owner->fleet, wish) > LOCATE_POOL_FACTOR * LOCATE_QUERIES_MAX ? LOCATE_NEAREST_MAX
@@ -126,7 +125,7 @@
     if (!mechanism_is_on(MECHANISM_KEEPERS) || f->locate.asked || !f->facts.resume_after[0] || f->facts.parts_n == 0)
         return false;
     if (forward_backend_ends(f) > 0)
-        return false; /* the engine that kept it has ended, and another is chosen with regard to who runs there */
+        return false; /* the engine that cached it has ended; the next is chosen with regard to its other requests */
     f->locate.asked = true;
     const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
     fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, query_limit(f, &wish), query_engine, f);
--- a/lib/forward/forward_log.c
+++ b/lib/forward/forward_log.c
@@ -1,4 +1,4 @@
-/* Lines of the log about one request. */
+/* Log lines of requests. */
 
 #include "common/log.h"
 #include "forward/forward_internal.h"
@@ -18,14 +18,14 @@
     log_int(&line, "output_tokens", f->facts.output_tokens);
     log_int(&line, "aim_ms", f->route->latency_target);
     log_int(&line, "pause_aim_ms", f->route->gap_target);
-    if (f->facts.parts_n > 0) /* the caller's own: the same when it asks again */
+    if (f->facts.parts_n > 0) /* chosen by the caller, and the same in all its attempts */
         log_str(&line, "prompt", f->facts.parts[f->facts.parts_n - 1].id);
     if (f->facts.resume_after[0])
         log_str(&line, "resume_after", f->facts.resume_after);
     log_end(&line);
 }
 
-/** How old an input of a decision is; left out when there is none. */
+/** Logs the age of an input of a decision, unless there is none. */
 static void log_age(log_line_t *line, const char *key, tc_time_t age)
 {
     if (age != TC_TIME_NEVER)
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -1,4 +1,4 @@
-/* What back ends say of themselves in their answers, to requests and to questions. */
+/* Availability notices of back ends, in their answers to requests and to queries. */
 
 #include "common/counter.h"
 #include "common/sabotage.h"
@@ -28,7 +28,7 @@
 
 /* ===== Reports ===== */
 
-/** @return false, with nothing filled in, when it has nothing to say */
+/** @return false, with an empty notice, when there is nothing to report */
 static bool fill_notice(const instance_t *instance, backend_notice_t *notice, tc_time_t now)
 {
     const availability_t *const a = &instance->availability;
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -1,4 +1,5 @@
-/* Placements: asking the scheduler beside the leader, renewing what it granted, and telling it how requests fare. */
+/* Placement: requests placements from the scheduler beside the leader, renews them, and reports the progress of
+ * requests. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -14,23 +15,24 @@
 COUNTER_DEFINE(c_refused, "counter", "trackcove_place_refused_total", "Placements that the scheduler refused")
 COUNTER_DEFINE(c_alone, "counter", "trackcove_place_alone_total", "Placements that this box made without an answer")
 
-/** Attempts that this box numbers by itself are below those of any scheduler. */
+/** Upper bound of the attempt numbers of local placements; schedulers use higher ones. */
 enum { LOCAL_ATTEMPTS_MAX = 1000000 };
-/** A leader heard within this time is there: two reports, and the time of an answer. */
+/** A leader that answered within this time is alive: two report intervals and the time of one answer. */
 enum { LEADER_ALIVE_MS = 700 };
-/** Callers give a stream up after the longest of this pause in ms, these multiples of the route's aim, and of the pause
- *  that it wants: as the users' platform tells of them. */
+/** Callers give up a stream after a gap of GAP_LIMIT_MIN_MS, of GAP_LIMIT_LATENCY_TARGETS latency targets or of
+ *  GAP_LIMIT_GAP_TARGETS gap targets of the route, whichever is longest. Documented by the users' platform. */
 enum { GAP_LIMIT_MIN_MS = 2000, GAP_LIMIT_LATENCY_TARGETS = 4, GAP_LIMIT_GAP_TARGETS = 8 };
-/** Of that pause, what taking a stream up takes at the new engine: some 200 ms to read the prompt again, and as much
- * for the question and the first event of an engine with others. */
+/** Part of that gap that resuming a stream takes at the new engine: about 200 ms to read the prompt again, and as much
+ * for the placement and the first event of an engine with other requests. */
 enum { RESUME_COST_MS = 400 };
-/** All engines are one cell. */
+/** All engines form one cell. */
 static const char CELL[] = "main";
 
-/** Of what a request may generate, this share is taken for what it will when its caller makes no guess. */
+/** Expected share of the output limit that a request generates, when its caller sends no hint. */
 static const double DEFAULT_OUTPUT_SHARE = 0.4;
-/** Memory grows with every token: over its life a request holds about half of its output. Engines that run out put a
- *  request back, so the sum over an engine's requests counts, not the worst of each. */
+/** Share of its output for which a request holds memory, averaged over its life, as memory grows with every token. The
+ *  average is enough: engines that run out of memory requeue a request, so the sum over all requests of an engine
+ * counts and not the maximum of each. */
 static const double MEAN_HELD_SHARE = 0.5;
 
 uint32_t place_output_tokens(const dialect_request_t *facts)
@@ -40,9 +42,9 @@
     return (uint32_t)(MEAN_HELD_SHARE * (likely < most ? likely : most));
 }
 
-/* ===== Questions ===== */
+/* ===== Queries ===== */
 
-/** Place alone, and have it counted with a renewal. */
+/** Places locally; the next renewal reports the placement to the scheduler. */
 static void place_locally(forward_t *f)
 {
     counter_add(&c_alone, 1);
@@ -58,14 +60,14 @@
     if (!f->owner->scheduler || strcmp(f->placement.decode, decode->listed.id) == 0 ||
         strcmp(f->placement.local_decode, decode->listed.id) == 0)
         return;
-    place_report(f, PHASE_FAILED, NULL); /* where it was counted before */
+    place_report(f, PHASE_FAILED, NULL); /* releases the engine that it was counted at */
     place_locally(f);
     codec_copy_string(f->placement.local_decode, sizeof(f->placement.local_decode), decode->listed.id);
     renew_soon(f->owner);
 }
 
-/** No engine had room for a prompt that is read already, or for a request whose engine broke off: a place may be free
- * before the result lapses, or the caller gives up. */
+/** Retries a request whose prompt is already read, or whose engine failed, after no engine had room. Room may become
+ * free before the prefill result expires or the caller gives up. @return whether a retry is scheduled */
 static bool retry_placement_soon(forward_t *f)
 {
     if (!f->handle.instance && !f->begun && f->runs == 0)
@@ -108,7 +110,7 @@
     forward_continue(f);
 }
 
-/** Whether the scheduler answers others: a question without an answer waits there for room. */
+/** Whether the scheduler is alive; then an unanswered query waits there for room. */
 static bool leader_is_alive(const forwarder_t *fw)
 {
     return tc_time_now() - reporter_leader_contact_time(fw->scheduler) < LEADER_ALIVE_MS;
@@ -116,14 +118,14 @@
 
 static bool query_placement(forward_t *f);
 
-/** The scheduler is there and has no room yet: ask on while that is of use. */
+/** Repeats the query while waiting for room is useful. The scheduler is alive but has no room yet. */
 static void wait_for_room(forward_t *f)
 {
     if (!f->handle.instance && tc_time_now() < place_wait_until(f) && query_placement(f))
         return;
     place_report(f, PHASE_FAILED, NULL);
     counter_add(&c_refused, 1);
-    forward_fail_full(f, REASON_NOT_IN_TIME); /* a guess of ours would find none either */
+    forward_fail_full(f, REASON_NOT_IN_TIME); /* a local placement would find no room either */
 }
 
 static void on_placed(forward_t *f, int rc, uint32_t type, const void *message)
@@ -137,8 +139,8 @@
         return;
     }
     if (rc == TC_E_TIMEOUT)
-        place_report(f, PHASE_FAILED, NULL); /* it may still wait there */
-    forward_log(f, "place_alone", "no answer of the scheduler", 0, NULL);
+        place_report(f, PHASE_FAILED, NULL); /* the query may still be queued there */
+    forward_log(f, "place_alone", "scheduler did not answer", 0, NULL);
     place_locally(f);
     forward_continue(f);
 }
@@ -148,7 +150,7 @@
     return leader_query(f, &f->placement.query, type, message, PLACE_TIMEOUT_MS, on_placed);
 }
 
-/** Whose the request is, and what it is by the workspace's usage cap: the leader lets it in with its placement. */
+/** Fills in the workspace and the cost by its usage cap, which the leader checks together with the placement. */
 static void place_fill_workspace(const forward_t *f, msg_place_t *place)
 {
     if (!f->workspace)
@@ -159,7 +161,8 @@
     place->cap_units = f->cap_granted || !mechanism_is_on(MECHANISM_CAP_LEADER) ? 0 : cap_units(f);
 }
 
-/** Asking again with the same id keeps the request's place: the queue is in order of due times. */
+/** Sends a placement query. A repeated query with the same id keeps its position, as the queue is ordered by due time.
+ */
 static bool query_placement(forward_t *f)
 {
     forwarder_t *const fw = f->owner;
@@ -184,7 +187,7 @@
     return query(f, MSG_PLACE, &place);
 }
 
-/** How long a caller bears a pause of a stream: it gives up after the longest of these. */
+/** Gap between two events after which a caller gives up a stream. */
 static tc_time_t caller_gap_limit(const route_t *route)
 {
     const tc_time_t by_aims =
@@ -194,8 +197,7 @@
 
 tc_time_t place_wait_until(const forward_t *f)
 {
-    if (f->event_at >
-        0) /* its caller holds a part of the answer: it is cut off only when nobody waits for the rest any more */
+    if (f->event_at > 0) /* the caller has part of the answer: wait until it would give up */
         return f->event_at + caller_gap_limit(f->route) - RESUME_COST_MS;
     return f->request.arrived + (tc_time_t)(PLACE_WAIT_TARGETS * (double)f->route->latency_target);
 }
@@ -206,7 +208,7 @@
         return false;
     f->placement.asked = true;
     if (f->placement.attempt > 0)
-        place_report(f, PHASE_FAILED, NULL); /* the engine that this box chose did not take it */
+        place_report(f, PHASE_FAILED, NULL); /* the engine that this box chose did not take the request */
     f->placement.attempt = 0;
     if (!f->owner->scheduler || !f->facts.id[0] || !mechanism_is_on(MECHANISM_SCHEDULER))
         return false;
@@ -219,7 +221,7 @@
 bool place_replan(forward_t *f, const char *bad, trouble_t trouble)
 {
     if (!f->placement.decode[0])
-        return false; /* the scheduler did not choose: it can't choose anew */
+        return false; /* the scheduler did not choose this engine, so it cannot replace it */
     msg_replan_t replan = {.attempt = f->placement.attempt, .trouble = trouble, .ends = forward_backend_ends(f)};
     codec_copy_string(replan.cell, sizeof(replan.cell), CELL);
     codec_copy_string(replan.id, sizeof(replan.id), f->facts.id);
@@ -236,7 +238,7 @@
     return !f->placement.decode[0];
 }
 
-/** Whether the leader counted a call to the engine of that stage, which is still to be made. */
+/** Flag for a call to the engine of that stage that the leader counted and that has not been made yet. */
 static bool *granted_flag(forward_t *f, stage_t stage)
 {
     return stage == STAGE_PREFILL ? &f->placement.prefill_granted : &f->placement.decode_granted;
@@ -276,7 +278,7 @@
     return true;
 }
 
-/* ===== Telling ===== */
+/* ===== Progress ===== */
 
 void place_report(forward_t *f, phase_t phase, const instance_t *bad)
 {
@@ -302,7 +304,7 @@
         place_report(f, f->events > 0 ? PHASE_FINISHED : PHASE_FAILED, NULL);
 }
 
-/* ===== Renewing ===== */
+/* ===== Renewal ===== */
 
 static bool is_counted(const forward_t *f)
 {
@@ -344,7 +346,7 @@
         forward_t *f;
         cds_list_for_each_entry(f, &fw->requests, node)
             if (strcmp(f->facts.id, ack->lost[i].id) == 0 && f->placement.attempt == ack->lost[i].attempt)
-                f->placement.attempt = 0; /* it runs on; the scheduler counts it no more */
+                f->placement.attempt = 0; /* the request continues, but the scheduler no longer counts it */
     }
 }
 
--- a/lib/forward/forward_probe.c
+++ b/lib/forward/forward_probe.c
@@ -1,5 +1,5 @@
-/* Whether a back end whose answer was lost has ended, or only a connection to it: it is looked at once for all requests
- * that lost their answers there, and those that can go on wait for what is found. */
+/* Finds out whether a back end whose answer was lost has ended, or only a connection to it. One probe serves all
+ * requests that lost their answers there; those that can continue wait for its result. */
 
 #include <string.h>
 
@@ -13,26 +13,26 @@
 /* ===== Constants ===== */
 
 enum {
-    PROBE_DELAY_MS = 5, /* before a look: a process that ends closes its sockets one after the other, the one it listens
-                          at among them */
-    PROBE_INTERVAL_MS = 20, /* between looks while calls of this box are on their way there */
-    PROBE_LIMIT_MS = 300    /* in all: calls that find nobody fail by then, see CONNECT_MS */
+    PROBE_DELAY_MS = 5,     /* before the first probe: an ending process closes its sockets one after the other,
+                                  including the listening one */
+    PROBE_INTERVAL_MS = 20, /* between probes while calls of this box are in transit to the back end */
+    PROBE_LIMIT_MS = 300    /* for all probes: calls to an ended back end fail by then, see CONNECT_TIMEOUT_MS */
 };
 
 /* ===== Types ===== */
 
 struct probe {
-    struct cds_list_head node; /* among the forwarder's */
+    struct cds_list_head node; /* in forwarder.probes */
     forwarder_t *owner;
     instance_t *instance; /* a reference */
     loop_timer_t timer;
     web_probe_t web;
-    tc_time_t lost_at;            /* the first answer was */
-    GArray *lost;                 /* uint64_t: fingerprints of the requests whose answers were */
+    tc_time_t lost_at;            /* time of the first lost answer */
+    GArray *lost;                 /* uint64_t: fingerprints of the requests with lost answers */
     struct cds_list_head waiters; /* look_wait_t */
 };
 
-/* ===== Ends of looks ===== */
+/* ===== Results ===== */
 
 static void probe_free(probe_t *probe)
 {
@@ -58,7 +58,7 @@
     log_end(&line);
 }
 
-/** The end counts against all that ran there, and others are to know. */
+/** Counts the end against all requests that ran there, and reports it at once. */
 static void record_end(const probe_t *probe)
 {
     forwarder_t *const fw = probe->owner;
@@ -71,7 +71,7 @@
         reporter_report_now(fw->scheduler);
 }
 
-/** Those that waited go on. What they do may end them, and others. */
+/** Continues the waiting requests. Each may end itself and others. */
 static void resume_waiters(probe_t *probe, bool ended)
 {
     while (!cds_list_empty(&probe->waiters)) {
@@ -84,15 +84,14 @@
 
 static void on_probe_due(void *arg);
 
-/** Whether to look once more: a call that was on its way there when the back end ended counts as running until it has
- *  found nobody. */
+/** Whether to probe again: a call in transit when the back end ended counts as running until its connection fails. */
 static bool is_undecided(const probe_t *probe, web_probe_end_t found, tc_time_t now)
 {
     return found == WEB_PROBE_REFUSED && probe->instance->running > 0 && now - probe->lost_at < PROBE_LIMIT_MS;
 }
 
-/** Nobody listens there, and nothing of this box runs there any more: it has ended. A busy back end may refuse a
- *  connection as well, but goes on with what it runs. */
+/** A back end has ended when it refuses connections and runs no request of this box any more. A busy back end may
+ * refuse a connection too, but its requests keep running. */
 static void on_probed(void *arg, web_probe_end_t found)
 {
     probe_t *const probe = arg;
@@ -115,7 +114,7 @@
     web_probe(&probe->web, probe->owner->loop, probe->instance->listed.addr, CONNECT_TIMEOUT_MS, on_probed, probe);
 }
 
-/* ===== Begin ===== */
+/* ===== Starting ===== */
 
 static probe_t *probe_find(const forwarder_t *fw, const instance_t *instance)
 {
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -1,4 +1,4 @@
-/* Questions that a request puts beside the call that serves it: to the leader of the control boxes and to engines. */
+/* Queries that a request sends besides its call: to the leader of the control boxes and to engines. */
 
 #include <assert.h>
 
@@ -6,9 +6,9 @@
 
 /* ===== To the leader ===== */
 
-/** A question under way. The transport can't take it back, so it outlives its request when the caller leaves. */
+/** A query in flight. The transport cannot cancel it, so it outlives its request when the caller leaves. */
 struct leader_query {
-    forward_t *request; /* NULL once it has ended */
+    forward_t *request; /* NULL once the request has ended */
     leader_query_t **slot;
     leader_answer_fn_t fn;
 };
@@ -18,7 +18,7 @@
     leader_query_t *const query = arg;
     forward_t *const f = query->request;
     const leader_answer_fn_t fn = query->fn;
-    (void)err; /* what counts is that there is no answer */
+    (void)err; /* it only matters that there is no answer */
     if (f)
         *query->slot = NULL;
     g_free(query);
@@ -29,7 +29,7 @@
 bool leader_query(forward_t *f, leader_query_t **slot, uint32_t type, const void *message, tc_time_t limit,
                   leader_answer_fn_t fn)
 {
-    assert(!*slot); /* one at a time: an answer to an older question would pass for the newer one's */
+    assert(!*slot); /* one at a time: the answer to an older query would be taken for that of the newer one */
     leader_query_t *const query = g_new0(leader_query_t, 1);
     query->request = f;
     query->slot = slot;
@@ -60,7 +60,7 @@
 engine_query_t *engine_query(forward_t *f, instance_t *instance, GByteArray *request,
                              const engine_query_limits_t *limits, web_ask_fn_t fn)
 {
-    assert(instance_accepts_work(instance, tc_time_now())); /* promise: as of requests */
+    assert(instance_accepts_work(instance, tc_time_now())); /* guarantee: the same as for requests */
     engine_query_t *const e = g_new0(engine_query_t, 1);
     e->request = f;
     e->instance = instance;
@@ -84,9 +84,9 @@
     g_free(e);
 }
 
-/* ===== Whose answer changes nothing ===== */
+/* ===== Cleanup calls ===== */
 
-/** One such call. It outlives the request that it is about. */
+/** A call whose answer is ignored. It outlives the request that it concerns. */
 typedef struct {
     struct cds_list_head node;
     forwarder_t *owner;
@@ -114,14 +114,14 @@
 
 static void on_cleanup_end(void *arg, web_end_t how)
 {
-    (void)how; /* what an engine keeps for us it drops by itself soon after */
+    (void)how; /* an engine soon drops by itself what it keeps for us */
     cleanup_free(arg);
 }
 
 void cleanup_call(forwarder_t *fw, instance_t *instance, GByteArray *request)
 {
     if (!instance_accepts_maintenance(instance, tc_time_now())) {
-        g_byte_array_unref(request); /* an engine drops by itself what nobody takes */
+        g_byte_array_unref(request); /* an engine drops unused results and reservations by itself */
         return;
     }
     cleanup_t *const u = g_new0(cleanup_t, 1);
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -1,4 +1,4 @@
-/* The retry budget: this box's own part first, then the part that the leader hands out to whoever needs it. */
+/* The retry budget: first this box's own share, then the share that the leader lends on demand. */
 
 #include <string.h>
 
@@ -11,11 +11,12 @@
 
 /* ===== Constants ===== */
 
-enum { ANSWER_MS = 100 /* the leader answers within a round trip; without it the budget is used up */ };
+/** Timeout of the leader, which answers within a round trip. After it the budget counts as used up. */
+enum { ANSWER_TIMEOUT_MS = 100 };
 
-/* ===== This box's part ===== */
+/* ===== This box's share ===== */
 
-/** Whether the leader hands out a part of the service's budget: of those whose requests the scheduler places. */
+/** Whether the leader lends part of the service's budget, which it does for services that the scheduler places. */
 static bool leader_shares_budget(const forward_t *f)
 {
     return f->split && f->owner->scheduler && mechanism_is_on(MECHANISM_RETRY_LENDING);
@@ -57,10 +58,11 @@
 bool retry_is_unpaid(const forward_t *f, dialect_op_t op)
 {
     const unsigned before = f->retry.counted + (op == DIALECT_PREFILL && f->retry.prefilled);
-    return before > f->retry.paid; /* the first is free, so those before it are what must be paid */
+    return before >
+           f->retry.paid; /* the first arrival is free, so as many as came before the next one must be paid for */
 }
 
-/* ===== The leader's part ===== */
+/* ===== The leader's share ===== */
 
 static void fail_used_up(forward_t *f)
 {
@@ -73,7 +75,7 @@
     f->retry.on_denied(f);
 }
 
-/** No answer is no. */
+/** A missing answer counts as a denial. */
 static void on_answer(forward_t *f, int rc, uint32_t type, const void *message)
 {
     if (rc != TC_OK || type != MSG_RETRY_ACK || !((const msg_retry_ack_t *)message)->granted) {
@@ -90,7 +92,7 @@
     msg_retry_t message = {0};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
     codec_copy_string(message.service, sizeof(message.service), f->service);
-    return leader_query(f, &f->retry.query, MSG_RETRY, &message, ANSWER_MS, on_answer);
+    return leader_query(f, &f->retry.query, MSG_RETRY, &message, ANSWER_TIMEOUT_MS, on_answer);
 }
 
 void retry_request(forward_t *f, void (*on_granted)(forward_t *f), void (*on_denied)(forward_t *f))
--- a/lib/forward/forward_stop.c
+++ b/lib/forward/forward_stop.c
@@ -1,4 +1,4 @@
-/* A box that is to end: which requests it still begins, by the pace of those it has served. */
+/* Decides which requests a stopping box still begins, by the service times of earlier ones. */
 
 #include "forward/forward_internal.h"
 
@@ -12,7 +12,7 @@
     return stats;
 }
 
-/** Tokens that a request may generate; 0 where it generates none. */
+/** Output limit of a request in tokens; 0 when the service generates none. */
 static unsigned output_of(const forward_t *f)
 {
     return f->split ? f->facts.output_tokens : 0;
--- a/lib/forward/forward_stream.c
+++ b/lib/forward/forward_stream.c
@@ -1,4 +1,5 @@
-/* Events of a stream: passed on whole, so that a stream that breaks can be taken up behind its last one. */
+/* Forwards the events of a stream. Only complete events are forwarded, so that a broken stream can resume after its
+ * last event. */
 
 #include <string.h>
 
@@ -14,12 +15,12 @@
 COUNTER_DEFINE(c_repeated, "counter", "trackcove_stream_repeated_total",
                "Runs of streams given up since they did not go on behind the event that they were asked to")
 
-/** Bytes kept of an event that is not whole: half of what may wait for a caller who is slow to read. */
+/** Buffer limit for an incomplete event, in bytes: half of the send buffer limit for a slow caller. */
 enum { EVENT_MAX = 4 * 1024 * 1024 };
 
 /* ===== Events ===== */
 
-/** Read the id of an event, its last one if it names several. @return for g_free, NULL when it names none */
+/** Reads the id of an event, the last one if there are several. @return for g_free, NULL when there is none */
 static char *read_id(const char *event, size_t size)
 {
     char *id = NULL;
@@ -31,7 +32,7 @@
         if (length > 3 && memcmp(line, "id:", 3) == 0) {
             g_free(id);
             id = g_strndup(line + 3, length - 3);
-            id[strcspn(id, "\r")] = '\0'; /* ends a line too: what follows must not become a header line of a request */
+            id[strcspn(id, "\r")] = '\0'; /* CR ends a line too; the rest must not become a header line of a request */
             g_strstrip(id);
         }
         line += length + 1;
@@ -39,13 +40,13 @@
     return id;
 }
 
-/** Whether it is more than a comment. */
+/** Whether the event has data and is not only a comment. */
 static bool has_data(const char *event, size_t size)
 {
     return (size >= 5 && memcmp(event, "data:", 5) == 0) || memmem(event, size, "\ndata:", 6);
 }
 
-/** Bytes of an empty line at the beginning, 0 for none. */
+/** Length of an empty line at the beginning, 0 for none. */
 static size_t empty_line(const char *data, size_t size)
 {
     if (size >= 1 && data[0] == '\n')
@@ -53,8 +54,8 @@
     return size >= 2 && data[0] == '\r' && data[1] == '\n' ? 2 : 0;
 }
 
-/** Where the first event ends, or an empty line that stands before one and says nothing. @param from where to begin to
- * look for it @return its bytes, 0 when it is not whole */
+/** Length of the first event, or of an empty line before it, which has no meaning. @param from where to start the
+ * search for its end @return bytes, 0 when the event is incomplete */
 static size_t event_length(const char *data, size_t from, size_t size)
 {
     const size_t empty = empty_line(data, size);
@@ -74,37 +75,37 @@
     return text[0] && strspn(text, "0123456789") == strlen(text);
 }
 
-/** Whether an event may stand behind another: ids rise. Of ids that are no whole numbers only the same one is known. */
+/** Whether an event may follow another. Numeric ids increase; of other ids only an equal one is known not to follow. */
 static bool is_later_id(const char *id, const char *after)
 {
     if (!is_number(id) || !is_number(after))
         return strcmp(id, after) != 0;
     id += strspn(id, "0");
     after += strspn(after, "0");
-    const size_t digits = strlen(id), digits_after = strlen(after); /* of any number: no machine word holds all */
+    const size_t digits = strlen(id), digits_after = strlen(after); /* ids may exceed any machine word */
     return digits != digits_after ? digits > digits_after : strcmp(id, after) > 0;
 }
 
-/* ===== A deliberate fault ===== */
+/* ===== Fault injection ===== */
 
-/** Bytes that silent runs left of an event, by their request. */
-static GHashTable *left_over;
+/** Incomplete events left by runs that were given up, by request. */
+static GHashTable *leftovers;
 
-static void keep_left_over(const backend_call_t *call)
+static void save_leftover(const backend_call_t *call)
 {
-    if (!left_over)
-        left_over = g_hash_table_new(NULL, NULL);
+    if (!leftovers)
+        leftovers = g_hash_table_new(NULL, NULL);
     if (call->given_up)
-        g_hash_table_insert(left_over, call->request, g_byte_array_ref(call->run.partial));
+        g_hash_table_insert(leftovers, call->request, g_byte_array_ref(call->run.partial));
 }
 
-static void add_left_over(backend_call_t *call)
+static void restore_leftover(backend_call_t *call)
 {
-    GByteArray *const bytes = left_over ? g_hash_table_lookup(left_over, call->request) : NULL;
+    GByteArray *const bytes = leftovers ? g_hash_table_lookup(leftovers, call->request) : NULL;
     if (!bytes)
         return;
-    g_hash_table_remove(left_over, call->request);
-    if (call->request->stream_runs > 0) /* else they are of another request, which stood there before */
+    g_hash_table_remove(leftovers, call->request);
+    if (call->request->stream_runs > 0) /* otherwise they belong to an earlier request at the same address */
         g_byte_array_append(call->run.partial, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
 }
@@ -116,7 +117,7 @@
     forward_t *const f = call->request;
     call->run.partial = g_byte_array_new();
     if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
-        add_left_over(call);
+        restore_leftover(call);
     call->run.after = g_strdup(f->last_event);
     f->stream_runs++;
 }
@@ -138,7 +139,7 @@
     forward_log_run(call, why);
     counter_add(&c_unfinished, !stream_at_boundary(call));
     if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
-        keep_left_over(call);
+        save_leftover(call);
     g_byte_array_unref(call->run.partial);
     g_free(call->run.after);
     g_free(call->run.first);
@@ -146,9 +147,9 @@
     call->run = (stream_run_t){0};
 }
 
-/* ===== Passing on ===== */
+/* ===== Forwarding ===== */
 
-/** The event that is passed on has an id, which is taken over. */
+/** Records the id of a forwarded event. @param id taken over */
 static void record_id(backend_call_t *call, char *id)
 {
     forward_t *const f = call->request;
@@ -161,9 +162,8 @@
     f->last_event = id;
 }
 
-/** A whole event has come. @return whether the caller is to get it: a run that begins anew, in spite of the event that
- *  it was asked to go on behind, may word the same answer in another way and divide it into other events, so that
- *  what of it the caller has not got yet can't be told. */
+/** Processes a complete event. @return whether to forward it. A run that restarts instead of continuing after the
+ *  requested event may produce a different text in different events, so the part that the caller lacks is unknown. */
 static bool accept_event(backend_call_t *call, const char *event, size_t size)
 {
     forward_t *const f = call->request;
@@ -182,7 +182,7 @@
     run->bytes += size;
     f->events++;
     f->bytes += size;
-    f->digest = XXH64(event, size, f->digest); /* event by event: as they come in does not matter */
+    f->digest = XXH64(event, size, f->digest); /* per event, so that it does not depend on how the bytes arrive */
     return true;
 }
 
@@ -194,7 +194,7 @@
     f->event_at = now;
 }
 
-/** Hand the first @p used of the kept bytes to the caller. */
+/** Sends the first @p used buffered bytes to the caller. */
 static void forward_events(backend_call_t *call, size_t used)
 {
     if (used == 0)
@@ -210,15 +210,15 @@
     g_byte_array_append(run->partial, (const guint8 *)data, (guint)size);
     const char *const bytes = (const char *)run->partial->data;
     size_t used = 0, from = run->searched, length;
-    bool goes_on = true;
-    while (goes_on && (length = event_length(bytes + used, from, run->partial->len - used)) > 0) {
-        goes_on = accept_event(call, bytes + used, length);
-        used += goes_on ? length : 0;
+    bool continues = true;
+    while (continues && (length = event_length(bytes + used, from, run->partial->len - used)) > 0) {
+        continues = accept_event(call, bytes + used, length);
+        used += continues ? length : 0;
         from = 0;
     }
     forward_events(call, used);
     run->searched = run->partial->len;
-    if (!goes_on) {
+    if (!continues) {
         counter_add(&c_repeated, 1);
         return STREAM_REPEATED;
     }
