--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -1,7 +1,7 @@
 /** @file forward_lab.h
- * The world of test_forward.c, test_forward_attempts.c, test_forward_leader.c, test_stream_events.c,
- * test_stream_random.c, test_stream_silence.c and test_availability.c, which alone include it: an entry over loopback,
- * fake back ends that answer by a plan, and callers.
+ * Fixture of test_forward.c, test_forward_attempts.c, test_forward_leader.c, test_stream_events.c,
+ * test_stream_random.c, test_stream_silence.c, test_availability.c, test_evacuation.c, test_quarantine.c and
+ * test_workspaces.c: an entry box over loopback, fake back ends with scripted answers, and callers.
  */
 #ifndef TRACKCOVE_TESTS_FORWARD_LAB_H
 #define TRACKCOVE_TESTS_FORWARD_LAB_H
@@ -20,17 +20,17 @@
 
 enum {
     BACKENDS = 6,
-    BRIEF_MS = 400,     /* longer than memory is set aside for "brief" */
-    FLEETING_MS = 1100, /* longer than results of prefills are kept for "fleeting" */
+    BRIEF_MS = 400,     /* longer than a reservation of the service "brief" lasts */
+    FLEETING_MS = 1100, /* longer than prefill results of the service "fleeting" are kept */
 };
 
-/** What one fake back end does with its next requests; the last one goes on for ever. */
+/** How one fake back end answers its next requests. The last reply repeats. */
 typedef struct {
-    const char *replies; /* a letter each, see answer() */
-    unsigned at;         /* the letter for the next request */
-    GString *seen;       /* all requests, one after the other */
-    const char *stream;  /* letters 'q', 'R' and 'Q': events as they are sent */
-    size_t stream_size;  /* 'q' and 'R': so many bytes of them; then nothing more, or a reset */
+    const char *replies; /* one letter per request, see answer() */
+    unsigned at;         /* index of the next reply */
+    GString *seen;       /* all requests, concatenated */
+    const char *stream;  /* events sent by the replies 'q', 'R' and 'Q' */
+    size_t stream_size;  /* bytes of them that 'q' and 'R' send before they stall or reset */
     struct fixture *fixture;
 } plan_t;
 
@@ -48,7 +48,7 @@
     bool spare[BACKENDS]; /* as in backend_plan_t */
 } fixture_t;
 
-/** One back end: a spare one is chosen only when no other is left; nobody listens at one that is down. */
+/** One back end. A spare one is chosen only when no other is left; one that is down does not listen. */
 typedef struct {
     const char *service, *stage, *replies;
     bool spare, down;
@@ -59,7 +59,7 @@
 #define SEAL "Server-Seal: s1\r\nAttempt-Id: id1\r\n"
 #define STREAM_HEAD "HTTP/1.1 200 OK\r\n" SEAL "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-/** Two events, as the plans write them. */
+/** Two events, as the replies send them. */
 #define FIRST "id: 1\ndata: a\n\n"
 #define SECOND "id: 2\ndata: b\n\n"
 
@@ -74,21 +74,21 @@
     return (lab_reply_t){.bytes = bytes, .end = LAB_KEEP};
 }
 
-/** The first bytes of a stream alone. */
+/** The first bytes of a stream. */
 static lab_reply_t reply_stream_part(const char *stream, size_t size, lab_end_t end)
 {
     char *const bytes = g_strdup_printf(STREAM_HEAD "%zx\r\n%.*s\r\n", size, (int)size, stream);
     return (lab_reply_t){.bytes = bytes, .end = end};
 }
 
-/** A whole stream, as one chunk. */
+/** A complete stream in one chunk. */
 static lab_reply_t reply_stream(const char *stream)
 {
     char *const bytes = g_strdup_printf(STREAM_HEAD "%zx\r\n%s\r\n0\r\n\r\n", strlen(stream), stream);
     return (lab_reply_t){.bytes = bytes, .end = LAB_KEEP};
 }
 
-/** The first bytes of an answer at once, the rest after a while. */
+/** The first bytes of an answer at once, the rest after @p wait ms. */
 static lab_reply_t reply_slowly(lab_reply_t reply, size_t first, tc_time_t wait)
 {
     const lab_piece_t pieces[] = {{.size = first}, {.size = strlen(reply.bytes) - first, .wait = wait}};
@@ -109,19 +109,19 @@
     case 'E': /* to HEAD */ return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\n", LAB_KEEP);
     case 'n': return reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
     case 'm': return reply_bytes("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", LAB_KEEP);
-    case 'w': /* wants no calls for a second */
+    case 'w': /* asks for no calls for a second */
         return reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
                            LAB_KEEP);
-    case 'L': /* 'o' of a back end that leaves */
+    case 'L': /* 'o' of a back end that is leaving */
         return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP);
-    case 'V': /* 'p' of one */
+    case 'V': /* 'p' of a back end that is leaving */
         return reply_bytes("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 28\r\n\r\n"
                            "{\"prefill_handle\":\"handle1\"}",
                            LAB_KEEP);
-    case 'Z': /* 'S' of one */
+    case 'Z': /* 'S' of a back end that is leaving */
         return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Server-Leaving: 1\r\nContent-Length: 30\r\n\r\n" FIRST SECOND,
                            LAB_KEEP);
-    case 'I': /* 'H' of one */
+    case 'I': /* 'H' of a back end that is leaving */
         return reply_bytes("HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 16\r\n\r\n{\"hold\":\"hold1\"}",
                            LAB_KEEP);
     case 'e': return reply_bytes("HTTP/1.1 500 No\r\n" SEAL "Content-Length: 2\r\n\r\nno", LAB_KEEP);
@@ -129,44 +129,44 @@
     case 'c': return reply_bytes("HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 9\r\n\r\nok", LAB_CLOSE);
     case 'g': return reply_bytes("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", LAB_KEEP); /* no proof of origin */
     case 'h': return reply_bytes(NULL, LAB_HANG);
-    case 'x': /* somebody else's answer first */
+    case 'x': /* the answer to another request first */
         return reply_bytes("HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: id0\r\nContent-Length: 5\r\n\r\nother"
                            "HTTP/1.1 200 OK\r\n" SEAL "Content-Length: 2\r\n\r\nok",
                            LAB_KEEP);
-    case 'N': /* refuses, after the results of "fleeting" have lapsed */
+    case 'N': /* refuses after the prefill results of "fleeting" have expired */
         return reply_slowly(reply_bytes("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", LAB_KEEP),
                             1, FLEETING_MS);
-    case 'P': /* the prompt is read, after what was set aside for "brief" has lapsed */
+    case 'P': /* completes the prefill after the reservation of "brief" has expired */
         return reply_slowly(reply_json("{\"prefill_handle\":\"handle1\"}"), 1, BRIEF_MS);
     case 'p': return reply_json("{\"prefill_handle\":\"handle1\"}");
-    case 'k': /* keeps both parts of the prompt of resume() */
+    case 'k': /* caches both parts of the prompt of resume() */
         return reply_json("{\"held\":[[\"\",\"b2\",90,\"m\"],[\"\",\"a1\",10,\"m\"]]}");
-    case 'l': /* keeps the shared part only */ return reply_json("{\"held\":[[\"\",\"a1\",10,\"m\"]]}");
+    case 'l': /* caches only the shared part */ return reply_json("{\"held\":[[\"\",\"a1\",10,\"m\"]]}");
     case 'H': return reply_json("{\"hold\":\"hold1\"}");
-    case 'X': /* somebody else's answer first, with what looks like our own in it */
+    case 'X': /* the answer to another request first, which contains a valid looking reservation */
         return reply_bytes(
             "HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: id0\r\nContent-Length: 14\r\n\r\n{\"hold\":\"not\"}"
             "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{\"hold\":\"hold1\"}",
             LAB_KEEP);
-    case 'S': /* a whole stream */
+    case 'S': /* a complete stream */
         return reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
-    case 'T': /* breaks in the middle of its second event */
+    case 'T': /* breaks within its second event */
         return reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET);
-    case 't': /* the same, after a while */
+    case 't': /* the same, after 150 ms */
         return reply_slowly(reply_bytes(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n5\r\nid: 2\r\n", LAB_RESET),
                             strlen(STREAM_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"), 150);
     case 'q': return reply_stream_part(plan->stream, plan->stream_size, LAB_HANG);
     case 'R': return reply_stream_part(plan->stream, plan->stream_size, LAB_RESET);
     case 'Q': return reply_stream(plan->stream);
-    case 'U': /* goes on behind the first */
+    case 'U': /* continues after the first event */
         return reply_bytes(STREAM_HEAD "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", LAB_KEEP);
     default: g_assert_not_reached();
     }
 }
 
-/* ===== A back end outside of the loop ===== */
+/* ===== External back end ===== */
 
-/** A back end outside of the loop: it goes on while the box stands still. */
+/** A back end that is not driven by the loop, so that it can send while the loop is blocked. */
 typedef struct {
     int listener, fd;
     GString *in;
@@ -188,7 +188,7 @@
     g_string_free(o->in, TRUE);
 }
 
-/** Whether a whole request has come. */
+/** Whether a complete request has arrived. */
 static __attribute__((unused)) bool external_backend_has_read(void *arg)
 {
     external_backend_t *const o = arg;
@@ -212,11 +212,11 @@
     "{\"host\":\"h\",\"path_prefix\":\"/" path "/\",\"kind\":\"" kind "\",\"timeout_ms\":" timeout                     \
     ",\"max_attempts\":" attempts ",\"service\":\"" service "\"}"
 #define ENGINE(more) "\"engine\":{\"slots\":8,\"kv_tokens\":9000,\"handle_ttl_s\":5" more "}"
-/** As attempts: the stream may be taken up elsewhere. */
+/** For the attempts of ROUTE: the stream is resumable. */
 #define RESUMABLE "2,\"resumable\":true"
-/** The same after a silence of 40 ms. */
+/** The same with a silence timeout of 40 ms. */
 #define RESUMABLE_SOON RESUMABLE ",\"gap_aim_ms\":10"
-/** The same, at more engines. */
+/** The same with up to four engines. */
 #define RESUMABLE_OFTEN "4,\"resumable\":true,\"gap_aim_ms\":10"
 
 static const char *const routes[] = {ROUTE("safe", "safe", "3000", "2", "app"),
@@ -255,9 +255,9 @@
     return table;
 }
 
-/* ===== Life ===== */
+/* ===== Set-up and tear-down ===== */
 
-/** @param data retry budget, further arrivals a request, as double; NULL for plenty */
+/** @param data retry budget as double, in further arrivals per request; NULL: practically unlimited */
 static void set_up(fixture_t *f, gconstpointer data)
 {
     const double ratio = data ? *(const double *)data : 100;
@@ -300,8 +300,8 @@
     loop_destroy(f->loop);
 }
 
-/** Start back ends that answer by @p script and list them: the first @p n of the plans are i-0, i-1 and so on.
- *  @param arg for the script; NULL: the back end's plan_t */
+/** Starts back ends that answer by @p script, and lists them as i-0, i-1 and so on, in the order of the @p n plans.
+ *  @param arg for the script; NULL: the plan_t of the back end */
 static void start_scripted(fixture_t *f, const backend_plan_t *plans, uint32_t n, lab_script_t script, void *arg)
 {
     backend_t list[BACKENDS];
@@ -321,13 +321,14 @@
     fleet_set_list(f->fleet, list, n, tc_time_now());
 }
 
-/** The same with back ends that answer by their plans. */
+/** The same with back ends that answer by their plan_t. */
 static __attribute__((unused)) void start_all(fixture_t *f, const backend_plan_t *plans, uint32_t n)
 {
     start_scripted(f, plans, n, answer, NULL);
 }
 
-/** The same with engines of one service: prefill, decode and, unless NULL, a spare decode one, by their replies. */
+/** The same with engines of one service: prefill, decode and, unless NULL, a spare decode engine, with their replies.
+ */
 static __attribute__((unused)) void start_engines(fixture_t *f, const char *service, const char *prefill,
                                                   const char *decode, const char *spare)
 {
@@ -337,13 +338,13 @@
     start_all(f, plans, spare ? 3 : 2);
 }
 
-/** How many requests a back end got. */
+/** Number of requests that a back end received. */
 static __attribute__((unused)) unsigned requests(const fixture_t *f, int i)
 {
     return f->backend[i] ? lab_backend_requests(f->backend[i]) : 0;
 }
 
-/** How often a text has a part. */
+/** Counts the occurrences of @p part in @p text. */
 static __attribute__((unused)) unsigned count_part(const char *text, const char *part)
 {
     unsigned n = 0;
@@ -354,7 +355,7 @@
 
 /* ===== Calls ===== */
 
-/** Choices are by lot: leave the spare ones out until the others have been tried. */
+/** Back ends are chosen at random: excludes the spare ones until the others have been tried. */
 static __attribute__((unused)) void avoid_spares(fixture_t *f)
 {
     for (int i = 0; i < BACKENDS; i++) {
@@ -366,7 +367,7 @@
     }
 }
 
-/** Begin a call. @param more header lines beside @return for lab_call_free */
+/** Begins a call. @param more additional header lines @return for lab_call_free */
 static __attribute__((unused)) lab_call_t *begin_with(fixture_t *f, const char *path, const char *more)
 {
     avoid_spares(f);
@@ -383,7 +384,7 @@
     return begin_with(f, path, "");
 }
 
-/** A whole call. @return for lab_call_free */
+/** Makes a call and waits for its end. @return for lab_call_free */
 static __attribute__((unused)) lab_call_t *call(fixture_t *f, const char *path)
 {
     lab_call_t *const c = begin(f, path);
@@ -391,7 +392,7 @@
     return c;
 }
 
-/** Wait for a call's answer, which is whole. */
+/** Waits for the answer to a call and checks that it is complete. */
 static __attribute__((unused)) void expect_whole(fixture_t *f, lab_call_t *c, const char *body)
 {
     lab_run_until_true(f->loop, &c->done);
@@ -401,7 +402,7 @@
     lab_call_free(c);
 }
 
-/** @param body of the answer, or NULL for any */
+/** Makes a call and checks its answer. @param body NULL: any */
 static __attribute__((unused)) void expect(fixture_t *f, const char *path, int status, const char *body)
 {
     lab_call_t *const c = call(f, path);
@@ -409,7 +410,7 @@
     g_assert_cmpint(c->status, ==, status);
     if (body)
         g_assert_cmpstr(c->body->str, ==, body);
-    g_assert_true((status == 503) == (c->retry_after != NULL)); /* a refusal says when to come back */
+    g_assert_true((status == 503) == (c->retry_after != NULL)); /* a refusal carries Retry-After */
     lab_call_free(c);
 }
 
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -1,5 +1,5 @@
-/* Forwarded requests end to end over loopback: an entry with fake back ends that fail in every way they may, and what
- * callers and back ends see of it. */
+/* Forwarded requests end to end over loopback: an entry box with fake back ends that fail in various ways, and what
+ * callers and back ends observe. */
 
 #include <glib.h>
 #include <string.h>
@@ -19,7 +19,7 @@
     g_assert_nonnull(strstr(f->plan[0].seen->str, "\r\n\r\nbody"));
 }
 
-static void test_once_that_crashes_is_never_503(fixture_t *f, gconstpointer data)
+static void test_unsafe_request_lost_in_a_crash_is_not_503(fixture_t *f, gconstpointer data)
 {
     (void)data;
     static const char *const ways[] = {"r", "c", "g"};
@@ -29,11 +29,11 @@
         f->plan[0].at = 0;
         expect(f, "/once/x", 502, NULL);
         g_assert_cmpuint(requests(f, 0), ==, i + 1);
-        g_assert_cmpuint(requests(f, 1), ==, 0); /* promise: never a second run */
+        g_assert_cmpuint(requests(f, 1), ==, 0); /* guarantee: never a second run */
     }
 }
 
-static void test_once_refused_goes_elsewhere(fixture_t *f, gconstpointer data)
+static void test_refused_unsafe_request_goes_elsewhere(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "n", false, false}, {"app", "", "o", true, false}}, 2);
@@ -41,8 +41,9 @@
     g_assert_cmpuint(requests(f, 0), ==, 1);
 }
 
-/** Promise: a back end that says it is not the one that the list names is left alone until the list says better. */
-static void test_outdated_back_end_is_left_alone(fixture_t *f, gconstpointer data)
+/** Guarantee: a back end that answers 421 (its instance or role differs from the list) is avoided until the list
+ *  changes. */
+static void test_outdated_back_end_is_avoided(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "m", false, false}, {"app", "", "o", true, false}}, 2);
@@ -67,10 +68,10 @@
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "", false, true}, {"app", "", "o", true, false}}, 2);
-    expect(f, "/once/x", 200, "ok"); /* nothing of it was sent */
+    expect(f, "/once/x", 200, "ok"); /* nothing was sent to the first one */
 }
 
-static void test_safe_is_tried_again(fixture_t *f, gconstpointer data)
+static void test_safe_request_is_retried(fixture_t *f, gconstpointer data)
 {
     (void)data;
     static const char *const ways[] = {"r", "c", "g", "e"};
@@ -94,7 +95,7 @@
     lab_call_free(c);
 }
 
-static void test_stray_answer_is_nobodys(fixture_t *f, gconstpointer data)
+static void test_stray_answer_is_skipped(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "x", false, false}}, 1);
@@ -125,7 +126,7 @@
     lab_call_t *const c = begin(f, "/once/x");
     lab_run_until(f->loop, has_request, f);
     web_call_cancel(c->call);
-    lab_run_until(f->loop, has_left, f); /* the back end sees it at once */
+    lab_run_until(f->loop, has_left, f); /* the call is cancelled at once */
     lab_call_free(c);
 }
 
@@ -136,28 +137,28 @@
     expect(f, "/once/x", 503, NULL);
 }
 
-/** Whether a request is under way. */
-static bool is_busy(void *arg)
+/** Whether a request is in flight. */
+static bool has_in_flight(void *arg)
 {
     return forwarder_in_flight(((fixture_t *)arg)->forwarder) > 0;
 }
 
 static bool is_idle(void *arg)
 {
-    return !is_busy(arg);
+    return !has_in_flight(arg);
 }
 
-/** A box that has just started learns where to send requests while they wait. */
+/** Requests to a box that has just started wait until it has a configuration and back ends. */
 static void test_early_request_waits(fixture_t *f, gconstpointer data)
 {
     (void)data;
     forwarder_set_routes(f->forwarder, NULL);
     lab_call_t *const c = begin(f, "/safe/x");
-    lab_run_until(f->loop, is_busy, f);
+    lab_run_until(f->loop, has_in_flight, f);
     route_table_t *const table = read_config();
     forwarder_set_routes(f->forwarder, table);
     route_table_unref(table);
-    forwarder_on_change(f->forwarder); /* no back end is known yet: it waits on */
+    forwarder_on_change(f->forwarder); /* still without back ends, the request waits on */
     g_assert_false(c->done);
     start_all(f, (backend_plan_t[]){{"app", "", "o", false, false}}, 1);
     forwarder_on_change(f->forwarder);
@@ -171,29 +172,29 @@
     (void)data;
     forwarder_set_routes(f->forwarder, NULL);
     lab_call_t *const c = begin(f, "/safe/x");
-    lab_run_until(f->loop, is_busy, f);
+    lab_run_until(f->loop, has_in_flight, f);
     web_call_cancel(c->call);
     lab_run_until(f->loop, is_idle, f);
     lab_call_free(c);
 }
 
-static void test_closed_ends_what_it_began(fixture_t *f, gconstpointer data)
+static void test_stopping_box_completes_requests_in_flight(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "h", false, false}}, 1);
     lab_call_t *const old = begin(f, "/short/x");
     lab_run_until(f->loop, has_request, f);
     forwarder_stop(f->forwarder, tc_time_now(), tc_time_now() + 60000);
-    expect(f, "/once/x", 503, NULL); /* not run, and said so */
+    expect(f, "/once/x", 503, NULL); /* refused as not run */
     g_assert_cmpuint(requests(f, 0), ==, 1);
     lab_run_until_true(f->loop, &old->done);
-    g_assert_cmpint(old->status, ==, 504); /* it got its answer */
+    g_assert_cmpint(old->status, ==, 504); /* the earlier request gets its answer */
     lab_call_free(old);
 }
 
-/** Promise: a planned stop cuts nothing off, so a box that stops begins only what it expects to end in time, by what it
- *  has seen; a caller that it refuses is sent elsewhere at once. */
-static void test_stopping_begins_what_ends_in_time(fixture_t *f, gconstpointer data)
+/** Guarantee: a planned stop cuts off no request. A stopping box begins only requests that it expects to end in time,
+ * by the service times it has observed, and sends the callers that it refuses elsewhere at once. */
+static void test_stopping_box_begins_what_ends_in_time(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f,
@@ -203,17 +204,17 @@
               3);
     const tc_time_t now = tc_time_now();
     forwarder_stop(f->forwarder, now + 60000, now + 6000);
-    lab_call_t *const c = call(f, "/lm/x"); /* it may take 8 s, and nobody knows better */
+    lab_call_t *const c = call(f, "/lm/x"); /* it may take 8 s, and there is no estimate */
     g_assert_cmpint(c->status, ==, 503);
     g_assert_cmpfloat(g_ascii_strtod(c->retry_after, NULL), <, 0.1);
     lab_call_free(c);
     g_assert_cmpuint(requests(f, 0), ==, 0);
-    expect(f, "/short/x", 200, "ok"); /* its time is over before the box is */
+    expect(f, "/short/x", 200, "ok"); /* its deadline is before the end of the box */
     forwarder_stop(f->forwarder, now + 60000, now + 60000);
     for (int i = 0; i < 50; i++)
         expect(f, "/lm/x", 200, NULL);
     forwarder_stop(f->forwarder, now + 60000, now + 6000);
-    expect(f, "/lm/x", 200, NULL); /* streams are seen to take no time */
+    expect(f, "/lm/x", 200, NULL); /* the observed streams were short */
 }
 
 /* ===== Engines ===== */
@@ -234,7 +235,7 @@
     (void)data;
     start_engines(f, "lm", "p", "n", "S");
     expect(f, "/lm/x", 200, NULL);
-    g_assert_cmpuint(requests(f, 0), ==, 1); /* read once */
+    g_assert_cmpuint(requests(f, 0), ==, 1); /* the prompt is read once */
     g_assert_nonnull(strstr(f->plan[2].seen->str, "/handle1\r\n"));
 }
 
@@ -251,8 +252,8 @@
     lab_run_until(f->loop, was_released, f);
 }
 
-/** A stream that broke, and for which no engine has room at that moment, is not cut off at once: its caller bears a
- *  pause, and room comes. */
+/** A broken stream for which no engine has room is not cut off at once: its caller tolerates a gap, in which room may
+ *  become free. */
 static void test_broken_stream_waits_for_room(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -261,18 +262,18 @@
     expect(f, "/held-again/x", 200, FIRST SECOND);
 }
 
-static void test_broken_stream_does_not_look_whole(fixture_t *f, gconstpointer data)
+static void test_broken_stream_ends_incomplete(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "T", "S");
     lab_call_t *const c = call(f, "/lm/x");
     g_assert_cmpint(c->how, ==, WEB_END_CUT);
-    g_assert_cmpstr(c->body->str, ==, FIRST); /* whole events only */
-    g_assert_cmpuint(requests(f, 2), ==, 0);  /* it may run only once */
+    g_assert_cmpstr(c->body->str, ==, FIRST); /* complete events only */
+    g_assert_cmpuint(requests(f, 2), ==, 0);  /* the route allows one run */
     lab_call_free(c);
 }
 
-static void test_resumable_stream_goes_on_elsewhere(fixture_t *f, gconstpointer data)
+static void test_resumable_stream_continues_elsewhere(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "Tr", "U");
@@ -280,19 +281,19 @@
     g_assert_nonnull(strstr(f->plan[2].seen->str, "Last-Event-Id: 1\r\n"));
 }
 
-/** The engine that carried the answer has the prompt still: it is asked first, and counts as one back end. */
-static void test_resumable_stream_goes_on_where_it_was(fixture_t *f, gconstpointer data)
+/** The engine that delivered the answer still caches the prompt: it is called first, and counts as one back end. */
+static void test_resumable_stream_continues_at_its_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "TU", "U");
     expect(f, "/again/x", 200, FIRST SECOND);
-    g_assert_cmpuint(requests(f, 0), ==, 1); /* nothing is computed anew */
+    g_assert_cmpuint(requests(f, 0), ==, 1); /* no prefill is repeated */
     g_assert_cmpuint(requests(f, 2), ==, 0);
     g_assert_nonnull(strstr(f->plan[1].seen->str, "Last-Event-Id: 1\r\n"));
 }
 
-/** A prefill whose answer was lost is asked for where the prompt is computed already. */
-static void test_lost_prefill_is_asked_for_again(fixture_t *f, gconstpointer data)
+/** A prefill whose answer was lost is requested from the same engine, which has computed the prompt already. */
+static void test_lost_prefill_is_retried_at_its_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f,
@@ -305,7 +306,7 @@
     g_assert_cmpuint(requests(f, 1), ==, 0);
 }
 
-/** A caller takes a stream up again at this box, which knows nothing of it. */
+/** Resumes a stream at this box, which has no state of it. */
 static void resume(fixture_t *f)
 {
     lab_call_t *const c = begin_with(f, "/again/x", "Last-Event-Id: 1\r\nPrompt-Prefix: a1:10,b2:90\r\n");
@@ -314,7 +315,7 @@
     lab_call_free(c);
 }
 
-static void test_resumed_stream_goes_where_its_prompt_is_kept(fixture_t *f, gconstpointer data)
+static void test_resumed_stream_goes_where_its_prompt_is_cached(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f,
@@ -323,14 +324,14 @@
                                  {"lm", "decode", "kU", false, false}},
               3);
     resume(f);
-    g_assert_cmpuint(requests(f, 0), ==, 0); /* nothing is computed anew */
+    g_assert_cmpuint(requests(f, 0), ==, 0); /* no prefill is made */
     g_assert_cmpuint(requests(f, 1), ==, 1);
     g_assert_cmpuint(requests(f, 2), ==, 2);
     g_assert_nonnull(strstr(f->plan[2].seen->str, "Last-Event-Id: 1\r\n"));
 }
 
-/** How many engines of a pool a box asks who keeps the prompt of a stream. */
-static int64_t count_asked(fixture_t *f, const backend_t *like, const char *names, unsigned engines)
+/** Number of engines of a pool that a box queries for the cached prompt of a stream. */
+static int64_t count_queried(fixture_t *f, const backend_t *like, const char *names, unsigned engines)
 {
     backend_t *const list = g_new0(backend_t, engines + 1);
     list[0] = fleet_find(f->fleet, "i-0")->listed;
@@ -347,18 +348,18 @@
     return counter_read("trackcove_locate_asked_total") - before;
 }
 
-/** In a large pool a box asks some engines, not all at once: each question takes a connection. In a very large one few
- *  of all could be asked, so only those are where the scheduler would have placed the stream. */
+/** In a large pool a box queries only some engines, as each query takes a connection. In a very large pool those would
+ * be a small share, so it queries only the few where the scheduler would have placed the stream. */
 static void test_resumed_stream_in_a_large_pool(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "l", NULL);
     const backend_t like = fleet_find(f->fleet, "i-1")->listed;
-    g_assert_cmpint(count_asked(f, &like, "e", 700), ==, 256);
-    g_assert_cmpint(count_asked(f, &like, "other", 2000), ==, 32);
+    g_assert_cmpint(count_queried(f, &like, "e", 700), ==, 256);
+    g_assert_cmpint(count_queried(f, &like, "other", 2000), ==, 32);
 }
 
-static void test_resumed_stream_whose_prompt_is_gone(fixture_t *f, gconstpointer data)
+static void test_resumed_stream_without_cached_prompt(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "lU", NULL);
@@ -367,8 +368,8 @@
     g_assert_cmpuint(requests(f, 1), ==, 2);
 }
 
-/** An engine that keeps the prompt and is full: the stream is placed like any other. */
-static void test_resumed_stream_whose_keeper_is_full(fixture_t *f, gconstpointer data)
+/** When the engine that caches the prompt is full, the stream is placed like any other. */
+static void test_resumed_stream_whose_engine_is_full(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f,
@@ -389,7 +390,7 @@
     g_assert_null(strstr(f->plan[0].seen->str, "Kv-From"));
 }
 
-static void test_memory_is_set_aside_first(fixture_t *f, gconstpointer data)
+static void test_memory_is_reserved_first(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "held", "p", "HS", NULL);
@@ -398,12 +399,12 @@
     g_assert_nonnull(strstr(f->plan[1].seen->str, "\r\nHold: hold1\r\n"));
 }
 
-static void test_no_room_reads_no_prompt(fixture_t *f, gconstpointer data)
+static void test_no_room_makes_no_prefill(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "held", "p", "n", NULL);
     expect(f, "/held/x", 503, NULL);
-    g_assert_cmpuint(requests(f, 0), ==, 0); /* nothing is read for nothing */
+    g_assert_cmpuint(requests(f, 0), ==, 0); /* no prefill is wasted */
 }
 
 static bool was_dropped(void *arg)
@@ -411,7 +412,7 @@
     return strstr(((fixture_t *)arg)->plan[1].seen->str, "DELETE /hold-drop/hold1 ") != NULL;
 }
 
-static void test_unused_memory_is_given_back(fixture_t *f, gconstpointer data)
+static void test_unused_reservation_is_released(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "held", "h", "Ho", NULL);
@@ -427,36 +428,36 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/forward/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("served", test_served);
-    TEST("once-that-crashes-is-never-503", test_once_that_crashes_is_never_503);
-    TEST("once-refused-goes-elsewhere", test_once_refused_goes_elsewhere);
-    TEST("outdated-back-end-is-left-alone", test_outdated_back_end_is_left_alone);
+    TEST("unsafe-request-lost-in-a-crash-is-not-503", test_unsafe_request_lost_in_a_crash_is_not_503);
+    TEST("refused-unsafe-request-goes-elsewhere", test_refused_unsafe_request_goes_elsewhere);
+    TEST("outdated-back-end-is-avoided", test_outdated_back_end_is_avoided);
     TEST("refused-everywhere-is-503", test_refused_everywhere_is_503);
     TEST("unreachable-goes-elsewhere", test_unreachable_goes_elsewhere);
-    TEST("safe-is-tried-again", test_safe_is_tried_again);
+    TEST("safe-request-is-retried", test_safe_request_is_retried);
     TEST("failure-passes-unchanged", test_failure_passes_unchanged);
-    TEST("stray-answer-is-nobodys", test_stray_answer_is_nobodys);
+    TEST("stray-answer-is-skipped", test_stray_answer_is_skipped);
     TEST("timeout-is-answered", test_timeout_is_answered);
     TEST("caller-leaves", test_caller_leaves);
     TEST("without-configuration", test_without_configuration);
     TEST("early-request-waits", test_early_request_waits);
     TEST("early-caller-leaves", test_early_caller_leaves);
-    TEST("closed-ends-what-it-began", test_closed_ends_what_it_began);
-    TEST("stopping-begins-what-ends-in-time", test_stopping_begins_what_ends_in_time);
+    TEST("stopping-box-completes-requests-in-flight", test_stopping_box_completes_requests_in_flight);
+    TEST("stopping-box-begins-what-ends-in-time", test_stopping_box_begins_what_ends_in_time);
     TEST("prefill-then-decode", test_prefill_then_decode);
     TEST("refused-decode-keeps-the-prefill", test_refused_decode_keeps_the_prefill);
     TEST("unused-prefill-is-released", test_unused_prefill_is_released);
     TEST("broken-stream-waits-for-room", test_broken_stream_waits_for_room);
-    TEST("broken-stream-does-not-look-whole", test_broken_stream_does_not_look_whole);
-    TEST("resumable-stream-goes-on-elsewhere", test_resumable_stream_goes_on_elsewhere);
-    TEST("resumable-stream-goes-on-where-it-was", test_resumable_stream_goes_on_where_it_was);
-    TEST("lost-prefill-is-asked-for-again", test_lost_prefill_is_asked_for_again);
-    TEST("resumed-stream-goes-where-its-prompt-is-kept", test_resumed_stream_goes_where_its_prompt_is_kept);
+    TEST("broken-stream-ends-incomplete", test_broken_stream_ends_incomplete);
+    TEST("resumable-stream-continues-elsewhere", test_resumable_stream_continues_elsewhere);
+    TEST("resumable-stream-continues-at-its-engine", test_resumable_stream_continues_at_its_engine);
+    TEST("lost-prefill-is-retried-at-its-engine", test_lost_prefill_is_retried_at_its_engine);
+    TEST("resumed-stream-goes-where-its-prompt-is-cached", test_resumed_stream_goes_where_its_prompt_is_cached);
     TEST("resumed-stream-in-a-large-pool", test_resumed_stream_in_a_large_pool);
-    TEST("resumed-stream-whose-prompt-is-gone", test_resumed_stream_whose_prompt_is_gone);
-    TEST("resumed-stream-whose-keeper-is-full", test_resumed_stream_whose_keeper_is_full);
+    TEST("resumed-stream-without-cached-prompt", test_resumed_stream_without_cached_prompt);
+    TEST("resumed-stream-whose-engine-is-full", test_resumed_stream_whose_engine_is_full);
     TEST("no-prefill-engine", test_no_prefill_engine);
-    TEST("memory-is-set-aside-first", test_memory_is_set_aside_first);
-    TEST("no-room-reads-no-prompt", test_no_room_reads_no_prompt);
-    TEST("unused-memory-is-given-back", test_unused_memory_is_given_back);
+    TEST("memory-is-reserved-first", test_memory_is_reserved_first);
+    TEST("no-room-makes-no-prefill", test_no_room_makes_no_prefill);
+    TEST("unused-reservation-is-released", test_unused_reservation_is_released);
     return g_test_run();
 }
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -1,5 +1,5 @@
-/* What belongs to one attempt at a request and lives in the request: it is of no use to the next attempt once its time
- * is over, its engine leaves, or another attempt has taken its place. */
+/* State of one attempt that is stored in the request: reservations, prefill results, queries. A later attempt must not
+ * use it once it has expired, its engine is leaving, or another attempt has replaced it. */
 
 #include "platform/forward_lab.h"
 
@@ -10,7 +10,7 @@
     return requests(arg, 0) > 0;
 }
 
-static bool has_question(void *arg)
+static bool has_query(void *arg)
 {
     return requests(arg, 1) > 0;
 }
@@ -30,8 +30,8 @@
     return strstr(((fixture_t *)arg)->plan[1].seen->str, "DELETE /hold-drop/hold1 ") != NULL;
 }
 
-/** The list says that i-1 leaves. */
-static void let_leave(fixture_t *f)
+/** Lists i-1 as leaving. */
+static void list_as_leaving(fixture_t *f)
 {
     backend_t list[BACKENDS];
     uint32_t n = 0;
@@ -48,10 +48,10 @@
     fleet_set_list(f->fleet, list, n, tc_time_now());
 }
 
-/* ===== Memory set aside ===== */
+/* ===== Memory reservations ===== */
 
-/** Memory whose time is over while the prompt is read is set aside anew. */
-static void test_hold_that_lapsed(fixture_t *f, gconstpointer data)
+/** A reservation that expires while the prompt is read is made again. */
+static void test_expired_hold(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "brief", "P", "HHS", NULL);
@@ -61,22 +61,22 @@
     g_assert_cmpuint(requests(f, 0), ==, 1); /* the prompt is read once */
 }
 
-/** An engine that leaves gets no request because of memory that it had set aside before. */
-static void test_hold_at_an_engine_that_leaves(fixture_t *f, gconstpointer data)
+/** A leaving engine gets no request, even if it holds a reservation for it. */
+static void test_hold_at_a_leaving_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "held", "P", "HS", "HS");
     lab_call_t *const c = begin(f, "/held/x");
     lab_run_until(f->loop, has_prefill, f);
-    let_leave(f);
+    list_as_leaving(f);
     expect_whole(f, c, FIRST SECOND);
     lab_run_until(f->loop, was_dropped, f);
     g_assert_null(strstr(f->plan[1].seen->str, "Kv-From"));
     g_assert_nonnull(strstr(f->plan[2].seen->str, "\r\nHold: hold1\r\n"));
 }
 
-/** An answer to somebody's request, which comes late where that to a question is due, is not taken for it. */
-static void test_hold_behind_an_answer_of_another(fixture_t *f, gconstpointer data)
+/** The late answer to another request is not taken for the answer to a reservation query. */
+static void test_hold_after_a_stray_answer(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "held", "p", "XS", NULL);
@@ -84,8 +84,8 @@
     g_assert_nonnull(strstr(f->plan[1].seen->str, "\r\nHold: hold1\r\n"));
 }
 
-/** Nobody waits for the answer to a question of a caller that is gone. */
-static void test_caller_leaves_at_a_question(fixture_t *f, gconstpointer data)
+/** A query is dropped when the caller leaves. */
+static void test_caller_leaves_during_a_query(fixture_t *f, gconstpointer data)
 {
     static const char *const more[] = {"", "Last-Event-Id: 1\r\nPrompt-Prefix: a1:10,b2:90\r\n"};
     (void)data;
@@ -98,53 +98,54 @@
         lab_run_until(f->loop, is_idle, f);
         lab_call_free(c);
     }
-    g_assert_true(has_question(f));
+    g_assert_true(has_query(f));
     g_assert_cmpuint(requests(f, 0), ==, 0);
 }
 
-/* ===== Results of prefills ===== */
+/* ===== Prefill results ===== */
 
-/** A result that lapsed while an engine kept the request waiting is not taken to the next one. */
-static void test_result_that_lapsed(fixture_t *f, gconstpointer data)
+/** A prefill result that expired while an engine delayed its refusal is not offered to the next engine. */
+static void test_expired_prefill_result(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "fleeting", "p", "N", "S");
     expect_whole(f, begin(f, "/fleeting/x"), FIRST SECOND);
-    g_assert_cmpuint(requests(f, 0), ==, 2); /* read anew */
+    g_assert_cmpuint(requests(f, 0), ==, 2); /* read again */
 }
 
-/* ===== Streams that are taken up again ===== */
+/* ===== Resumed streams ===== */
 
-/** The engine that broke off has the prompt still, but it leaves: it gets nothing more. */
-static void test_stream_of_an_engine_that_leaves(fixture_t *f, gconstpointer data)
+/** The engine whose stream broke still caches the prompt but is leaving, so it gets no further call. */
+static void test_stream_of_a_leaving_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "tU", "U");
     lab_call_t *const c = begin(f, "/again/x");
     lab_run_until(f->loop, has_bytes, c);
-    let_leave(f);
+    list_as_leaving(f);
     expect_whole(f, c, FIRST SECOND);
     g_assert_cmpuint(requests(f, 1), ==, 1);
     g_assert_cmpuint(requests(f, 2), ==, 1);
 }
 
-/** What was configured when a request began holds until it ends. */
-static void test_stream_across_a_configuration(fixture_t *f, gconstpointer data)
+/** A request keeps the configuration with which it began. */
+static void test_stream_across_a_configuration_change(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "t", "U");
     lab_call_t *const c = begin(f, "/again/x");
     lab_run_until(f->loop, has_bytes, c);
     forwarder_set_routes(f->forwarder, NULL);
-    fleet_find(f->fleet, "i-1")->listed.draining = true; /* so that another engine takes it up */
+    fleet_find(f->fleet, "i-1")->listed.draining = true; /* so that the stream resumes at another engine */
     expect_whole(f, c, FIRST SECOND);
     g_assert_nonnull(strstr(f->plan[2].seen->str, "Last-Event-Id: 1\r\n"));
 }
 
-/* ===== Connections that are used again ===== */
+/* ===== Kept-alive connections ===== */
 
-/** An answer that ends with its head ends there on both sides, so that the next ones are their own. */
-static void test_head_on_kept_connections(fixture_t *f, gconstpointer data)
+/** An answer without a body (to HEAD) ends with its head on both connections, so that the next answers are matched
+ *  correctly. */
+static void test_head_on_kept_alive_connections(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "EoEo", false, false}}, 1);
@@ -163,8 +164,9 @@
     }
 }
 
-/** A result that an engine may have taken before its answer was lost is no other engine's: the prompt is read again. */
-static void test_result_of_a_lost_answer(fixture_t *f, gconstpointer data)
+/** A prefill result that an engine may have taken before its answer was lost is not offered to another engine: the
+ *  prompt is read again. */
+static void test_prefill_result_of_a_lost_answer(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "rr", "S");
@@ -179,14 +181,14 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/forward-attempts/" name, fixture_t, NULL, set_up, fn, tear_down)
-    TEST("hold-that-lapsed", test_hold_that_lapsed);
-    TEST("hold-at-an-engine-that-leaves", test_hold_at_an_engine_that_leaves);
-    TEST("hold-behind-an-answer-of-another", test_hold_behind_an_answer_of_another);
-    TEST("caller-leaves-at-a-question", test_caller_leaves_at_a_question);
-    TEST("result-that-lapsed", test_result_that_lapsed);
-    TEST("stream-of-an-engine-that-leaves", test_stream_of_an_engine_that_leaves);
-    TEST("stream-across-a-configuration", test_stream_across_a_configuration);
-    TEST("head-on-kept-connections", test_head_on_kept_connections);
-    TEST("result-of-a-lost-answer", test_result_of_a_lost_answer);
+    TEST("expired-hold", test_expired_hold);
+    TEST("hold-at-a-leaving-engine", test_hold_at_a_leaving_engine);
+    TEST("hold-after-a-stray-answer", test_hold_after_a_stray_answer);
+    TEST("caller-leaves-during-a-query", test_caller_leaves_during_a_query);
+    TEST("expired-prefill-result", test_expired_prefill_result);
+    TEST("stream-of-a-leaving-engine", test_stream_of_a_leaving_engine);
+    TEST("stream-across-a-configuration-change", test_stream_across_a_configuration_change);
+    TEST("head-on-kept-alive-connections", test_head_on_kept_alive_connections);
+    TEST("prefill-result-of-a-lost-answer", test_prefill_result_of_a_lost_answer);
     return g_test_run();
 }
--- a/tests/platform/test_forward_leader.c
+++ b/tests/platform/test_forward_leader.c
@@ -1,5 +1,5 @@
-/* Questions to the leader of the control boxes: what it answers holds for the question that it answers, and for the
- * placement that it names. The leader is a fake one, which answers when it is told to. */
+/* Queries to the leader of the control boxes: an answer applies only to its own query and to the placement that it
+ * names. A fake leader answers when the test asks it to. */
 
 #include "platform/leader_lab.h"
 
@@ -8,11 +8,11 @@
 typedef struct {
     fixture_t f;
     leader_t leader;
-    peer_call_t asked[CALLS]; /* for placements, not answered yet */
+    peer_call_t asked[CALLS]; /* placement queries without an answer */
     unsigned asked_n, awaited;
     unsigned replans;
-    unsigned lent;                    /* further arrivals, each of which is granted */
-    const external_backend_t *engine; /* goes on behind the last of them */
+    unsigned retries_granted;         /* further arrivals granted */
+    const external_backend_t *engine; /* sends its next event after the second of them */
 } world_t;
 
 /* ===== The leader ===== */
@@ -30,13 +30,13 @@
     peer_reply_error(w->leader.net, call, &err);
 }
 
-/** What a run given up takes is two arrivals: the prompt's and that of the run behind it. With the second of them the
- *  silent engine goes on, so that its bytes wait when the answer is read. */
-static void lend(world_t *w, peer_call_t call)
+/** Giving up a run takes two arrivals: one for the prompt and one for the next run. With the second grant the silent
+ *  engine sends its next event, whose bytes then wait when the grant is read. */
+static void grant_retry(world_t *w, peer_call_t call)
 {
     const msg_retry_ack_t ack = {.granted = true};
     peer_reply(w->leader.net, call, MSG_RETRY_ACK, &ack);
-    if (++w->lent == 2)
+    if (++w->retries_granted == 2)
         external_backend_send(w->engine, "f\r\n" SECOND "\r\n0\r\n\r\n");
 }
 
@@ -54,7 +54,7 @@
         w->replans++;
         refuse(w, call);
         break;
-    case MSG_RETRY: lend(w, call); break;
+    case MSG_RETRY: grant_retry(w, call); break;
     default:
         if (call.call != 0)
             refuse(w, call);
@@ -62,13 +62,13 @@
     }
 }
 
-/** Answer one of the questions. @param prefill "" when the decode engine is to read the prompt */
-static void grant(const world_t *w, unsigned question, const char *prefill, const char *decode)
+/** Answers one of the queries. @param prefill "" when the decode engine reads the prompt */
+static void grant(const world_t *w, unsigned query, const char *prefill, const char *decode)
 {
-    msg_placed_t placed = {.granted = true, .attempt = question + 1};
+    msg_placed_t placed = {.granted = true, .attempt = query + 1};
     codec_copy_string(placed.prefill, sizeof(placed.prefill), prefill);
     codec_copy_string(placed.decode, sizeof(placed.decode), decode);
-    peer_reply(w->leader.net, w->asked[question], MSG_PLACED, &placed);
+    peer_reply(w->leader.net, w->asked[query], MSG_PLACED, &placed);
 }
 
 static bool was_asked(void *arg)
@@ -77,13 +77,13 @@
     return w->asked_n >= w->awaited;
 }
 
-static void await_questions(world_t *w, unsigned n)
+static void await_queries(world_t *w, unsigned n)
 {
     w->awaited = n;
     lab_run_until(w->f.loop, was_asked, w);
 }
 
-/* ===== Life ===== */
+/* ===== Set-up and tear-down ===== */
 
 static void set_up_world(world_t *w, gconstpointer data)
 {
@@ -105,29 +105,29 @@
 
 /* ===== Answers ===== */
 
-/** An answer that comes after its question was put anew is not taken for the answer to the newer one. */
-static void test_answer_to_an_older_question(world_t *w, gconstpointer data)
+/** The late answer to a query that was repeated is not taken for the answer to the newer query. */
+static void test_answer_to_an_older_query(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(&w->f, "lm", "p", "S", "S");
     lab_call_t *const c = begin(&w->f, "/placed/x");
-    await_questions(w, 2);
+    await_queries(w, 2);
     grant(w, 0, "i-0", "i-2");
     lab_run_for(w->f.loop, 30);
-    g_assert_cmpuint(requests(&w->f, 0), ==, 0); /* nothing has begun */
+    g_assert_cmpuint(requests(&w->f, 0), ==, 0); /* nothing was sent */
     grant(w, 1, "i-0", "i-1");
     expect_whole(&w->f, c, FIRST SECOND);
     g_assert_cmpuint(requests(&w->f, 1), ==, 1);
     g_assert_cmpuint(requests(&w->f, 2), ==, 0);
 }
 
-/** An answer for a caller that is gone begins nothing. */
-static void test_answer_for_nobody(world_t *w, gconstpointer data)
+/** An answer for a caller that has left starts no call. */
+static void test_answer_after_the_caller_left(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(&w->f, "lm", "p", "S", "S");
     lab_call_t *const c = begin(&w->f, "/placed/x");
-    await_questions(w, 1);
+    await_queries(w, 1);
     web_call_cancel(c->call);
     lab_run_until(w->f.loop, is_idle, w);
     grant(w, 0, "i-0", "i-1");
@@ -136,24 +136,24 @@
     lab_call_free(c);
 }
 
-/** The leader has a decode engine read a prompt itself where no other request has it do so: when that engine does not
- *  take it, this is not said of the next one. */
+/** The leader lets a decode engine read a prompt itself while no other request does so there. When that engine refuses
+ *  the request, the permission does not extend to the next engine. */
 static void test_prompt_read_by_its_decode_engine(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(&w->f, "lm", "p", "nS", "S");
     lab_call_t *c = begin(&w->f, "/placed/x");
-    await_questions(w, 1);
+    await_queries(w, 1);
     grant(w, 0, "", "i-1");
     expect_whole(&w->f, c, FIRST SECOND);
     g_assert_cmpuint(requests(&w->f, 1), ==, 1);
-    g_assert_cmpuint(requests(&w->f, 0), ==, 1); /* the prompt is read for the other engine */
+    g_assert_cmpuint(requests(&w->f, 0), ==, 1); /* a prefill for the other engine */
     g_assert_nonnull(strstr(w->f.plan[2].seen->str, "Kv-From: "));
     c = begin(&w->f, "/placed/x");
-    await_questions(w, 2);
+    await_queries(w, 2);
     grant(w, 1, "", "i-1");
     expect_whole(&w->f, c, FIRST SECOND);
-    g_assert_cmpuint(requests(&w->f, 0), ==, 1); /* it took it, and read the prompt */
+    g_assert_cmpuint(requests(&w->f, 0), ==, 1); /* the decode engine accepted and read the prompt itself */
 }
 
 static bool has_first(void *arg)
@@ -161,8 +161,8 @@
     return strcmp(((const lab_call_t *)arg)->body->str, FIRST) == 0;
 }
 
-/** A silent run that goes on while the leader is asked for what could follow it is not given up. */
-static void test_run_goes_on_while_the_leader_answers(world_t *w, gconstpointer data)
+/** A silent run that continues while the leader is queried for the budget of the next run is not given up. */
+static void test_run_continues_while_the_leader_answers(world_t *w, gconstpointer data)
 {
     (void)data;
     start_all(&w->f,
@@ -173,13 +173,13 @@
     external_backend_t engine = external_backend_open(w->f.backend_addr[1]);
     w->engine = &engine;
     lab_call_t *const c = begin(&w->f, "/soon/x");
-    await_questions(w, 1);
+    await_queries(w, 1);
     grant(w, 0, "i-0", "i-1");
     lab_run_until(w->f.loop, external_backend_has_read, &engine);
     external_backend_send(&engine, STREAM_HEAD "f\r\n" FIRST "\r\n");
     lab_run_until(w->f.loop, has_first, c);
     expect_whole(&w->f, c, FIRST SECOND);
-    g_assert_cmpuint(w->lent, ==, 2);
+    g_assert_cmpuint(w->retries_granted, ==, 2);
     g_assert_cmpuint(requests(&w->f, 2), ==, 0);
     external_backend_close(&engine);
 }
@@ -188,11 +188,11 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/forward-leader/" name, world_t, NULL, set_up_world, fn, tear_down_world)
-    TEST("answer-to-an-older-question", test_answer_to_an_older_question);
-    TEST("answer-for-nobody", test_answer_for_nobody);
+    TEST("answer-to-an-older-query", test_answer_to_an_older_query);
+    TEST("answer-after-the-caller-left", test_answer_after_the_caller_left);
     TEST("prompt-read-by-its-decode-engine", test_prompt_read_by_its_decode_engine);
-    static const double nothing = 0; /* of the budget is this box's part */
-    g_test_add("/forward-leader/run-goes-on-while-the-leader-answers", world_t, &nothing, set_up_world,
-               test_run_goes_on_while_the_leader_answers, tear_down_world);
+    static const double nothing = 0; /* this box's share of the budget */
+    g_test_add("/forward-leader/run-continues-while-the-leader-answers", world_t, &nothing, set_up_world,
+               test_run_continues_while_the_leader_answers, tear_down_world);
     return g_test_run();
 }
--- a/tests/platform/test_stream_events.c
+++ b/tests/platform/test_stream_events.c
@@ -1,23 +1,24 @@
-/* Events of a stream that several runs bring.
+/* Events of a stream that is delivered by several runs.
  *
- * Callers of streams that may be taken up elsewhere got events that no back end had written: the first bytes of an
- * event of one run, and behind them a whole event of the next. It came about where a back end, or the network before
- * it, fell silent within an event without closing the connection. Bytes of an unfinished event were kept in the
- * request; a run that broke off emptied them, a run that was given up for its silence did not, and the next run's bytes
- * were added to them. Shown by the first test: at each place within an event the caller got joined bytes. */
+ * Guards against events that no back end has written: the first bytes of an event of one run, followed by a complete
+ * event of the next. This happened when a back end, or the network before it, fell silent within an event without
+ * closing the connection. The buffer of the incomplete event belonged to the request; it was cleared when a run broke
+ * off, but not when a silent run was given up, and the next run appended to it. The first test stops the run at every
+ * byte of an event. */
 
 #include "platform/forward_lab.h"
 
 #define FIRST_CRLF "id: 1\r\ndata: a\r\n\r\n"
 #define SECOND_CRLF "id: 2\r\ndata: b\r\n\r\n"
 
-/** An engine whose streams stop after some bytes, and one that goes on behind the first event. */
+/** An engine whose streams stop after some bytes, and one that continues after the first event. */
 static void start_stopping(fixture_t *f)
 {
     start_engines(f, "lm", "p", "q", "U");
 }
 
-/** @param stream what the engine that stops sends of @p first and the event behind it, place by place */
+/** Stops the first run at every byte of its second event. @param stream sent by the stopping engine: @p first and a
+ *  second event */
 static void stop_within_second_event(fixture_t *f, const char *stream, const char *first)
 {
     char *const whole = g_strconcat(first, SECOND, NULL);
@@ -26,12 +27,12 @@
         const unsigned before = requests(f, 1);
         f->plan[1].stream_size = size;
         expect(f, "/soon/x", 200, whole);
-        g_assert_cmpuint(requests(f, 1), ==, before + 1); /* the run that stops was one of the answer's */
+        g_assert_cmpuint(requests(f, 1), ==, before + 1); /* the stopped run was part of the answer */
     }
     g_free(whole);
 }
 
-static void test_run_that_stops_within_an_event(fixture_t *f, gconstpointer data)
+static void test_run_stops_within_an_event(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_stopping(f);
@@ -39,9 +40,9 @@
     stop_within_second_event(f, FIRST_CRLF SECOND_CRLF, FIRST_CRLF);
 }
 
-/** A run that begins at the first event again, whatever it is asked to go on behind, is given up: an engine may word
- * its answer in another way the second time. */
-static void test_run_that_starts_over(fixture_t *f, gconstpointer data)
+/** A run that starts over at the first event instead of continuing after the requested one is given up: an engine may
+ *  produce a different text the second time. */
+static void test_run_starts_over(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "T", "S");
@@ -52,7 +53,7 @@
     g_assert_nonnull(strstr(f->plan[2].seen->str, "Last-Event-Id: 1\r\n"));
 }
 
-/** Nothing can go on behind an event without an id: the caller would get it twice. A comment is no event. */
+/** No run can continue after an event without an id: the caller would get that event twice. A comment is no event. */
 static void test_event_without_id(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -69,8 +70,8 @@
     expect(f, "/soon/x", 200, FIRST ": still there\n\n" SECOND);
 }
 
-/** So its run is waited for, however long it is silent. */
-static void test_silence_behind_an_event_without_id(fixture_t *f, gconstpointer data)
+/** Therefore a run that has sent an event without an id is never given up for its silence. */
+static void test_silence_after_an_event_without_id(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_stopping(f);
@@ -79,7 +80,7 @@
     lab_call_t *const c = begin(f, "/soon/x");
     while (c->body->len < f->plan[1].stream_size)
         lab_run_for(f->loop, 1);
-    lab_run_for(f->loop, 200); /* five times what a silent run is given */
+    lab_run_for(f->loop, 200); /* five times the silence timeout */
     g_assert_false(c->done);
     web_call_cancel(c->call);
     lab_call_free(c);
@@ -89,9 +90,8 @@
 
 #define LONG_ID "6f1c8a52-7f0e-4c3b-9d64-0a5be2f1d7c3-0000000001"
 
-/** The next run is asked to go on behind the very event that came last, however long its id is, and gets no header
- * lines out of it. */
-static void test_ids_are_told_unchanged(fixture_t *f, gconstpointer data)
+/** The next run gets the id of the last event unchanged, however long it is, and the id cannot inject header lines. */
+static void test_ids_are_sent_unchanged(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const char *const first = "id: " LONG_ID "\rX: 1\ndata: a\n\n";
@@ -109,7 +109,7 @@
     g_free(whole);
 }
 
-/** A stream of one event, behind another. @return for g_free */
+/** A stream of FIRST and one large event. @param size of the large event in bytes @return for g_free */
 static char *large_stream(size_t size)
 {
     static const char head[] = "id: 2\ndata: ";
@@ -119,7 +119,7 @@
     return stream;
 }
 
-/** Events are passed on whole, however many bytes of the answer come before their end. */
+/** Large events are forwarded whole. */
 static void test_large_event_arrives_whole(fixture_t *f, gconstpointer data)
 {
     enum { SIZE = 1200014 };
@@ -134,9 +134,9 @@
     g_free(stream);
 }
 
-/** More than is kept of one event: the answer breaks off before it, at once and for good, since it would be as large on
- * every engine. */
-static void test_event_larger_than_is_kept(fixture_t *f, gconstpointer data)
+/** An event beyond the buffer limit aborts the answer at once and without a retry, since it would be as large on every
+ *  engine. */
+static void test_event_beyond_the_limit(fixture_t *f, gconstpointer data)
 {
     enum { SIZE = 5 * 1024 * 1024 };
     static const char *const paths[] = {"/lm/x", "/soon/x"};
@@ -157,11 +157,11 @@
     g_free(stream);
 }
 
-/** Further arrivals that a request may have: of what the rules allow, 0.8 is used. */
+/** Retry budgets in further arrivals per request: 0.8 of what the rules allow is used. */
 static const double two_more = 2 / 0.8, three_more = 3 / 0.8;
 
-/** A stream breaks, and its engine does not take it up. A prompt that is read a second time is an arrival beyond the
- *  first, as the run behind it is: with the engine that was asked again they are three. */
+/** A stream breaks, and its engine refuses to resume it. A second prefill and the next run each count as a further
+ *  arrival; with the refused call they are three. */
 static void test_all_arrivals_of_a_second_run_are_paid(fixture_t *f, gconstpointer data)
 {
     start_stopping(f);
@@ -175,12 +175,12 @@
     lab_call_t *const c = call(f, "/soon/x");
     g_assert_cmpint(c->how, ==, WEB_END_CUT);
     lab_call_free(c);
-    g_assert_cmpuint(requests(f, 0), ==, 1); /* no prompt is read for a run that can't follow */
+    g_assert_cmpuint(requests(f, 0), ==, 1); /* no prefill for a run that is not allowed */
 }
 
-/** No prefill engine is left when the stream is taken up, so the engine that does reads the prompt itself: that is one
- *  arrival. With the prompt that was asked for twice, in vain, they are two beyond the first. */
-static void expect_no_prompt_paid(fixture_t *f, const char *first_run)
+/** No prefill engine is left when the stream resumes, so the decode engine reads the prompt itself, which is one
+ * arrival. With the two failed prefills there are two further arrivals. */
+static void expect_no_prefill_charged(fixture_t *f, const char *first_run)
 {
     start_stopping(f);
     f->plan[0].replies = "r";
@@ -196,16 +196,16 @@
 static void test_broken_run_without_prefill(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    expect_no_prompt_paid(f, "R");
+    expect_no_prefill_charged(f, "R");
 }
 
 static void test_silent_run_without_prefill(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    expect_no_prompt_paid(f, "q");
+    expect_no_prefill_charged(f, "q");
 }
 
-/** Ids of more digits than a machine's number has rise as well. */
+/** Ids that exceed 64 bits are compared correctly. */
 static void test_ids_of_many_digits(fixture_t *f, gconstpointer data)
 {
     static const char first[] = "id: 99999999999999999998\ndata: a\n\n";
@@ -219,7 +219,7 @@
     expect(f, "/soon/x", 200, both);
 }
 
-/** An empty line behind the last event begins no other one: the answer is whole. */
+/** An empty line after the last event begins no new event: the answer is complete. */
 static void test_empty_line_at_the_end(fixture_t *f, gconstpointer data)
 {
     static const char *const ends[] = {"\n", "\r\n"};
@@ -237,17 +237,16 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add("/stream-events/run-stops-within", fixture_t, NULL, set_up, test_run_that_stops_within_an_event,
-               tear_down);
-    g_test_add("/stream-events/run-starts-over", fixture_t, NULL, set_up, test_run_that_starts_over, tear_down);
-    g_test_add("/stream-events/ids-are-told-unchanged", fixture_t, NULL, set_up, test_ids_are_told_unchanged,
+    g_test_add("/stream-events/run-stops-within", fixture_t, NULL, set_up, test_run_stops_within_an_event, tear_down);
+    g_test_add("/stream-events/run-starts-over", fixture_t, NULL, set_up, test_run_starts_over, tear_down);
+    g_test_add("/stream-events/ids-are-sent-unchanged", fixture_t, NULL, set_up, test_ids_are_sent_unchanged,
                tear_down);
     g_test_add("/stream-events/event-without-id", fixture_t, NULL, set_up, test_event_without_id, tear_down);
-    g_test_add("/stream-events/silence-behind-event-without-id", fixture_t, NULL, set_up,
-               test_silence_behind_an_event_without_id, tear_down);
+    g_test_add("/stream-events/silence-after-event-without-id", fixture_t, NULL, set_up,
+               test_silence_after_an_event_without_id, tear_down);
     g_test_add("/stream-events/large-event-arrives-whole", fixture_t, NULL, set_up, test_large_event_arrives_whole,
                tear_down);
-    g_test_add("/stream-events/event-larger-than-is-kept", fixture_t, NULL, set_up, test_event_larger_than_is_kept,
+    g_test_add("/stream-events/event-beyond-the-limit", fixture_t, NULL, set_up, test_event_beyond_the_limit,
                tear_down);
     g_test_add("/stream-events/second-run-within-budget", fixture_t, &three_more, set_up,
                test_all_arrivals_of_a_second_run_are_paid, tear_down);
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -1,9 +1,9 @@
-/* Answers that several runs bring, by lot: back ends divide their answers into events, chunks and writes as they like
- * and stop, close, reset or begin anew wherever they like. What a caller gets is compared with what runs made: whole
- * events, each of them one run's, every token once and in order, to the last one when the answer ends well.
+/* Randomized answers that are delivered by several runs: back ends divide their answers into events, chunks and writes
+ * at random, and stall, close, reset or start over at any byte. Checks that a caller gets complete events, each from
+ * one run, and every token once and in order, up to the last one when the answer ends well.
  *
- * One thing is left out, since ids don't tell it: a run that begins anew in spite of the event that it was asked to go
- * on behind, and whose first event reaches beyond that one. */
+ * One case is excluded, since ids do not reveal it: a run that starts over instead of continuing after the requested
+ * event, and whose first event ends beyond that event. */
 
 #include "platform/forward_lab.h"
 
@@ -11,182 +11,184 @@
 
 enum {
     SEEDS = 200,
-    SEEDS_AT_ONCE = 20,       /* share one entry and its connections; each has requests of its own */
-    REQUESTS_MIN = 3,         /* of a seed, */
-    REQUESTS_MAX = 5,         /* at most */
-    TOKENS_MAX = 30,          /* of an answer */
-    EVENT_TOKENS_MAX = 6,     /* of an event */
-    HUGE = 1500000,           /* bytes of the largest events */
-    PIECES_MAX = 10,          /* parts in which an answer is sent, */
-    BYTEWISE_MAX = 400,       /* unless it is as small as this: then it may be sent byte by byte */
-    PIECE_WAIT_MS = 2,        /* before a part, at most */
-    HURRY_MS = 100,           /* for an answer that may stand still for good */
-    LEAVE_BYTES = 100,        /* after which a caller leaves */
-    WHOLE_MIN = SEEDS,        /* answers of all seeds that end well, and */
-    TAKEN_UP_MIN = SEEDS / 5, /* that several runs brought: else nothing was tested */
+    SEEDS_PER_BATCH = 20,        /* seeds that run concurrently and share one entry box and its connections */
+    REQUESTS_MIN = 3,            /* per seed */
+    REQUESTS_MAX = 5,            /* per seed */
+    TOKENS_MAX = 30,             /* per answer */
+    EVENT_TOKENS_MAX = 6,        /* per event */
+    EVENT_PADDING_MAX = 1500000, /* size limit of the largest events, in bytes */
+    PIECES_MAX = 10,             /* writes per answer */
+    BYTEWISE_MAX = 400,          /* answers up to this size may be sent byte by byte */
+    PIECE_WAIT_MS = 2,           /* longest delay before a write */
+    SHORT_DEADLINE_MS = 100,     /* deadline of a request whose answer may stall for ever */
+    LEAVE_BYTES = 100,           /* bytes of the answer after which a caller leaves */
+    WHOLE_MIN = SEEDS,           /* least number of answers that end well, over all seeds */
+    RESUMED_MIN = SEEDS / 5,     /* least number delivered by several runs, so that the test covers them */
 };
 
 /* ===== Types ===== */
 
-/** An event that a run made whole. */
+/** An event that a run has sent completely. */
 typedef struct {
-    unsigned run, number; /* of the run's events, from 0 */
-    unsigned from, to;    /* tokens; 0: none */
+    unsigned run, number; /* index among the run's events */
+    unsigned from, to;    /* first and last token; 0: none */
     char *bytes;
-} made_t;
+} sent_event_t;
 
 /** How a run ends. */
 typedef enum {
-    END_CHUNKED,      /* whole, in chunks */
-    END_LENGTH,       /* whole, of a length that is told */
-    END_OF_CHANNEL,   /* whole, with the connection */
-    TORN_SILENT,      /* stops within an event; the connection stays open */
-    TORN_RESET,       /* the same; reset */
-    TORN_CLOSED,      /* the same; closed in order, without the last chunk */
-    TORN_LAST_CHUNK,  /* the same, with the last chunk */
-    TORN_OF_CHANNEL,  /* the same, closed in order, without a length */
-    TORN_SHORT,       /* the same, closed before the length that was told */
-    TORN_RESET_WHERE, /* reset anywhere, without a length */
+    END_CHUNKED,          /* complete, chunked */
+    END_LENGTH,           /* complete, with Content-Length */
+    END_CLOSED,           /* complete, ended by closing the connection */
+    CUT_SILENT,           /* stops within an event; the connection stays open */
+    CUT_RESET,            /* stops within an event; reset */
+    CUT_CLOSED_CHUNKED,   /* stops within an event; closed without the last chunk */
+    CUT_LAST_CHUNK,       /* stops within an event; ended by the last chunk */
+    CUT_CLOSED_NO_LENGTH, /* stops within an event; closed, without a length */
+    CUT_SHORT,            /* stops within an event; closed before Content-Length */
+    CUT_RESET_ANYWHERE,   /* reset at any byte, without a length */
     ENDS
 } run_end_t;
 
-/** One request, and what its runs did. */
+/** One request and its runs. */
 typedef struct {
     char id[24];
     uint32_t seed;
     const char *path;
-    unsigned backends; /* that may run it */
-    bool hurried;      /* its time is short */
-    bool leaves;       /* its caller, within the answer */
-    unsigned after;    /* token that the caller has */
+    unsigned backends;       /* most back ends that may run it */
+    bool has_short_deadline; /* its deadline is SHORT_DEADLINE_MS */
+    bool leaves;             /* its caller leaves within the answer */
+    unsigned after;          /* last token that the caller has already */
     unsigned tokens;
-    unsigned calls, ran; /* at back ends; that may have run it */
-    GArray *made;        /* made_t */
-    GString *story;      /* what its runs did, for whoever reads of a failure */
+    unsigned calls, ran; /* calls to back ends; those that may have run it */
+    GArray *made;        /* sent_event_t */
+    GString *run_log;    /* log of its runs, for failure messages */
     lab_call_t *call;
 } request_t;
 
 typedef struct {
     fixture_t *f;
     GPtrArray *requests; /* request_t */
-    unsigned whole, taken_up;
-} world_t;
+    unsigned whole, resumed;
+} batch_t;
 
-/** What a run is about to send. */
+/** Answer of a run. */
 typedef struct {
     request_t *request;
-    GRand *lot;
+    GRand *random;
     unsigned run;
     GString *body;
-    GArray *ends; /* size_t: where its events end */
+    GArray *ends; /* size_t: end offsets of its events */
     run_end_t end;
-    size_t cut; /* bytes of the body that are sent */
+    size_t cut; /* number of body bytes that are sent */
 } run_t;
 
-/* ===== Lots ===== */
+/* ===== Random choices ===== */
 
-/** From 0 to @p n - 1. */
-static unsigned draw(GRand *lot, unsigned n)
+/** @return a random number from 0 to @p n - 1 */
+static unsigned draw(GRand *random, unsigned n)
 {
-    return (unsigned)g_rand_int_range(lot, 0, (gint32)n);
+    return (unsigned)g_rand_int_range(random, 0, (gint32)n);
 }
 
-static bool one_in(GRand *lot, unsigned n)
+/** Whether an event of probability 1/@p n occurs. */
+static bool one_in(GRand *random, unsigned n)
 {
-    return draw(lot, n) == 0;
+    return draw(random, n) == 0;
 }
 
-/** Bytes that fill an event up: most are small, some large, a few very large. */
-static size_t draw_filler(GRand *lot)
+/** Number of padding bytes of an event: mostly small, sometimes large, rarely very large. */
+static size_t draw_filler(GRand *random)
 {
-    if (one_in(lot, 600))
-        return draw(lot, HUGE);
-    if (one_in(lot, 25))
-        return draw(lot, 40000);
-    return draw(lot, 60);
+    if (one_in(random, 600))
+        return draw(random, EVENT_PADDING_MAX);
+    if (one_in(random, 25))
+        return draw(random, 40000);
+    return draw(random, 60);
 }
 
 /* ===== Events ===== */
 
 static void made_clear(void *made)
 {
-    g_free(((made_t *)made)->bytes);
+    g_free(((sent_event_t *)made)->bytes);
 }
 
-/** Add an event to the run; it counts as made when it is sent whole. */
+/** Adds an event to the run; drop_unmade removes it if it is not sent completely. */
 static void add_event(run_t *r, unsigned from, unsigned to, const char *line_end)
 {
     const size_t begin = r->body->len;
-    if (to > 0 && one_in(r->lot, 8))
+    if (to > 0 && one_in(r->random, 8))
         g_string_append_printf(r->body, "versions: 3%s", line_end);
-    if (to > 0 && one_in(r->lot, 8))
+    if (to > 0 && one_in(r->random, 8))
         g_string_append_printf(r->body, ": within%s", line_end);
     if (to > 0)
-        g_string_append_printf(r->body, one_in(r->lot, 4) ? "id:%u%s" : "id: %u%s", to, line_end);
-    const char *const field = to > 0 || one_in(r->lot, 2) ? "data" : "";
+        g_string_append_printf(r->body, one_in(r->random, 4) ? "id:%u%s" : "id: %u%s", to, line_end);
+    const char *const field = to > 0 || one_in(r->random, 2) ? "data" : "";
     g_string_append_printf(r->body, "%s: run %u event %u tokens %u to %u ", field, r->run, r->ends->len, from, to);
-    const size_t filler = draw_filler(r->lot);
+    const size_t filler = draw_filler(r->random);
     for (size_t i = 0; i < filler; i++)
         g_string_append_c(r->body, (char)('a' + (r->run + i + i / 97) % 26));
     g_string_append(r->body, line_end);
-    if (one_in(r->lot, 6))
+    if (one_in(r->random, 6))
         g_string_append_printf(r->body, "data: more%s", line_end);
     g_string_append(r->body, line_end);
     const size_t end = r->body->len;
-    const made_t made = {.run = r->run,
-                         .number = r->ends->len,
-                         .from = from,
-                         .to = to,
-                         .bytes = g_strndup(r->body->str + begin, end - begin)};
+    const sent_event_t made = {.run = r->run,
+                               .number = r->ends->len,
+                               .from = from,
+                               .to = to,
+                               .bytes = g_strndup(r->body->str + begin, end - begin)};
     g_array_append_val(r->ends, end);
     g_array_append_val(r->request->made, made);
 }
 
-/** All events from a token on. @param over the run begins anew, and @p after is what it was asked to go on behind */
+/** Writes all events after the token @p after. @param over the run starts over instead */
 static void write_events(run_t *r, unsigned after, bool over)
 {
-    const bool crlf = one_in(r->lot, 2), mixed = one_in(r->lot, 6);
+    const bool crlf = one_in(r->random, 2), mixed = one_in(r->random, 6);
     unsigned from = over ? 1 : after + 1;
     while (from <= r->request->tokens) {
-        const char *const line_end = (mixed ? one_in(r->lot, 2) : crlf) ? "\r\n" : "\n";
-        if (one_in(r->lot, 6)) {
+        const char *const line_end = (mixed ? one_in(r->random, 2) : crlf) ? "\r\n" : "\n";
+        if (one_in(r->random, 6)) {
             add_event(r, 0, 0, line_end);
             continue;
         }
         const unsigned most = over && from <= after ? after : r->request->tokens;
-        const unsigned wanted = from + draw(r->lot, EVENT_TOKENS_MAX);
+        const unsigned wanted = from + draw(r->random, EVENT_TOKENS_MAX);
         const unsigned to = MIN(most, wanted);
         add_event(r, from, to, line_end);
         from = to + 1;
     }
-    if (one_in(r->lot, 8))
+    if (one_in(r->random, 8))
         add_event(r, 0, 0, "\n");
 }
 
 /* ===== Runs ===== */
 
-/** Runs that stand still are for requests that are taken up elsewhere then, or are over soon. */
-static run_end_t draw_end(GRand *lot, const request_t *request)
+/** Chooses how a run ends. Only requests that can resume elsewhere or end soon may stall. */
+static run_end_t draw_end(GRand *random, const request_t *request)
 {
-    const bool may_stop = request->hurried || request->ran < request->backends;
-    const run_end_t end = one_in(lot, 3) ? (run_end_t)draw(lot, TORN_SILENT) : (run_end_t)draw(lot, ENDS);
-    return end == TORN_SILENT && !may_stop ? TORN_RESET : end;
+    const bool may_stop = request->has_short_deadline || request->ran < request->backends;
+    const run_end_t end = one_in(random, 3) ? (run_end_t)draw(random, CUT_SILENT) : (run_end_t)draw(random, ENDS);
+    return end == CUT_SILENT && !may_stop ? CUT_RESET : end;
 }
 
-/** Where the run stops: within an event where its end alone would not tell that something is missing. */
+/** Chooses the byte where the run stops: within an event if the end of the answer does not reveal that bytes are
+ *  missing. */
 static size_t draw_cut(const run_t *r)
 {
-    if (r->end < TORN_SILENT)
+    if (r->end < CUT_SILENT)
         return r->body->len;
-    if (r->end == TORN_RESET_WHERE)
-        return draw(r->lot, (unsigned)r->body->len + 1);
-    const unsigned event = draw(r->lot, r->ends->len);
+    if (r->end == CUT_RESET_ANYWHERE)
+        return draw(r->random, (unsigned)r->body->len + 1);
+    const unsigned event = draw(r->random, r->ends->len);
     const size_t begin = event > 0 ? g_array_index(r->ends, size_t, event - 1) : 0;
     const size_t size = g_array_index(r->ends, size_t, event) - begin;
-    return begin + 1 + draw(r->lot, (unsigned)size - 1);
+    return begin + 1 + draw(r->random, (unsigned)size - 1);
 }
 
-/** Events that are not sent whole were not made. */
+/** Removes events that are not sent completely. */
 static void drop_unmade(const run_t *r)
 {
     guint whole = 0;
@@ -200,15 +202,15 @@
 {
     switch (r->end) {
     case END_CHUNKED:
-    case TORN_SILENT:
-    case TORN_RESET:
-    case TORN_CLOSED:
-    case TORN_LAST_CHUNK: return true;
+    case CUT_SILENT:
+    case CUT_RESET:
+    case CUT_CLOSED_CHUNKED:
+    case CUT_LAST_CHUNK: return true;
     case END_LENGTH:
-    case END_OF_CHANNEL:
-    case TORN_OF_CHANNEL:
-    case TORN_SHORT:
-    case TORN_RESET_WHERE:
+    case END_CLOSED:
+    case CUT_CLOSED_NO_LENGTH:
+    case CUT_SHORT:
+    case CUT_RESET_ANYWHERE:
     case ENDS: break;
     }
     return false;
@@ -219,10 +221,10 @@
     size_t at = 0;
     while (at < r->cut) {
         const size_t left = r->cut - at;
-        const size_t size = one_in(r->lot, 3) ? left : 1 + draw(r->lot, (unsigned)left);
-        /* A chunk may break off as well, when no other is to follow. */
-        const size_t told = size == left && r->end != END_CHUNKED && r->end != TORN_LAST_CHUNK && one_in(r->lot, 2)
-                                ? size + 1 + draw(r->lot, 50)
+        const size_t size = one_in(r->random, 3) ? left : 1 + draw(r->random, (unsigned)left);
+        /* The last chunk may be truncated too. */
+        const size_t told = size == left && r->end != END_CHUNKED && r->end != CUT_LAST_CHUNK && one_in(r->random, 2)
+                                ? size + 1 + draw(r->random, 50)
                                 : size;
         g_string_append_printf(to, "%zx\r\n", told);
         g_string_append_len(to, r->body->str + at, (gssize)size);
@@ -230,46 +232,46 @@
             g_string_append(to, "\r\n");
         at += size;
     }
-    if (r->end == END_CHUNKED || r->end == TORN_LAST_CHUNK)
+    if (r->end == END_CHUNKED || r->end == CUT_LAST_CHUNK)
         g_string_append(to, "0\r\n\r\n");
 }
 
-#define OF_ANOTHER                                                                                                     \
+#define STRAY_ANSWER                                                                                                   \
     "HTTP/1.1 200 OK\r\nServer-Seal: s0\r\nAttempt-Id: other\r\nContent-Length: 18\r\n\r\nid: 1\ndata: other\n\n"
 
-/** @param genuine whether the answer carries its proof of origin */
-static GString *write_answer(const run_t *r, bool genuine)
+/** @param authentic whether the answer carries its proof of origin */
+static GString *write_answer(const run_t *r, bool authentic)
 {
     GString *const to = g_string_new(NULL);
-    if (one_in(r->lot, 20))
-        g_string_append(to, OF_ANOTHER);
-    if (one_in(r->lot, 20))
+    if (one_in(r->random, 20))
+        g_string_append(to, STRAY_ANSWER);
+    if (one_in(r->random, 20))
         g_string_append(to, "HTTP/1.1 103 Early\r\nServer-Seal: s0\r\n\r\n");
     g_string_append_printf(to, "HTTP/1.1 200 OK\r\n%sAttempt-Id: %s\r\nContent-Type: text/event-stream\r\n",
-                           genuine ? "Server-Seal: s1\r\n" : "", r->request->id);
+                           authentic ? "Server-Seal: s1\r\n" : "", r->request->id);
     if (is_chunked(r)) {
         g_string_append(to, "Transfer-Encoding: chunked\r\n\r\n");
         write_chunks(r, to);
     } else {
-        if (r->end == END_LENGTH || r->end == TORN_SHORT)
+        if (r->end == END_LENGTH || r->end == CUT_SHORT)
             g_string_append_printf(to, "Content-Length: %zu\r\n", r->body->len);
         g_string_append(to, "\r\n");
         g_string_append_len(to, r->body->str, (gssize)r->cut);
     }
-    if ((r->end == END_CHUNKED || r->end == END_LENGTH) && one_in(r->lot, 10))
-        g_string_append(to, OF_ANOTHER);
+    if ((r->end == END_CHUNKED || r->end == END_LENGTH) && one_in(r->random, 10))
+        g_string_append(to, STRAY_ANSWER);
     return to;
 }
 
-/** Divide an answer into parts that are sent one by one. */
-static GArray *draw_pieces(GRand *lot, size_t size)
+/** Divides an answer into writes. */
+static GArray *draw_pieces(GRand *random, size_t size)
 {
     GArray *const pieces = g_array_new(FALSE, FALSE, sizeof(lab_piece_t));
-    const bool bytewise = size <= BYTEWISE_MAX && one_in(lot, 4);
-    const unsigned n = bytewise ? (unsigned)size : draw(lot, PIECES_MAX);
+    const bool bytewise = size <= BYTEWISE_MAX && one_in(random, 4);
+    const unsigned n = bytewise ? (unsigned)size : draw(random, PIECES_MAX);
     for (unsigned i = 0; i < n && size > 0; i++) {
-        const lab_piece_t piece = {.size = bytewise ? 1 : 1 + draw(lot, (unsigned)size),
-                                   .wait = bytewise ? 0 : draw(lot, PIECE_WAIT_MS + 1)};
+        const lab_piece_t piece = {.size = bytewise ? 1 : 1 + draw(random, (unsigned)size),
+                                   .wait = bytewise ? 0 : draw(random, PIECE_WAIT_MS + 1)};
         g_array_append_val(pieces, piece);
         size -= piece.size;
     }
@@ -281,55 +283,55 @@
     switch (end) {
     case END_CHUNKED:
     case END_LENGTH: return LAB_KEEP;
-    case END_OF_CHANNEL:
-    case TORN_CLOSED:
-    case TORN_OF_CHANNEL:
-    case TORN_SHORT: return LAB_CLOSE;
-    case TORN_SILENT: return LAB_HANG;
-    case TORN_RESET:
-    case TORN_RESET_WHERE: return LAB_RESET;
-    case TORN_LAST_CHUNK: return LAB_KEEP;
+    case END_CLOSED:
+    case CUT_CLOSED_CHUNKED:
+    case CUT_CLOSED_NO_LENGTH:
+    case CUT_SHORT: return LAB_CLOSE;
+    case CUT_SILENT: return LAB_HANG;
+    case CUT_RESET:
+    case CUT_RESET_ANYWHERE: return LAB_RESET;
+    case CUT_LAST_CHUNK: return LAB_KEEP;
     case ENDS: break;
     }
     g_assert_not_reached();
 }
 
-/** A run that sends events. @param genuine whether they count */
-static lab_reply_t run_request(request_t *q, GRand *lot, unsigned after, bool genuine)
+/** Answers with a run that sends events. @param authentic whether the answer carries its proof of origin */
+static lab_reply_t run_request(request_t *q, GRand *random, unsigned after, bool authentic)
 {
     run_t r = {.request = q,
-               .lot = lot,
+               .random = random,
                .run = q->calls,
                .body = g_string_new(NULL),
                .ends = g_array_new(FALSE, FALSE, sizeof(size_t))};
-    const bool over = after > 0 && one_in(lot, 10);
+    const bool over = after > 0 && one_in(random, 10);
     write_events(&r, after, over);
-    r.end = r.ends->len > 0 ? draw_end(lot, q) : END_CHUNKED; /* behind the last token there is nothing to tear */
-    if (!genuine && r.end == TORN_SILENT)
-        r.end = TORN_RESET; /* such an answer is waited for until the request's time is over */
+    r.end = r.ends->len > 0 ? draw_end(random, q) : END_CHUNKED; /* after the last token there is no event to cut */
+    if (!authentic && r.end == CUT_SILENT)
+        r.end = CUT_RESET; /* such an answer is awaited until the deadline of the request */
     r.cut = draw_cut(&r);
-    if (genuine)
+    if (authentic)
         drop_unmade(&r);
     else
         g_array_set_size(q->made, q->made->len - r.ends->len);
-    g_string_append_printf(q->story, "run %u: behind %u%s%s, end %d, %zu of %zu bytes\n", r.run, after,
-                           over ? ", begins anew" : "", genuine ? "" : ", no proof", r.end, r.cut, r.body->len);
-    GString *const bytes = write_answer(&r, genuine);
+    g_string_append_printf(q->run_log, "run %u: after token %u%s%s, end %d, %zu of %zu bytes\n", r.run, after,
+                           over ? ", starts over" : "", authentic ? "" : ", no proof", r.end, r.cut, r.body->len);
+    GString *const bytes = write_answer(&r, authentic);
     const lab_reply_t reply = {
-        .end = connection_end(r.end), .pieces = draw_pieces(lot, bytes->len), .bytes = g_string_free(bytes, FALSE)};
+        .end = connection_end(r.end), .pieces = draw_pieces(random, bytes->len), .bytes = g_string_free(bytes, FALSE)};
     g_string_free(r.body, TRUE);
     g_array_free(r.ends, TRUE);
     return reply;
 }
 
-static lab_reply_t say_nothing_ran(const request_t *q)
+static lab_reply_t reply_not_run(const request_t *q)
 {
     char *const bytes =
         g_strdup_printf("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", q->id);
     return (lab_reply_t){.bytes = bytes, .end = LAB_KEEP};
 }
 
-static lab_reply_t say_failed(const request_t *q)
+static lab_reply_t reply_failed(const request_t *q)
 {
     char *const bytes =
         g_strdup_printf("HTTP/1.1 500 No\r\nServer-Seal: s1\r\nAttempt-Id: %s\r\nContent-Length: 2\r\n\r\nno", q->id);
@@ -338,36 +340,36 @@
 
 static lab_reply_t serve(request_t *q, unsigned after)
 {
-    GRand *const lot = g_rand_new_with_seed(q->seed + 7919 * ++q->calls);
+    GRand *const random = g_rand_new_with_seed(q->seed + 7919 * ++q->calls);
     lab_reply_t reply;
-    const unsigned kind = draw(lot, 30);
+    const unsigned kind = draw(random, 30);
     if (kind < 3) {
-        g_string_append_printf(q->story, "run %u: turned away\n", q->calls);
-        reply = say_nothing_ran(q);
+        g_string_append_printf(q->run_log, "run %u: refused\n", q->calls);
+        reply = reply_not_run(q);
     } else {
         q->ran++;
         if (kind == 3) {
-            g_string_append_printf(q->story, "run %u: reset\n", q->calls);
+            g_string_append_printf(q->run_log, "run %u: reset\n", q->calls);
             reply = (lab_reply_t){.end = LAB_RESET};
         } else if (kind == 4) {
-            g_string_append_printf(q->story, "run %u: failed\n", q->calls);
-            reply = say_failed(q);
+            g_string_append_printf(q->run_log, "run %u: failed\n", q->calls);
+            reply = reply_failed(q);
         } else {
-            reply = run_request(q, lot, after, kind != 5);
+            reply = run_request(q, random, after, kind != 5);
         }
     }
-    g_rand_free(lot);
+    g_rand_free(random);
     return reply;
 }
 
-/** What a header line says, as a number; 0 without it. */
+/** Value of a numeric header; 0 without it. */
 static unsigned header_number(const char *request, const char *name)
 {
     const char *const at = strstr(request, name);
     return at ? (unsigned)strtoul(at + strlen(name), NULL, 10) : 0;
 }
 
-static request_t *find_request(const world_t *w, const char *text)
+static request_t *find_request(const batch_t *w, const char *text)
 {
     for (guint i = 0; i < w->requests->len; i++) {
         request_t *const q = g_ptr_array_index(w->requests, i);
@@ -380,9 +382,9 @@
     g_assert_not_reached();
 }
 
-static lab_reply_t answer_by_lot(void *arg, const char *text)
+static lab_reply_t answer_at_random(void *arg, const char *text)
 {
-    const world_t *const w = arg;
+    const batch_t *const w = arg;
     if (strstr(text, "\r\nStage: prefill\r\n") || g_str_has_prefix(text, "DELETE "))
         return reply_json("{\"prefill_handle\":\"handle1\"}");
     return serve(find_request(w, text), header_number(text, "\r\nLast-Event-Id: "));
@@ -395,12 +397,12 @@
     request_t *const q = request;
     lab_call_free(q->call);
     g_array_free(q->made, TRUE);
-    g_string_free(q->story, TRUE);
+    g_string_free(q->run_log, TRUE);
     g_free(q);
 }
 
-/** @param seed of its own */
-static void request_begin(world_t *w, unsigned of_seed, unsigned number)
+/** Begins a request with random properties. */
+static void request_begin(batch_t *w, unsigned of_seed, unsigned number)
 {
     enum { PATHS = 4 };
     static const struct {
@@ -409,35 +411,35 @@
     } kinds[PATHS] = {{"/many/x", 4}, {"/many/x", 4}, {"/soon/x", 2}, {"/lm/x", 1}};
     request_t *const q = g_new0(request_t, 1);
     q->seed = of_seed * 100 + number;
-    GRand *const lot = g_rand_new_with_seed(q->seed);
-    const unsigned kind = draw(lot, PATHS);
+    GRand *const random = g_rand_new_with_seed(q->seed);
+    const unsigned kind = draw(random, PATHS);
     g_snprintf(q->id, sizeof(q->id), "seed%u-%u", of_seed, number);
     q->path = kinds[kind].path;
     q->backends = kinds[kind].backends;
-    q->tokens = 1 + draw(lot, TOKENS_MAX);
-    q->after = q->backends > 1 && one_in(lot, 4) ? draw(lot, q->tokens) : 0;
-    q->hurried = one_in(lot, 15);
-    q->leaves = one_in(lot, 20);
-    q->made = g_array_new(FALSE, FALSE, sizeof(made_t));
+    q->tokens = 1 + draw(random, TOKENS_MAX);
+    q->after = q->backends > 1 && one_in(random, 4) ? draw(random, q->tokens) : 0;
+    q->has_short_deadline = one_in(random, 15);
+    q->leaves = one_in(random, 20);
+    q->made = g_array_new(FALSE, FALSE, sizeof(sent_event_t));
     g_array_set_clear_func(q->made, made_clear);
-    q->story = g_string_new(NULL);
+    q->run_log = g_string_new(NULL);
     g_ptr_array_add(w->requests, q);
     char resume[48] = "";
     if (q->after > 0)
         g_snprintf(resume, sizeof(resume), "Last-Event-Id: %u\r\n", q->after);
     char *const text = g_strdup_printf("POST %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\n"
                                        "Token-Count: 100,50\r\n%sContent-Length: 4\r\n\r\nbody",
-                                       q->path, q->id, q->hurried ? HURRY_MS : 8000, resume);
+                                       q->path, q->id, q->has_short_deadline ? SHORT_DEADLINE_MS : 8000, resume);
     q->call =
-        one_in(lot, 2) ? lab_call_kept(w->f->callers, w->f->addr, text) : lab_call(w->f->callers, w->f->addr, text);
+        one_in(random, 2) ? lab_call_kept(w->f->callers, w->f->addr, text) : lab_call(w->f->callers, w->f->addr, text);
     g_free(text);
-    g_rand_free(lot);
+    g_rand_free(random);
 }
 
-/** All answers are over; callers that leave do so. */
+/** Whether all answers have ended. Cancels the calls of callers that leave. */
 static bool are_done(void *arg)
 {
-    const world_t *const w = arg;
+    const batch_t *const w = arg;
     bool done = true;
     for (guint i = 0; i < w->requests->len; i++) {
         request_t *const q = g_ptr_array_index(w->requests, i);
@@ -452,46 +454,46 @@
     return done && forwarder_in_flight(w->f->forwarder) == 0;
 }
 
-/* ===== What callers got ===== */
+/* ===== Checks ===== */
 
 static void fail_of(const request_t *q, const char *why, const char *rest)
 {
-    g_error("%s %s%s, %u tokens behind %u: %s; status %d, end %d, at byte %zu: \"%.300s\"\n%s", q->id, q->path,
+    g_error("%s %s%s, %u tokens after token %u: %s; status %d, end %d, at byte %zu: \"%.300s\"\n%s", q->id, q->path,
             q->leaves ? ", leaves" : "", q->tokens, q->after, why, q->call->status, q->call->how,
-            (size_t)(rest - q->call->body->str), rest, q->story->str);
+            (size_t)(rest - q->call->body->str), rest, q->run_log->str);
 }
 
-/** The event that the rest of an answer begins with: the next one of the run that brought the last, or the first one of
- *  a later run. @return its place among those that were made, made->len when there is none */
+/** Finds the event at the start of @p rest: the next event of the same run, or the first event of a later run.
+ *  @return its index in made; made->len when there is none */
 static guint find_event(const request_t *q, guint from, const char *rest)
 {
     for (guint i = from; i < q->made->len; i++) {
-        const made_t *const made = &g_array_index(q->made, made_t, i);
+        const sent_event_t *const made = &g_array_index(q->made, sent_event_t, i);
         if ((i == from || made->number == 0) && g_str_has_prefix(rest, made->bytes))
             return i;
     }
     return q->made->len;
 }
 
-/** Whether the rest is the beginning of such an event: all that a caller has got of it when it leaves. */
+/** Whether @p rest is a prefix of such an event, which a leaving caller may have received. */
 static bool is_begun(const request_t *q, guint from, const char *rest)
 {
     for (guint i = from; i < q->made->len; i++) {
-        const made_t *const made = &g_array_index(q->made, made_t, i);
+        const sent_event_t *const made = &g_array_index(q->made, sent_event_t, i);
         if ((i == from || made->number == 0) && g_str_has_prefix(made->bytes, rest))
             return true;
     }
     return false;
 }
 
-/** Whether the last run made an event that is not among the first @p passed on of all. */
+/** Whether the last run sent an event beyond the first @p passed events. */
 static bool has_more(const request_t *q, guint passed)
 {
-    return passed < q->made->len && g_array_index(q->made, made_t, q->made->len - 1).run == q->calls;
+    return passed < q->made->len && g_array_index(q->made, sent_event_t, q->made->len - 1).run == q->calls;
 }
 
-/** Promise: what a caller gets is whole events of one run each, every token once and in order, and all of them when the
- *  answer ends well. @return runs that brought it */
+/** Guarantee: a caller gets complete events, each from one run, every token once and in order, and all tokens when the
+ *  answer ends well. @return number of runs that delivered it */
 static unsigned check_events(const request_t *q)
 {
     const char *rest = q->call->body->str;
@@ -502,8 +504,8 @@
         if (at == q->made->len && q->leaves && is_begun(q, next, rest))
             break;
         if (at == q->made->len)
-            fail_of(q, "no run made this event", rest);
-        const made_t *const made = &g_array_index(q->made, made_t, at);
+            fail_of(q, "no run sent this event", rest);
+        const sent_event_t *const made = &g_array_index(q->made, sent_event_t, at);
         if (made->to > 0 && made->from != last + 1)
             fail_of(q, "tokens are lost or repeated", rest);
         last = made->to > 0 ? made->to : last;
@@ -517,7 +519,7 @@
     return runs;
 }
 
-static void check_request(world_t *w, const request_t *q)
+static void check_request(batch_t *w, const request_t *q)
 {
     const lab_call_t *const c = q->call;
     if (q->backends == 1 && q->ran > 1)
@@ -528,7 +530,7 @@
             fail_of(q, "neither an answer nor a refusal", c->body->str);
         return;
     }
-    w->taken_up += check_events(q) > 1;
+    w->resumed += check_events(q) > 1;
     w->whole += c->how == WEB_END_WHOLE;
 }
 
@@ -540,15 +542,15 @@
     return text ? (unsigned)strtoul(text, NULL, 10) : SEEDS;
 }
 
-static void run_seeds(world_t *w, unsigned first, unsigned last)
+static void run_seeds(batch_t *w, unsigned first, unsigned last)
 {
     w->requests = g_ptr_array_new_with_free_func(request_free);
     for (unsigned seed = first; seed <= last; seed++) {
-        GRand *const lot = g_rand_new_with_seed(seed);
-        const unsigned n = REQUESTS_MIN + draw(lot, REQUESTS_MAX - REQUESTS_MIN + 1);
+        GRand *const random = g_rand_new_with_seed(seed);
+        const unsigned n = REQUESTS_MIN + draw(random, REQUESTS_MAX - REQUESTS_MIN + 1);
         for (unsigned i = 0; i < n; i++)
             request_begin(w, seed, i);
-        g_rand_free(lot);
+        g_rand_free(random);
     }
     lab_run_until(w->f->loop, are_done, w);
     for (guint i = 0; i < w->requests->len; i++)
@@ -556,10 +558,10 @@
     g_ptr_array_free(w->requests, TRUE);
 }
 
-static void test_by_lot(fixture_t *f, gconstpointer data)
+static void test_random_runs(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    world_t w = {.f = f};
+    batch_t w = {.f = f};
     start_scripted(f,
                    (backend_plan_t[]){{"lm", "prefill", "", false, false},
                                       {"lm", "decode", "", false, false},
@@ -567,22 +569,22 @@
                                       {"lm", "decode", "", false, false},
                                       {"lm", "decode", "", false, false},
                                       {"lm", "decode", "", false, false}},
-                   6, answer_by_lot, &w);
+                   6, answer_at_random, &w);
     web_client_keep(f->client, 8);
     web_client_keep(f->callers, 8);
     const unsigned n = seeds();
-    for (unsigned first = 1; first <= n; first += SEEDS_AT_ONCE)
-        run_seeds(&w, first, MIN(n, first + SEEDS_AT_ONCE - 1));
-    g_test_message("%u seeds: %u answers ended well, %u were brought by several runs", n, w.whole, w.taken_up);
+    for (unsigned first = 1; first <= n; first += SEEDS_PER_BATCH)
+        run_seeds(&w, first, MIN(n, first + SEEDS_PER_BATCH - 1));
+    g_test_message("%u seeds: %u answers ended well, %u were delivered by several runs", n, w.whole, w.resumed);
     if (n < SEEDS)
         return;
     g_assert_cmpuint(w.whole, >=, WHOLE_MIN);
-    g_assert_cmpuint(w.taken_up, >=, TAKEN_UP_MIN);
+    g_assert_cmpuint(w.resumed, >=, RESUMED_MIN);
 }
 
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add("/stream-random/by-lot", fixture_t, NULL, set_up, test_by_lot, tear_down);
+    g_test_add("/stream-random/by-random", fixture_t, NULL, set_up, test_random_runs, tear_down);
     return g_test_run();
 }
--- a/tests/platform/test_stream_silence.c
+++ b/tests/platform/test_stream_silence.c
@@ -1,5 +1,5 @@
-/* Runs of a stream that are silent for longer than their route allows, and well. Giving one up ends it for good, so it
- * is done only when another run can follow, and only for a silence of the back end's. */
+/* Runs of a stream that are silent for longer than the silence timeout but still alive. Giving up a run ends it for
+ * good, so that happens only when another run can follow, and only when the back end itself is silent. */
 
 #include "platform/forward_lab.h"
 
@@ -7,12 +7,12 @@
 #define SECOND_CHUNK "f\r\n" SECOND "\r\n0\r\n\r\n"
 
 enum {
-    STILL_MS = 120 /* three times the silence that RESUMABLE_SOON allows */
+    SILENCE_MS = 120 /* three times the silence timeout of RESUMABLE_SOON */
 };
 
 /* ===== Back ends ===== */
 
-/** Prefills at once; sends a stream with a silence behind its first event. */
+/** Answers a prefill at once; sends a stream with a silence after its first event. */
 static lab_reply_t answer_with_silence(void *arg, const char *request)
 {
     plan_t *const plan = arg;
@@ -22,7 +22,7 @@
     if (strstr(request, "\r\nLast-Event-Id: "))
         return reply_bytes(STREAM_HEAD SECOND_CHUNK, LAB_KEEP);
     return reply_slowly(reply_bytes(STREAM_HEAD FIRST_CHUNK SECOND_CHUNK, LAB_KEEP), strlen(STREAM_HEAD FIRST_CHUNK),
-                        STILL_MS);
+                        SILENCE_MS);
 }
 
 static bool has_first(void *arg)
@@ -32,7 +32,7 @@
 
 /* ===== Tests ===== */
 
-/** No other engine could follow. */
+/** There is no other engine for another run. */
 static void test_only_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -42,7 +42,7 @@
     g_assert_cmpuint(requests(f, 1), ==, 1);
 }
 
-/** No other engine may follow: the budget for it is used up. */
+/** The retry budget allows no other run. */
 static void test_no_budget(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -56,8 +56,8 @@
     g_assert_cmpuint(requests(f, 2), ==, 0);
 }
 
-/** The box itself stood still: the event had come in time and waits to be read. */
-static void test_box_stands_still(fixture_t *f, gconstpointer data)
+/** The box itself was suspended: the event arrived in time and waits to be read. */
+static void test_box_is_suspended(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_scripted(f,
@@ -71,7 +71,7 @@
     external_backend_send(&engine, STREAM_HEAD FIRST_CHUNK);
     lab_run_until(f->loop, has_first, c);
     external_backend_send(&engine, SECOND_CHUNK);
-    g_usleep((gulong)STILL_MS * 1000); /* the loop does not turn */
+    g_usleep((gulong)SILENCE_MS * 1000); /* the event loop is blocked */
     expect_whole(f, c, FIRST SECOND);
     g_assert_cmpuint(requests(f, 2), ==, 0);
     external_backend_close(&engine);
@@ -100,6 +100,6 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add("/stream-silence/only-engine", fixture_t, NULL, set_up, test_only_engine, tear_down);
     g_test_add("/stream-silence/no-budget", fixture_t, NULL, set_up_without_budget, test_no_budget, tear_down);
-    g_test_add("/stream-silence/box-stands-still", fixture_t, NULL, set_up, test_box_stands_still, tear_down);
+    g_test_add("/stream-silence/box-is-suspended", fixture_t, NULL, set_up, test_box_is_suspended, tear_down);
     return g_test_run();
 }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -1,4 +1,4 @@
-/* Routing table, retry budget, choice of back ends, and the roster: pure parts, no I/O. */
+/* Routing table, retry budget, choice of back ends, and the roster, without I/O. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -97,8 +97,8 @@
     g_assert_true(retry_budget_spend(&b, &rules, 10, 40000)); /* a later window */
 }
 
-/** Promise: boxes that cannot hear of each other for a while keep the budget together. Three of nine are missing from
- *  the list that the others have, and spend on. */
+/** Guarantee: boxes that are partitioned for a while keep within the common budget. Three of nine boxes are missing
+ * from the list of the others, and keep spending. */
 static void test_budget_while_boxes_are_missing(void)
 {
     enum { BOXES = 9, HEARD = 6, WINDOW = 10000, BEGIN = 2 * WINDOW, CUT = 25000, END = 50000, STEP = 100 };
@@ -115,7 +115,7 @@
             spent[now / STEP] += retry_budget_spend(&budgets[i], &rules, sharers_count(&sharers[i]), now);
         }
     }
-    /* While a box that is missing is waited for: later it is taken for gone. */
+    /* For one window a missing box still counts; later it is considered gone. */
     for (tc_time_t from = BEGIN; from + WINDOW <= CUT + WINDOW; from += STEP) {
         unsigned sum = 0;
         for (tc_time_t at = from; at < from + WINDOW; at += STEP)
@@ -143,24 +143,24 @@
     fleet_t *const f = fleet_create();
     fleet_set_list(f, list, G_N_ELEMENTS(list), 50);
     GPtrArray *const tried = g_ptr_array_new();
-    /* Of two drawn by lot the better is taken: draws 1 and 2 draw both. */
+    /* The better of two random back ends is chosen: draws 1 and 2 draw both. */
     const fleet_query_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 1};
-    const fleet_query_t turned = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 2};
+    const fleet_query_t swapped = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 2};
     instance_t *const near = fleet_choose(f, &wish);
     g_assert_cmpstr(near->listed.id, ==, "near");
-    instance_t *const same = fleet_choose(f, &turned);
+    instance_t *const same = fleet_choose(f, &swapped);
     g_assert_true(same == near);
     instance_unref(same);
     instance_begin(near, 0, 0);
-    instance_t *const far = fleet_choose(f, &wish); /* load goes before distance */
+    instance_t *const far = fleet_choose(f, &wish); /* load takes precedence over distance */
     g_assert_cmpstr(far->listed.id, ==, "far");
-    instance_t *const again = fleet_choose(f, &turned);
+    instance_t *const again = fleet_choose(f, &swapped);
     g_assert_true(again == far);
     instance_unref(again);
     g_ptr_array_add(tried, near);
     g_ptr_array_add(tried, far);
     g_assert_null(fleet_choose(f, &wish));
-    fleet_set_list(f, list, 1, 60); /* a request keeps what it uses, also when it is listed no more */
+    fleet_set_list(f, list, 1, 60); /* a request keeps its back end even when that is no longer listed */
     g_assert_false(near->present);
     instance_end(near, 0, 0);
     instance_unref(near);
@@ -169,8 +169,8 @@
     fleet_destroy(f);
 }
 
-/** Promise: all boxes together have no more connections at a back end than it takes, also those that know nothing of
- * each other: with 9 boxes before 20 connections each had as many as it liked. */
+/** Guarantee: all boxes together open no more connections to a back end than it accepts, even without knowing of each
+ *  other. Before, with 9 boxes and 20 connections, each box opened as many as it wanted. */
 static void test_connections_are_shared(void)
 {
     enum { BOXES = 9, TAKES = 20, PLENTY = 50 };
@@ -194,7 +194,7 @@
     g_assert_cmpuint(open, <=, TAKES);
 }
 
-/** A box that is known to have them all leaves none to the others. */
+/** When the load of the other boxes shows that they use all connections, none is left. */
 static void test_connections_of_others(void)
 {
     const backend_t list[] = {backend("one", "a", "", false)};
@@ -222,13 +222,13 @@
     }
     const tc_time_t first = one->avoid_until;
     instance_failed(one, 1000);
-    g_assert_cmpint(one->avoid_until, >, first); /* longer each time in a row */
+    g_assert_cmpint(one->avoid_until, >, first); /* longer after each failure in a row */
     instance_succeeded(one);
     g_assert_cmpint(one->avoid_until, ==, 0);
     fleet_destroy(f);
 }
 
-/** All boxes that know the same must not take the same one. */
+/** Boxes with the same knowledge must not all choose the same back end. */
 static void test_choices_spread(void)
 {
     backend_t list[8];
@@ -251,17 +251,17 @@
     for (int i = 0; i < 8; i++)
         used += taken[i] > 0;
     g_assert_cmpuint(used, ==, 8);
-    g_assert_cmpuint(taken[3], ==, 1); /* only where both draws fall on it */
+    g_assert_cmpuint(taken[3], ==, 1); /* only when both draws select it */
     fleet_destroy(f);
 }
 
-/* Four of five requests of a calm day went to another of five data centres, though each had hundreds of idle back ends:
- * of two drawn by lot both are far in 64 of 100 cases. */
+/* Guards against needless calls to other data centres. At low load four of five requests went to another of five data
+ * centres, though each had hundreds of idle back ends: of two random back ends both are remote in 64 of 100 cases. */
 
 enum { DCS = 5, EACH = 40 };
 
-/** How many of 500 choices fall on data centre "0". @param running of other boxes at each back end there */
-static unsigned count_near(unsigned running)
+/** Number of 500 choices that select data centre "0". @param running requests of other boxes at each back end there */
+static unsigned count_local(unsigned running)
 {
     enum { CHOICES = 500 };
     static const char *const names[DCS] = {"0", "1", "2", "3", "4"};
@@ -286,7 +286,7 @@
         const fleet_query_t wish = {.service = "s", .dc = "0", .now = 100, .random = g_rand_int(random)};
         instance_t *const chosen = fleet_choose(f, &wish);
         near += strcmp(chosen->listed.dc, "0") == 0;
-        g_assert_cmpuint(++taken[atoi(chosen->listed.id)], <, CHOICES / EACH * 3); /* spread over all near ones */
+        g_assert_cmpuint(++taken[atoi(chosen->listed.id)], <, CHOICES / EACH * 3); /* spread over all local back ends */
         instance_unref(chosen);
     }
     g_rand_free(random);
@@ -294,19 +294,19 @@
     return near;
 }
 
-static void test_near_in_calm(void)
+static void test_local_at_low_load(void)
 {
-    g_assert_cmpuint(count_near(0), ==, 500);
-    g_assert_cmpuint(count_near(2), <, 50); /* half full: load goes before distance */
+    g_assert_cmpuint(count_local(0), ==, 500);
+    g_assert_cmpuint(count_local(2), <, 50); /* half full: load takes precedence over distance */
 }
 
-/* Boxes with an eighth of a core before 10,000 back ends took 30 ms to choose one of the 190 that serve a light
- * service: each choice, and each look at when one takes work again, walked over all back ends of all services. What a
- * request cost grew with the fleet, while its own service had stayed as it was. */
+/* Guards against a cost per request that grows with the fleet. With 10,000 back ends, a box with an eighth of a core
+ * took 30 ms to choose one of the 190 back ends of a small service: each choice, and each check when a back end accepts
+ * work again, scanned the back ends of all services. */
 
 enum { PLAIN = 100 };
 
-/** Looks of a few choices by a box before @p engines of another service, and PLAIN back ends of ours. */
+/** Back ends examined by a few choices of a box with @p engines of one service and PLAIN back ends of another. */
 static uint64_t count_looks(uint32_t engines, const char *service, const char *stage)
 {
     backend_t *const list = g_new0(backend_t, engines + PLAIN);
@@ -339,7 +339,7 @@
     g_assert_cmpuint(count_looks(10000, "lm", "decode"), ==, count_looks(1000, "lm", "decode"));
 }
 
-/** Choices among more than are looked at fall on all of them. */
+/** Choices are spread over all back ends, also when there are more than one choice examines. */
 static void test_choices_of_many_spread(void)
 {
     enum { MANY = 2000, CHOICES = 20000 };
@@ -361,14 +361,14 @@
         most = MAX(most, times);
         instance_unref(chosen);
     }
-    g_assert_cmpuint(most, <, 40); /* ten on average: by chance none has twice that */
+    g_assert_cmpuint(most, <, 40); /* ten on average; none has twice that by chance */
     g_rand_free(random);
     fleet_destroy(f);
 }
 
 /* ===== Roster ===== */
 
-/** As it is told some time after the last one was made. */
+/** The list, one second after the last one was made. */
 static list_feed_t *list_of(roster_t *r)
 {
     static tc_time_t now;
@@ -382,7 +382,7 @@
     return ROSTER_PLAIN;
 }
 
-/** What all boxes but one have in flight at a back end. @return how many requests */
+/** Number of requests that all boxes except @p box have in flight at a back end. */
 static uint32_t running_elsewhere(roster_t *r, const char *box, const char *id)
 {
     uint32_t running = 0;
@@ -412,14 +412,14 @@
     g_assert_cmpuint(running_elsewhere(r, "a", "y"), ==, 0);
     b.self.incarnation = 6;
     b.self.leaving = true;
-    roster_update(r, &b, 2100); /* of an earlier start */
+    roster_update(r, &b, 2100); /* from an earlier incarnation */
     g_assert_cmpuint(before, ==, list_feed_hash(list_of(r)));
     load.running = 5;
     load.tokens = 700;
     b.self.incarnation = 7;
     b.self.leaving = false;
     roster_update(r, &b, 2200);
-    g_assert_cmpuint(running_elsewhere(r, "a", "x"), ==, 5); /* in place of what it told before */
+    g_assert_cmpuint(running_elsewhere(r, "a", "x"), ==, 5); /* replaces the earlier report */
     roster_expire(r, 1000 + ROSTER_TIMEOUT_MS + 1);
     g_assert_cmpuint(roster_count(r), ==, 1);
     g_assert_cmpuint(before, !=, list_feed_hash(list_of(r)));
@@ -427,7 +427,7 @@
     roster_destroy(r);
 }
 
-/** Boxes that are told the loads of back ends without engines alone keep what they were told of engines. */
+/** Boxes that receive only the loads of plain back ends keep the loads of engines. */
 static void test_partial_loads(void)
 {
     const backend_t list[] = {backend("1", "a", "", false), backend("2", "a", "decode", false)};
@@ -459,7 +459,7 @@
     g_test_add_func("/fleet/connections-of-others", test_connections_of_others);
     g_test_add_func("/fleet/failed-is-avoided", test_failed_is_avoided);
     g_test_add_func("/fleet/choices-spread", test_choices_spread);
-    g_test_add_func("/fleet/near-in-calm", test_near_in_calm);
+    g_test_add_func("/fleet/local-at-low-load", test_local_at_low_load);
     g_test_add_func("/fleet/looks-do-not-grow", test_looks_do_not_grow);
     g_test_add_func("/fleet/choices-of-many-spread", test_choices_of_many_spread);
     g_test_add_func("/roster/boxes-and-loads", test_roster);
