--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -262,7 +262,7 @@
     expect(f, "/held-again/x", 200, FIRST SECOND);
 }
 
-static void test_broken_stream_ends_incomplete(fixture_t *f, gconstpointer data)
+static void test_broken_stream_does_not_look_complete(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_engines(f, "lm", "p", "T", "S");
@@ -447,7 +447,7 @@
     TEST("refused-decode-keeps-the-prefill", test_refused_decode_keeps_the_prefill);
     TEST("unused-prefill-is-released", test_unused_prefill_is_released);
     TEST("broken-stream-waits-for-room", test_broken_stream_waits_for_room);
-    TEST("broken-stream-ends-incomplete", test_broken_stream_ends_incomplete);
+    TEST("broken-stream-does-not-look-complete", test_broken_stream_does_not_look_complete);
     TEST("resumable-stream-continues-elsewhere", test_resumable_stream_continues_elsewhere);
     TEST("resumable-stream-continues-at-its-engine", test_resumable_stream_continues_at_its_engine);
     TEST("lost-prefill-is-retried-at-its-engine", test_lost_prefill_is_retried_at_its_engine);
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -585,6 +585,6 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add("/stream-random/by-random", fixture_t, NULL, set_up, test_random_runs, tear_down);
+    g_test_add("/stream-random/random-runs", fixture_t, NULL, set_up, test_random_runs, tear_down);
     return g_test_run();
 }
