--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -115,7 +115,7 @@
                            .stage = stage,
                            .dc = f->owner->options.dc,
                            .tried = stage == STAGE_PREFILL ? f->tried_prefill : f->tried,
-                           .ends = forward_backend_ends(f),
+                           .ends = forward_crash_count(f),
                            .connections = f->settings->max_connections,
                            .boxes = forward_boxes(f->owner),
                            .now = tc_time_now(),
@@ -146,14 +146,14 @@
     fail(f, REASON_QUARANTINED, quarantine_remaining_ms(f->owner->quarantine, f->fingerprint, tc_time_now()));
 }
 
-unsigned forward_backend_ends(const forward_t *f)
+unsigned forward_crash_count(const forward_t *f)
 {
     return quarantine_crash_count(f->owner->quarantine, f->fingerprint, tc_time_now());
 }
 
 static bool is_quarantined(const forward_t *f)
 {
-    return forward_backend_ends(f) >= QUARANTINE_CRASH_LIMIT;
+    return forward_crash_count(f) >= QUARANTINE_CRASH_LIMIT;
 }
 
 static void on_limit(void *arg)
@@ -299,7 +299,7 @@
  * itself, which is slower. */
 static void send_to_engines(forward_t *f)
 {
-    const bool read = f->handle.instance || place_is_solo(f);
+    const bool read = f->handle.instance || place_is_local_prefill(f);
     instance_t *const prefill = read ? NULL : choose_engine(f, STAGE_PREFILL);
     if (retry_is_unpaid(f, prefill ? DIALECT_PREFILL : DIALECT_DECODE)) {
         if (prefill)
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -157,7 +157,7 @@
 
 /** Back ends that may end under a request before this box stops retrying it. After the second one the caller has to
  *  retry: a third would abort everything else that runs on its back end, and the caller may not come back. */
-enum { REPEAT_ENDS_MAX = 2 };
+enum { RETRY_CRASHES_MAX = 2 };
 
 /** Retries after a lost answer, if the retry budget allows it. */
 static void retry_lost(forward_t *f, dialect_op_t op, const char *why)
@@ -173,7 +173,7 @@
 void call_resume_probed(forward_t *f, instance_t *instance, bool ended)
 {
     const dialect_op_t op = f->probe_waiter.op;
-    if (ended && forward_backend_ends(f) >= REPEAT_ENDS_MAX) {
+    if (ended && forward_crash_count(f) >= RETRY_CRASHES_MAX) {
         forward_fail(f, REASON_BACKEND_ENDED);
         return;
     }
@@ -217,7 +217,7 @@
 /** Clears the quarantine after a successful run: the request did not cause the earlier ends of back ends. */
 static void clear_quarantine(const forward_t *f)
 {
-    if (forward_backend_ends(f) > 0)
+    if (forward_crash_count(f) > 0)
         quarantine_clear(f->owner->quarantine, f->fingerprint, tc_time_now());
 }
 
@@ -457,7 +457,7 @@
     assert(!f->call); /* one call at a time: a request never runs on two back ends deliberately */
     const tc_time_t now = tc_time_now();
     assert(instance_accepts_work(instance,
-                               now)); /* guarantee: no call to a back end that is leaving or asked for no calls */
+                                 now)); /* guarantee: no call to a back end that is leaving or asked for no calls */
     counter_add(&c_calls, 1);
     backend_call_t *const call = g_new0(backend_call_t, 1);
     call->request = f;
@@ -481,7 +481,7 @@
     f->call = call;
     if (f->hold.instance == instance)
         hold_clear(f); /* a reservation serves one call */
-    call->ends = forward_backend_ends(f);
+    call->ends = forward_crash_count(f);
     instance_begin(instance, call->tokens, call->ends);
     forward_log(f, "send", op == DIALECT_PREFILL ? "prefill" : (op == DIALECT_DECODE ? "decode" : "serve"), 0,
                 instance);
--- a/lib/forward/forward_cap.c
+++ b/lib/forward/forward_cap.c
@@ -25,7 +25,7 @@
     return cap_cost(&f->workspace->cap, f->facts.has_token_count ? tokens : 0);
 }
 
-static cap_request_t ask_of(const forward_t *f)
+static cap_request_t charge_of(const forward_t *f)
 {
     return (cap_request_t){.name = f->workspace->name,
                            .cap = &f->workspace->cap,
@@ -33,30 +33,30 @@
                            .leader_decides = f->placement.asked};
 }
 
-static void log_refused(const forward_t *f, const cap_decision_t *verdict)
+static void log_refused(const forward_t *f, const cap_decision_t *decision)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "cap_refused");
     log_str(&line, "request", f->facts.id);
     log_str(&line, "workspace", f->workspace->name);
-    log_str(&line, "why", verdict->reason);
+    log_str(&line, "why", decision->reason);
     log_num(&line, "units", cap_units(f));
     log_num(&line, "cap_units_s", f->workspace->cap.rate);
-    if (verdict->state_age != TC_TIME_NEVER)
-        log_int(&line, "told_age_ms", verdict->state_age);
-    if (verdict->share_rate > 0) {
-        log_num(&line, "part_units_s", verdict->share_rate);
-        log_num(&line, "part_level", verdict->level);
+    if (decision->state_age != TC_TIME_NEVER)
+        log_int(&line, "told_age_ms", decision->state_age);
+    if (decision->share_rate > 0) {
+        log_num(&line, "part_units_s", decision->share_rate);
+        log_num(&line, "part_level", decision->level);
     }
-    log_int(&line, "after_ms", verdict->after);
+    log_int(&line, "after_ms", decision->after);
     log_end(&line);
 }
 
-static void refuse(forward_t *f, const cap_decision_t *verdict)
+static void refuse(forward_t *f, const cap_decision_t *decision)
 {
     counter_add(&c_refused, 1);
-    log_refused(f, verdict);
-    forward_refuse(f, STATUS_OVER_CAP, "its workspace is over its usage cap", verdict->after);
+    log_refused(f, decision);
+    forward_refuse(f, STATUS_OVER_CAP, "its workspace is over its usage cap", decision->after);
 }
 
 bool cap_check(forward_t *f)
@@ -64,10 +64,10 @@
     if (f->cap_granted || !has_cap(f))
         return true;
     forwarder_t *const fw = f->owner;
-    const cap_request_t ask = ask_of(f);
-    cap_decision_t verdict;
-    if (!cap_shares_take(fw->caps, &ask, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict)) {
-        refuse(f, &verdict);
+    const cap_request_t charge = charge_of(f);
+    cap_decision_t decision;
+    if (!cap_shares_take(fw->caps, &charge, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &decision)) {
+        refuse(f, &decision);
         return false;
     }
     counter_add(&c_own, 1);
@@ -80,12 +80,13 @@
     if (f->cap_granted || !has_cap(f))
         return;
     f->cap_granted = true;
-    const cap_request_t ask = ask_of(f);
-    cap_shares_record(f->owner->caps, &ask, tc_time_now());
+    const cap_request_t charge = charge_of(f);
+    cap_shares_record(f->owner->caps, &charge, tc_time_now());
 }
 
 void cap_refuse(forward_t *f, tc_time_t after)
 {
-    const cap_decision_t verdict = {.reason = "the usage cap is reached over all boxes", .state_age = 0, .after = after};
-    refuse(f, &verdict);
+    const cap_decision_t decision = {
+        .reason = "the usage cap is reached over all boxes", .state_age = 0, .after = after};
+    refuse(f, &decision);
 }
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -128,7 +128,7 @@
     web_call_t *http;
     bool head_seen;
     bool given_up; /* by this box; a repeated call to the same back end would end the same way */
-    unsigned ends; /* back ends that had ended under the request before this call, as passed to instance_begin */
+    unsigned ends; /* crash count of the request before this call, as passed to instance_begin */
     int status;
     dialect_reply_t reply;
     GString *head;
@@ -176,7 +176,7 @@
     bool asked;            /* the scheduler was asked, or there is none */
     bool prefill_granted;  /* the leader counted a call to its chosen prefill engine that has not been made yet */
     bool decode_granted;   /* same for the decode engine */
-    bool local_prefill;   /* the decode engine of this placement reads the prompt itself, see place_is_solo */
+    bool local_prefill;    /* the decode engine of this placement reads the prompt itself, see place_is_local_prefill */
     unsigned queries;      /* placement queries sent so far */
     uint32_t attempt;      /* number by which the scheduler counts the placement; 0: it counts none */
     char prefill[CODEC_STR_SIZE];
@@ -314,8 +314,8 @@
     struct cds_list_head cleanups; /* of forward_query.c */
     quarantine_t *quarantine;
     cap_shares_t *caps;
-    cap_shares_t *limits;       /* rate limits that back ends announced */
-    cap_shares_t *cold;         /* rate limits of cold back ends */
+    cap_shares_t *limits;         /* rate limits that back ends announced */
+    cap_shares_t *cold;           /* rate limits of cold back ends */
     limit_table_t *leader_limits; /* list of limits from the leader */
     uint64_t limits_hash;         /* of leader_limits */
     tc_time_t created;
@@ -335,7 +335,7 @@
 /** As forward_fail, when back ends ended while running the request. Retry-After is set to the end of its quarantine. */
 void forward_fail_quarantined(forward_t *f);
 /** Number of back ends that ended while running the request, as quarantine_crash_count. */
-unsigned forward_backend_ends(const forward_t *f);
+unsigned forward_crash_count(const forward_t *f);
 /** Ends a completely answered request and frees it. */
 void forward_finish(forward_t *f, int status, const char *why);
 
@@ -524,7 +524,7 @@
 instance_t *place_chosen_engine(const forward_t *f, stage_t stage);
 /** Whether the engine that the scheduler chose reads the prompt itself. This holds for no other engine: the scheduler
  *  lets an engine read one prompt at a time, since reading slows down its streams. */
-bool place_is_solo(const forward_t *f);
+bool place_is_local_prefill(const forward_t *f);
 /** Uses the grant for one call that the leader counted with its placement. @return whether there was one for this
  *  engine and operation */
 bool place_use_grant(forward_t *f, dialect_op_t op, const instance_t *instance);
@@ -556,14 +556,14 @@
     STREAM_OK,       /* complete events were forwarded, the rest is kept */
     STREAM_REPEATED, /* the run does not continue after the requested event */
     STREAM_TOO_LARGE /* an incomplete event exceeds the buffer limit */
-} stream_verdict_t;
+} stream_result_t;
 
 /** Begins a run that continues after the last event of its request. */
 void stream_begin(backend_call_t *call);
 /** Whether the answer is forwarded event by event. */
 bool stream_has_begun(const backend_call_t *call);
 /** Appends bytes of a run and forwards the complete events. */
-stream_verdict_t stream_feed(backend_call_t *call, const char *data, size_t size);
+stream_result_t stream_feed(backend_call_t *call, const char *data, size_t size);
 /** Whether no incomplete event is buffered. */
 bool stream_at_boundary(const backend_call_t *call);
 /** Ends a run, complete or not, and drops the incomplete event. @param why for the log */
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -79,7 +79,7 @@
     const instance_limit_t limit = {.is_set = call->reply.limited, .rate = call->reply.limit, .seen_at = tc_time_now()};
     forwarder_t *const fw = call->request->owner;
     if (apply_limit(call->instance, &limit, "its answer") && fw->scheduler && is_urgent(fw, call->instance))
-        reporter_report_now(fw->scheduler); /* until the scheduler knows, it exceeds the limit */
+        reporter_report_now(fw->scheduler); /* until the scheduler knows the limit, its placements exceed it */
 }
 
 void limit_apply_leader_list(forwarder_t *fw)
@@ -162,7 +162,7 @@
 }
 
 /** One request to a back end as a charge to a cap. @param cap filled in; the result points to it */
-static cap_request_t ask_of(const instance_t *instance, double rate, cap_t *cap)
+static cap_request_t charge_of(const instance_t *instance, double rate, cap_t *cap)
 {
     *cap = (cap_t){.unit = CAP_REQUESTS, .rate = MAX(rate, LIMIT_RATE_MIN)};
     return (cap_request_t){.name = instance->listed.id, .cap = cap, .units = 1, .leader_decides = true};
@@ -173,22 +173,22 @@
 {
     cap_t cap;
     const tc_time_t now = tc_time_now();
-    const cap_request_t named = ask_of(instance, instance->limit.rate, &cap);
+    const cap_request_t named = charge_of(instance, instance->limit.rate, &cap);
     if (instance->limit.is_set)
         cap_shares_record(f->owner->limits, &named, now);
-    const cap_request_t cold = ask_of(instance, f->settings->cold_rate, &cap);
+    const cap_request_t cold = charge_of(instance, f->settings->cold_rate, &cap);
     if (is_cold(f, instance))
         cap_shares_record(f->owner->cold, &cold, now);
 }
 
-static bool take_from(forwarder_t *fw, cap_shares_t *parts, const instance_t *instance, double rate, tc_time_t *after)
+static bool take_from(forwarder_t *fw, cap_shares_t *shares, const instance_t *instance, double rate, tc_time_t *after)
 {
     cap_t cap;
-    cap_decision_t verdict;
-    const cap_request_t charge = ask_of(instance, rate, &cap);
+    cap_decision_t decision;
+    const cap_request_t charge = charge_of(instance, rate, &cap);
     const bool taken =
-        cap_shares_take(parts, &charge, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &verdict);
-    *after = verdict.after;
+        cap_shares_take(shares, &charge, forward_boxes(fw), g_rand_double(fw->random), tc_time_now(), &decision);
+    *after = decision.after;
     return taken;
 }
 
@@ -248,7 +248,7 @@
     forward_send(f, op, instance);
 }
 
-static bool ask_leader(forward_t *f, dialect_op_t op, instance_t *instance)
+static bool query_leader(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     msg_take_limit_t message = {.limit = update_of(instance), .cold = is_cold(f, instance)};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
@@ -273,7 +273,7 @@
         forward_send(f, op, instance);
         return;
     }
-    if (!ask_leader(f, op, instance))
+    if (!query_leader(f, op, instance))
         decide_locally(f, op, instance);
 }
 
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -124,7 +124,7 @@
 {
     if (!mechanism_is_on(MECHANISM_KEEPERS) || f->locate.asked || !f->facts.resume_after[0] || f->facts.parts_n == 0)
         return false;
-    if (forward_backend_ends(f) > 0)
+    if (forward_crash_count(f) > 0)
         return false; /* the engine that cached it has ended; the next is chosen with regard to its other requests */
     f->locate.asked = true;
     const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -175,7 +175,7 @@
                          .waited_ms = (uint32_t)(now - f->request.arrived),
                          .repeatable = route_is_repeatable(f->route),
                          .fingerprint = f->fingerprint,
-                         .ends = forward_backend_ends(f),
+                         .ends = forward_crash_count(f),
                          .again = f->placement.queries++ > 0};
     codec_copy_string(place.cell, sizeof(place.cell), CELL);
     codec_copy_string(place.id, sizeof(place.id), f->facts.id);
@@ -190,9 +190,9 @@
 /** Gap between two events after which a caller gives up a stream. */
 static tc_time_t caller_gap_limit(const route_t *route)
 {
-    const tc_time_t by_aims =
+    const tc_time_t by_targets =
         MAX(GAP_LIMIT_LATENCY_TARGETS * route->latency_target, GAP_LIMIT_GAP_TARGETS * route->gap_target);
-    return MAX((tc_time_t)GAP_LIMIT_MIN_MS, by_aims);
+    return MAX((tc_time_t)GAP_LIMIT_MIN_MS, by_targets);
 }
 
 tc_time_t place_wait_until(const forward_t *f)
@@ -222,7 +222,7 @@
 {
     if (!f->placement.decode[0])
         return false; /* the scheduler did not choose this engine, so it cannot replace it */
-    msg_replan_t replan = {.attempt = f->placement.attempt, .trouble = trouble, .ends = forward_backend_ends(f)};
+    msg_replan_t replan = {.attempt = f->placement.attempt, .trouble = trouble, .ends = forward_crash_count(f)};
     codec_copy_string(replan.cell, sizeof(replan.cell), CELL);
     codec_copy_string(replan.id, sizeof(replan.id), f->facts.id);
     codec_copy_string(replan.bad, sizeof(replan.bad), bad);
@@ -269,7 +269,7 @@
     return instance_ref(instance);
 }
 
-bool place_is_solo(const forward_t *f)
+bool place_is_local_prefill(const forward_t *f)
 {
     instance_t *const chosen = f->placement.local_prefill ? place_chosen_engine(f, STAGE_DECODE) : NULL;
     if (!chosen)
--- a/lib/forward/forward_probe.c
+++ b/lib/forward/forward_probe.c
@@ -66,7 +66,7 @@
     counter_add(&c_ended, 1);
     for (guint i = 0; i < probe->lost->len; i++)
         (void)quarantine_add_crash(fw->quarantine, g_array_index(probe->lost, uint64_t, i), probe->instance->listed.id,
-                                 probe->lost_at, now);
+                                   probe->lost_at, now);
     if (fw->scheduler)
         reporter_report_now(fw->scheduler);
 }
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -87,7 +87,7 @@
     f->retry.on_granted(f);
 }
 
-static bool ask_leader(forward_t *f)
+static bool query_leader(forward_t *f)
 {
     msg_retry_t message = {0};
     codec_copy_string(message.id, sizeof(message.id), f->facts.id);
@@ -103,7 +103,7 @@
     }
     f->retry.on_granted = on_granted;
     f->retry.on_denied = on_denied;
-    if (!leader_shares_budget(f) || !ask_leader(f))
+    if (!leader_shares_budget(f) || !query_leader(f))
         deny(f);
 }
 
--- a/lib/forward/forward_stream.c
+++ b/lib/forward/forward_stream.c
@@ -204,7 +204,7 @@
     g_byte_array_remove_range(call->run.partial, 0, (guint)used);
 }
 
-stream_verdict_t stream_feed(backend_call_t *call, const char *data, size_t size)
+stream_result_t stream_feed(backend_call_t *call, const char *data, size_t size)
 {
     stream_run_t *const run = &call->run;
     g_byte_array_append(run->partial, (const guint8 *)data, (guint)size);
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -223,12 +223,13 @@
         const size_t left = r->cut - at;
         const size_t size = one_in(r->random, 3) ? left : 1 + draw(r->random, (unsigned)left);
         /* The last chunk may be truncated too. */
-        const size_t told = size == left && r->end != END_CHUNKED && r->end != CUT_LAST_CHUNK && one_in(r->random, 2)
-                                ? size + 1 + draw(r->random, 50)
-                                : size;
-        g_string_append_printf(to, "%zx\r\n", told);
+        const size_t announced =
+            size == left && r->end != END_CHUNKED && r->end != CUT_LAST_CHUNK && one_in(r->random, 2)
+                ? size + 1 + draw(r->random, 50)
+                : size;
+        g_string_append_printf(to, "%zx\r\n", announced);
         g_string_append_len(to, r->body->str + at, (gssize)size);
-        if (told == size)
+        if (announced == size)
             g_string_append(to, "\r\n");
         at += size;
     }
