--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -1,5 +1,5 @@
-/* Requests that come before the box knows where to send them: in its first second it learns the configuration and the
- * back ends within some ten ms, so they wait for that instead of being refused. */
+/* Requests that arrive before the box has a configuration and back ends. After its start a box usually receives both
+ * within tens of ms, so such requests wait instead of being refused. */
 
 #include <urcu/list.h>
 
@@ -11,28 +11,28 @@
 
 /* ===== Types ===== */
 
-/** One that waits. */
+/** A waiting request. */
 typedef struct {
     struct cds_list_head node;
     forwarder_t *owner;
     web_exchange_t *exchange;
     web_request_t request;
     loop_timer_t limit;
-} early_t;
+} early_request_t;
 
 /* ===== Ending ===== */
 
-/** Take it off the list and free it. */
-static void early_end(early_t *e)
+/** Removes the request from the queue and frees the entry. */
+static void early_end(early_request_t *e)
 {
     loop_disarm(&e->limit);
     cds_list_del(&e->node);
-    e->owner->busy--;
+    e->owner->in_flight--;
     g_free(e);
 }
 
-/** Begin the request: it is sent like any other by now, or refused. */
-static void early_begin(early_t *e)
+/** Begins the request, which is then sent or refused like any other. */
+static void early_begin(early_request_t *e)
 {
     forwarder_t *const fw = e->owner;
     web_exchange_t *const exchange = e->exchange;
@@ -54,23 +54,23 @@
 
 /* ===== Waiting ===== */
 
-static bool knows_enough(const forwarder_t *fw)
+static bool is_configured(const forwarder_t *fw)
 {
     return fw->table && fleet_size(fw->fleet) > 0;
 }
 
-bool early_hold(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request)
+bool early_queue(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request)
 {
     const tc_time_t now = tc_time_now();
-    if (!mechanism_is_on(MECHANISM_EARLY_WAIT) || knows_enough(fw) || now - fw->created > EARLY_LIFE_MS)
+    if (!mechanism_is_on(MECHANISM_EARLY_WAIT) || is_configured(fw) || now - fw->created > EARLY_PHASE_MS)
         return false;
     counter_add(&c_held, 1);
-    early_t *const e = g_new0(early_t, 1);
+    early_request_t *const e = g_new0(early_request_t, 1);
     e->owner = fw;
     e->exchange = exchange;
     e->request = *request;
     cds_list_add_tail(&e->node, &fw->early);
-    fw->busy++;
+    fw->in_flight++;
     web_on_gone(exchange, on_gone, e);
     loop_arm(fw->loop, &e->limit, now + EARLY_WAIT_MS, on_limit, e);
     return true;
@@ -78,9 +78,9 @@
 
 void forwarder_on_change(forwarder_t *fw)
 {
-    early_t *e, *next;
-    limit_learn_told(fw);
-    if (!knows_enough(fw))
+    early_request_t *e, *next;
+    limit_apply_leader_list(fw);
+    if (!is_configured(fw))
         return;
     cds_list_for_each_entry_safe(e, next, &fw->early, node)
         early_begin(e);
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -1,4 +1,4 @@
-/* What back ends say of themselves in their answers, to requests and to questions. */
+/* Availability notices of back ends, in their answers to requests and to queries. */
 
 #include "common/counter.h"
 #include "common/sabotage.h"
@@ -9,7 +9,7 @@
 COUNTER_DEFINE(c_leaving, "counter", "trackcove_forward_backend_leaving_total",
                "Back ends that said in their answers that they leave")
 
-void notice_hear(forwarder_t *fw, instance_t *instance, const web_head_t *head)
+void notice_apply(forwarder_t *fw, instance_t *instance, const web_head_t *head)
 {
     if (SABOTAGE_IS(SABOTAGE_NO_NOTICE))
         return;
@@ -28,7 +28,7 @@
 
 /* ===== Reports ===== */
 
-/** @return false, with nothing filled in, when it has nothing to say */
+/** @return false, with an empty notice, when there is nothing to report */
 static bool fill_notice(const instance_t *instance, backend_notice_t *notice, tc_time_t now)
 {
     const availability_t *const a = &instance->availability;
