--- a/lib/cluster/cold.c
+++ b/lib/cluster/cold.c
@@ -5,15 +5,14 @@
 
 /* ===== Constants ===== */
 
-/** The platform's list lags by so long at most. */
-enum { LIST_LAG_MS = 2000 };
+enum { LIST_LAG_MS = 2000 /* maximum lag of the platform's list of back ends */ };
 
 /* ===== Types ===== */
 
 /** A data centre whose evacuation has ended. */
 typedef struct {
     char dc[CODEC_STR_SIZE];
-    tc_time_t list_from; /* a list that was read then says which of its back ends are cold */
+    tc_time_t list_valid_from; /* lists read at or after this time say which of its back ends are cold */
 } reopened_t;
 
 struct cold {
@@ -40,7 +39,7 @@
     for (uint32_t i = 0; i < before->list_n; i++) {
         if (evacuations_has(after, before->list[i].dc))
             continue;
-        reopened_t reopened = {.list_from = now + LIST_LAG_MS};
+        reopened_t reopened = {.list_valid_from = now + LIST_LAG_MS};
         codec_copy_string(reopened.dc, sizeof(reopened.dc), before->list[i].dc);
         g_array_append_val(c->reopened, reopened);
     }
@@ -50,7 +49,7 @@
 {
     const guint n = c->reopened->len;
     for (guint i = n; i-- > 0;)
-        if (fetched >= g_array_index(c->reopened, reopened_t, i).list_from)
+        if (fetched >= g_array_index(c->reopened, reopened_t, i).list_valid_from)
             g_array_remove_index_fast(c->reopened, i);
     return c->reopened->len != n;
 }
--- a/lib/cluster/cold.h
+++ b/lib/cluster/cold.h
@@ -1,7 +1,7 @@
 /** @file cold.h
- * Back ends that have just started: they bear fewer requests a second than they will. The list of back ends says which;
- * of those in a data centre whose evacuation has ended they are taken for cold until a list that was read after that
- * says otherwise. Pure: the time goes in.
+ * Tracks cold back ends: those that have just started and serve fewer requests per second than they will once warm.
+ * The list of back ends marks them. After the evacuation of a data centre ends, all its back ends count as cold until
+ * a list read after the end, allowing for the list's lag, says otherwise. No I/O; the caller passes the time.
  */
 #ifndef TRACKCOVE_CLUSTER_COLD_H
 #define TRACKCOVE_CLUSTER_COLD_H
@@ -20,11 +20,12 @@
 cold_t *cold_create(void);
 void cold_destroy(cold_t *cold);
 
-/** Other data centres are evacuated than before. */
+/** Applies a change of the evacuations: data centres in @p before but not in @p after have just reopened. */
 void cold_update_evacuations(cold_t *cold, const evacuations_t *before, const evacuations_t *after, tc_time_t now);
-/** The list of back ends, as it is now, was read at @p fetched. @return whether another one may be cold than before */
+/** Applies a list of back ends, changed or not, that was read at @p fetched.
+ *  @return whether a reopened data centre is now judged by the list, so that cold_is may give other results */
 bool cold_update_list(cold_t *cold, tc_time_t fetched);
-/** Whether the back end, as listed, is cold. */
+/** @return whether the back end is cold, by its entry in the list or by its data centre */
 bool cold_is(const cold_t *cold, const backend_t *backend);
 
 #endif
--- a/lib/cluster/document.c
+++ b/lib/cluster/document.c
@@ -11,9 +11,9 @@
 
 /* ===== Making and reading ===== */
 
-enum { DIGEST_BYTES = 16 }; /* of BLAKE2b: texts of one version that differ are told apart */
+enum { DIGEST_BYTES = 16 /* BLAKE2b; distinguishes different texts of the same version */ };
 
-static void digest_of(char to[CODEC_STR_SIZE], const char *text, size_t size)
+static void compute_digest(char to[CODEC_STR_SIZE], const char *text, size_t size)
 {
     unsigned char hash[DIGEST_BYTES];
     crypto_generichash(hash, sizeof(hash), (const unsigned char *)text, size, NULL, 0);
@@ -26,7 +26,7 @@
     char *const body = pack_text(text, size, &packed);
     codec_free(&document_desc, to);
     *to = (document_t){.version = version, .body = body, .body_n = (uint32_t)packed, .size = size};
-    digest_of(to->digest, text, size);
+    compute_digest(to->digest, text, size);
     to->body_hash = XXH64(body, packed, 0);
 }
 
@@ -45,7 +45,7 @@
     return head;
 }
 
-/* ===== The newest wins ===== */
+/* ===== Versions ===== */
 
 document_relation_t document_compare(const document_t *held, const document_t *offered)
 {
@@ -73,8 +73,8 @@
 document_piece_t document_piece(const document_t *held, const msg_fetch_piece_t *asked)
 {
     document_piece_t piece = {.head = document_head(held), .offset = asked->offset};
-    const bool here = asked->version == held->version && asked->body_hash == held->body_hash;
-    if (!here || asked->offset >= held->body_n)
+    const bool is_held = asked->version == held->version && asked->body_hash == held->body_hash;
+    if (!is_held || asked->offset >= held->body_n)
         return piece;
     const uint64_t left = held->body_n - asked->offset;
     piece.data = held->body + asked->offset;
@@ -82,55 +82,55 @@
     return piece;
 }
 
-bool document_download_begin(document_download_t *a, const document_head_t *head)
+bool document_download_begin(document_download_t *d, const document_head_t *head)
 {
-    document_download_clear(a);
+    document_download_clear(d);
     if (head->packed > DOCUMENT_BODY_MAX_BYTES)
         return false;
-    a->head = *head;
-    a->body = malloc(head->packed + 1);
-    if (!a->body)
+    d->head = *head;
+    d->body = malloc(head->packed + 1);
+    if (!d->body)
         abort();
     return true;
 }
 
-bool document_download_add(document_download_t *a, const document_piece_t *piece)
+bool document_download_add(document_download_t *d, const document_piece_t *piece)
 {
-    const bool of_this = piece->head.version == a->head.version && piece->head.body_hash == a->head.body_hash;
-    if (!a->body || !of_this || piece->offset != a->have || piece->data_n > a->head.packed - a->have)
+    const bool is_same_document = piece->head.version == d->head.version && piece->head.body_hash == d->head.body_hash;
+    if (!d->body || !is_same_document || piece->offset != d->have || piece->data_n > d->head.packed - d->have)
         return false;
     if (piece->data_n > 0)
-        memcpy(a->body + a->have, piece->data, piece->data_n);
-    a->have += piece->data_n;
+        memcpy(d->body + d->have, piece->data, piece->data_n);
+    d->have += piece->data_n;
     return piece->data_n > 0;
 }
 
-bool document_download_is_complete(const document_download_t *a)
+bool document_download_is_complete(const document_download_t *d)
 {
-    return a->body && a->have == a->head.packed;
+    return d->body && d->have == d->head.packed;
 }
 
-bool document_download_is_valid(const document_download_t *a)
+bool document_download_is_valid(const document_download_t *d)
 {
-    return document_download_is_complete(a) && XXH64(a->body, a->have, 0) == a->head.body_hash;
+    return document_download_is_complete(d) && XXH64(d->body, d->have, 0) == d->head.body_hash;
 }
 
-void document_download_take(document_download_t *a, document_t *to)
+void document_download_take(document_download_t *d, document_t *to)
 {
-    assert(document_download_is_complete(a)); /* a part is nobody's document */
+    assert(document_download_is_complete(d)); /* an incomplete body must never be used */
     codec_free(&document_desc, to);
-    *to = (document_t){.version = a->head.version,
-                       .body = a->body,
-                       .body_n = (uint32_t)a->head.packed,
-                       .size = a->head.size,
-                       .body_hash = a->head.body_hash};
-    to->body[to->body_n] = '\0'; /* as every text field ends */
-    codec_copy_string(to->digest, sizeof(to->digest), a->head.digest);
-    *a = (document_download_t){0};
+    *to = (document_t){.version = d->head.version,
+                       .body = d->body,
+                       .body_n = (uint32_t)d->head.packed,
+                       .size = d->head.size,
+                       .body_hash = d->head.body_hash};
+    to->body[to->body_n] = '\0'; /* decoded text fields are always NUL-terminated */
+    codec_copy_string(to->digest, sizeof(to->digest), d->head.digest);
+    *d = (document_download_t){0};
 }
 
-void document_download_clear(document_download_t *a)
+void document_download_clear(document_download_t *d)
 {
-    free(a->body);
-    *a = (document_download_t){0};
+    free(d->body);
+    *d = (document_download_t){0};
 }
--- a/lib/cluster/document.h
+++ b/lib/cluster/document.h
@@ -1,9 +1,10 @@
 /** @file document.h
- * The replicated state of a cluster that keeps the operators' configuration as they sent it: one document, of which
- * the highest version wins. A pure state machine.
+ * The operators' configuration as replicated state: one document, kept as the operators sent it. The highest version
+ * replaces the others. No I/O, no clock.
  *
- * A document's body is its text packed. Boxes tell each other its head alone; the body travels in pieces, one at a time
- * to whoever asks, so that no process holds a copy for each other box and nothing else waits long behind it.
+ * A document's body is its text, compressed. Boxes announce only the head to each other; a box that needs the body
+ * requests it in pieces, one at a time. So no process holds a copy of the body for each other box, and other messages
+ * do not queue behind a whole body.
  */
 #ifndef TRACKCOVE_CLUSTER_DOCUMENT_H
 #define TRACKCOVE_CLUSTER_DOCUMENT_H
@@ -18,59 +19,62 @@
 
 /* ===== Constants ===== */
 
-/** Largest body that is accepted, bytes: every box holds the newest one and takes the next beside it, and a box behind
- *  10 Mbit/s has it within a second. Some 60,000 routes with names by lot. */
+/** Largest compressed body that is accepted. A box holds the newest body and the one being received; over a link of
+ *  10 Mbit/s the transfer takes less than a second. Enough for some 60,000 routes with random names. */
 #define DOCUMENT_BODY_MAX_BYTES (1024 * 1024)
-/** Bytes of one piece: 26 ms of a link of 10 Mbit/s, so that an event of a stream waits no longer behind it. */
+/** Size of one piece. It occupies a link of 10 Mbit/s for 26 ms, which bounds the delay of stream events behind it. */
 #define DOCUMENT_PIECE_BYTES (32 * 1024)
 
 /* ===== Types ===== */
 
-/** How an offered document relates to the one held. */
+/** Relation of an offered document to the one held. */
 typedef enum {
-    DOCUMENT_NEWER,    /**< replaces it */
-    DOCUMENT_SAME,     /**< is it */
-    DOCUMENT_OLDER,    /**< was overtaken: changes nothing */
-    DOCUMENT_CONFLICTS /**< the same version with other content */
+    DOCUMENT_NEWER,    /**< higher version: replaces the one held */
+    DOCUMENT_SAME,     /**< same version and content */
+    DOCUMENT_OLDER,    /**< lower version: ignored */
+    DOCUMENT_CONFLICTS /**< same version, different content */
 } document_relation_t;
 
-/** A document on its way here, in pieces. Zeroed for none; document_download_clear ends it. */
+/** A document that is being received in pieces. Zero-initialised when idle; document_download_clear releases it. */
 typedef struct {
     document_head_t head;
     char *body;
-    uint64_t have; /**< bytes, from the first on */
+    uint64_t have; /**< bytes received, contiguous from offset 0 */
 } document_download_t;
 
 /* ===== Making and reading ===== */
 
-/** Make a document of a text. @param to is replaced; to be freed with codec_free */
+/** Compresses a text into a document. @param to is replaced; free with codec_free */
 void document_make(document_t *to, uint64_t version, const char *text, size_t size);
-/** Hand the text to @p sink piece by piece. @return as pack_expand */
+/** Decompresses the text and passes it to @p sink in chunks. @return as pack_expand */
 int document_read(const document_t *document, pack_sink_t sink, void *arg, tc_err_t *err);
 document_head_t document_head(const document_t *document);
 
-/* ===== The newest wins ===== */
+/* ===== Versions ===== */
 
-/** How an offered document relates to @p held: by version, and by the texts' digests. */
+/** Compares by version; at equal versions by size and digest of the text. */
 document_relation_t document_compare(const document_t *held, const document_t *offered);
 
-/** Take over @p offered, which is emptied, when it is newer. @return its relation to what was held before */
+/** Moves @p offered into @p held if it is newer; @p offered is then empty, else unchanged.
+ *  @return its relation to the document held before */
 document_relation_t document_apply(document_t *held, document_t *offered);
 
 /* ===== Pieces ===== */
 
-/** The piece of @p held that is asked for; only its head when it is not of the document asked for. Data is borrowed. */
+/** @return the requested piece of @p held, its data borrowed. Without data when @p asked names another document or an
+ *  offset past the end; the head is always that of @p held */
 document_piece_t document_piece(const document_t *held, const msg_fetch_piece_t *asked);
-/** A document begins to arrive; what arrived of another one is dropped. @return false when it is larger than any that
- *  is accepted */
-bool document_download_begin(document_download_t *arrival, const document_head_t *head);
-/** Add a piece. @return false when it is not the next one of this document */
-bool document_download_add(document_download_t *arrival, const document_piece_t *piece);
-bool document_download_is_complete(const document_download_t *arrival);
-/** Whether it is whole, and by its hash what its head names: pieces come from several boxes. */
-bool document_download_is_valid(const document_download_t *arrival);
-/** Move a whole document out to @p to, which is replaced, and end the arrival. */
-void document_download_take(document_download_t *arrival, document_t *to);
-void document_download_clear(document_download_t *arrival);
+/** Starts a download; the data of an earlier one is dropped.
+ *  @return false when the body is larger than DOCUMENT_BODY_MAX_BYTES */
+bool document_download_begin(document_download_t *download, const document_head_t *head);
+/** Appends a piece. @return false when it is empty or not the next piece of this document */
+bool document_download_add(document_download_t *download, const document_piece_t *piece);
+/** @return whether all bytes have been received */
+bool document_download_is_complete(const document_download_t *download);
+/** @return whether it is complete and its hash matches the head; needed since pieces come from several boxes */
+bool document_download_is_valid(const document_download_t *download);
+/** Moves a complete document into @p to, which is replaced, and resets the download. */
+void document_download_take(document_download_t *download, document_t *to);
+void document_download_clear(document_download_t *download);
 
 #endif
--- a/lib/cluster/engine_poller.c
+++ b/lib/cluster/engine_poller.c
@@ -13,22 +13,25 @@
 /* ===== Constants ===== */
 
 enum {
-    OFTEN_MS = 500,   /* between two questions to one engine: streams last some seconds, answers lag by up to one */
-    SELDOM_MS = 4000, /* the same while there is no reason to doubt what is counted */
-    RATE_MAX_S = 20,  /* questions a second to all engines together: each is priced, and costs the leader's link some
-                         kilobytes */
-    AT_ONCE = 8,      /* questions under way */
-    CONNECT_MS = 150, /* an engine in reach answers in a few ms, busy or not */
-    ANSWER_MS = 300
+    /* Interval between queries to one engine while the scheduler's count is in doubt: streams last some seconds, and
+     * answers lag by up to one. */
+    SHORT_INTERVAL_MS = 500,
+    /* The same interval while there is no reason to doubt the count. */
+    LONG_INTERVAL_MS = 4000,
+    /* Queries per second to all engines together: each is billed, and costs the leader's link some kilobytes. */
+    QUERIES_PER_S_MAX = 20,
+    QUERIES_IN_FLIGHT_MAX = 8,
+    CONNECT_TIMEOUT_MS = 150, /* a reachable engine accepts within a few ms, busy or not */
+    QUERY_TIMEOUT_MS = 300
 };
 
 /* ===== Types ===== */
 
 typedef struct {
-    engine_poller_t *reader;
+    engine_poller_t *poller;
     web_ask_t ask;
     char engine[CODEC_STR_SIZE];
-} question_t;
+} query_t;
 
 struct engine_poller {
     loop_t *loop;
@@ -36,99 +39,99 @@
     call_gate_t *gate;
     engine_poller_fn_t fn;
     void *arg;
-    question_t questions[AT_ONCE];
-    uint32_t turn; /* through the list of back ends */
-    tc_time_t asked_at;
+    query_t queries[QUERIES_IN_FLIGHT_MAX];
+    uint32_t next_index;  /* round-robin position in the list of back ends */
+    tc_time_t queried_at; /* time of the last query to any engine */
 };
 
 /* ===== Answers ===== */
 
-static void take_runs(const question_t *q, const GArray *runs)
+static void report_runs(const query_t *q, const GArray *runs)
 {
-    const engine_poller_t *const r = q->reader;
+    const engine_poller_t *const p = q->poller;
     sched_engine_request_t *const held = g_new0(sched_engine_request_t, runs->len + 1);
     for (guint i = 0; i < runs->len; i++) {
         const dialect_run_t *const run = &g_array_index(runs, dialect_run_t, i);
         codec_copy_string(held[i].engine_id, sizeof(held[i].engine_id), run->id);
         held[i].pieces = sched_pieces_of(SCHED_SMALL_PIECE_TOKENS, run->tokens, 0);
     }
-    r->fn(r->arg, q->engine, held, runs->len);
+    p->fn(p->arg, q->engine, held, runs->len);
     g_free(held);
 }
 
 static void on_head(void *arg, const web_head_t *head)
 {
-    const question_t *const q = arg;
+    const query_t *const q = arg;
     const availability_notice_t notice = dialect_read_notice(head);
-    call_gate_update(q->reader->gate, q->engine, &notice, tc_time_now());
+    call_gate_update(q->poller->gate, q->engine, &notice, tc_time_now());
 }
 
 static void on_answer(void *arg, web_ask_end_t how)
 {
-    question_t *const q = arg;
-    const bool whole = how == WEB_ASK_WHOLE && q->ask.status == 200;
-    GArray *const runs = whole ? dialect_read_runs((const char *)q->ask.body->data, q->ask.body->len) : NULL;
+    query_t *const q = arg;
+    const bool ok = how == WEB_ASK_WHOLE && q->ask.status == 200;
+    GArray *const runs = ok ? dialect_read_runs((const char *)q->ask.body->data, q->ask.body->len) : NULL;
     counter_add(runs ? &c_read : &c_failed, 1);
     if (!runs)
-        return; /* the next question follows soon; what the engine held is counted as before */
-    take_runs(q, runs);
+        return; /* the next query follows soon; until then the engine's last known requests stay counted */
+    report_runs(q, runs);
     g_array_free(runs, TRUE);
 }
 
-/* ===== Questions ===== */
+/* ===== Queries ===== */
 
-static question_t *free_question(engine_poller_t *r)
+static query_t *find_free_query(engine_poller_t *p)
 {
-    for (int i = 0; i < AT_ONCE; i++)
-        if (!r->questions[i].ask.call)
-            return &r->questions[i];
+    for (int i = 0; i < QUERIES_IN_FLIGHT_MAX; i++)
+        if (!p->queries[i].ask.call)
+            return &p->queries[i];
     return NULL;
 }
 
-static bool runs_streams(const backend_t *b)
+static bool is_decode_engine(const backend_t *b)
 {
     return strcmp(b->stage, "decode") == 0;
 }
 
-/** The next decode engine in turn that takes the question, or NULL. */
-static const backend_t *next_engine(engine_poller_t *r, const backend_t *backends, uint32_t n, tc_time_t now)
+/** @return the next decode engine, round-robin, that accepts calls; NULL when none does */
+static const backend_t *next_engine(engine_poller_t *p, const backend_t *backends, uint32_t n, tc_time_t now)
 {
     for (uint32_t tries = 0; tries < n; tries++) {
-        const backend_t *const b = &backends[r->turn++ % n];
-        if (runs_streams(b) && call_gate_accepts(r->gate, b->id, CALL_MAINTENANCE, now))
+        const backend_t *const b = &backends[p->next_index++ % n];
+        if (is_decode_engine(b) && call_gate_accepts(p->gate, b->id, CALL_MAINTENANCE, now))
             return b;
     }
     return NULL;
 }
 
-/** Time between two questions to any engine. */
-static tc_time_t pause_of(const backend_t *backends, uint32_t n, tc_time_t every)
+/** @return the interval between queries to any two engines. @param per_engine_ms interval for one engine */
+static tc_time_t compute_interval(const backend_t *backends, uint32_t n, tc_time_t per_engine_ms)
 {
     uint32_t engines = 0;
     for (uint32_t i = 0; i < n; i++)
-        engines += runs_streams(&backends[i]);
-    const tc_time_t even = engines > 0 ? every / (tc_time_t)engines : every;
-    const tc_time_t least = 1000 / RATE_MAX_S;
-    return even > least ? even : least;
+        engines += is_decode_engine(&backends[i]);
+    const tc_time_t interval = engines > 0 ? per_engine_ms / (tc_time_t)engines : per_engine_ms;
+    const tc_time_t interval_min = 1000 / QUERIES_PER_S_MAX;
+    return interval > interval_min ? interval : interval_min;
 }
 
-void engine_poller_tick(engine_poller_t *r, const backend_t *backends, uint32_t n, bool often, tc_time_t now)
+void engine_poller_tick(engine_poller_t *p, const backend_t *backends, uint32_t n, bool often, tc_time_t now)
 {
-    const tc_time_t pause = pause_of(backends, n, often ? OFTEN_MS : SELDOM_MS);
-    if (n == 0 || now - r->asked_at < pause)
+    const tc_time_t interval = compute_interval(backends, n, often ? SHORT_INTERVAL_MS : LONG_INTERVAL_MS);
+    if (n == 0 || now - p->queried_at < interval)
         return;
-    question_t *const q = free_question(r);
-    const backend_t *const engine = q ? next_engine(r, backends, n, now) : NULL;
+    query_t *const q = find_free_query(p);
+    const backend_t *const engine = q ? next_engine(p, backends, n, now) : NULL;
     if (!engine)
         return;
-    r->asked_at = now;
-    const web_ask_where_t where = {.loop = r->loop,
-                                   .client = r->client,
+    p->queried_at = now;
+    const web_ask_where_t where = {.loop = p->loop,
+                                   .client = p->client,
                                    .addr = engine->addr,
                                    .is_ours = dialect_is_query_answer,
                                    .on_head = on_head,
-                                   .connect_ms = CONNECT_MS,
-                                   .limit_ms = ANSWER_MS};
+                                   .connect_ms = CONNECT_TIMEOUT_MS,
+                                   .limit_ms = QUERY_TIMEOUT_MS};
     codec_copy_string(q->engine, sizeof(q->engine), engine->id);
     web_ask(&q->ask, &where, dialect_write_engine_query(engine->addr), on_answer, q);
 }
@@ -138,24 +141,24 @@
 engine_poller_t *engine_poller_create(loop_t *loop, web_client_t *client, call_gate_t *gate, engine_poller_fn_t fn,
                                       void *arg)
 {
-    engine_poller_t *const r = g_new0(engine_poller_t, 1);
-    r->loop = loop;
-    r->client = client;
-    r->gate = gate;
-    r->fn = fn;
-    r->arg = arg;
-    for (int i = 0; i < AT_ONCE; i++) {
-        r->questions[i].reader = r;
-        r->questions[i].ask.body = g_byte_array_new();
+    engine_poller_t *const p = g_new0(engine_poller_t, 1);
+    p->loop = loop;
+    p->client = client;
+    p->gate = gate;
+    p->fn = fn;
+    p->arg = arg;
+    for (int i = 0; i < QUERIES_IN_FLIGHT_MAX; i++) {
+        p->queries[i].poller = p;
+        p->queries[i].ask.body = g_byte_array_new();
     }
-    return r;
+    return p;
 }
 
-void engine_poller_destroy(engine_poller_t *r)
+void engine_poller_destroy(engine_poller_t *p)
 {
-    for (int i = 0; i < AT_ONCE; i++) {
-        web_ask_cancel(&r->questions[i].ask);
-        g_byte_array_free(r->questions[i].ask.body, TRUE);
+    for (int i = 0; i < QUERIES_IN_FLIGHT_MAX; i++) {
+        web_ask_cancel(&p->queries[i].ask);
+        g_byte_array_free(p->queries[i].ask.body, TRUE);
     }
-    g_free(r);
+    g_free(p);
 }
--- a/lib/cluster/evacuations.c
+++ b/lib/cluster/evacuations.c
@@ -5,8 +5,8 @@
 
 #include "lists/list.h"
 
-/** Place of the data centre in the list, or where it would stand. */
-static uint32_t place_of(const evacuations_t *held, const char *dc)
+/** @return index of the data centre in the sorted list, or the index at which to insert it */
+static uint32_t find_index(const evacuations_t *held, const char *dc)
 {
     uint32_t at = 0;
     while (at < held->list_n && strcmp(held->list[at].dc, dc) < 0)
@@ -21,7 +21,7 @@
 
 bool evacuations_has(const evacuations_t *held, const char *dc)
 {
-    return is_at(held, place_of(held, dc), dc);
+    return is_at(held, find_index(held, dc), dc);
 }
 
 static void insert(evacuations_t *held, uint32_t at, const char *dc)
@@ -47,7 +47,7 @@
 
 bool evacuations_apply(evacuations_t *held, const evacuation_t *order, uint64_t index)
 {
-    const uint32_t at = place_of(held, order->dc);
+    const uint32_t at = find_index(held, order->dc);
     if (is_at(held, at, order->dc) == order->on)
         return false;
     if (order->on)
@@ -65,10 +65,10 @@
     *to = (evacuations_t){.version = from->version, .list = list, .list_n = from->list_n};
 }
 
-bool evacuations_update(evacuations_t *held, const evacuations_t *told)
+bool evacuations_update(evacuations_t *held, const evacuations_t *received)
 {
-    if (told->version <= held->version)
+    if (received->version <= held->version)
         return false;
-    evacuations_copy(held, told);
+    evacuations_copy(held, received);
     return true;
 }
--- a/lib/cluster/evacuations.h
+++ b/lib/cluster/evacuations.h
@@ -1,7 +1,7 @@
 /** @file evacuations.h
- * Data centres that operators have evacuated: their back ends get nothing new. Replicated state beside the document,
- * changed by entries of the same log; the version is the index of the entry that changed it last, so that of two
- * versions that a box hears of the higher one is newer. Pure.
+ * Data centres that operators have evacuated: their back ends get no new requests. Replicated state beside the
+ * document, changed by entries of the same log. The version is the index of the log entry that changed it last, so of
+ * two copies the one with the higher version is newer. No I/O, no clock.
  */
 #ifndef TRACKCOVE_CLUSTER_EVACUATIONS_H
 #define TRACKCOVE_CLUSTER_EVACUATIONS_H
@@ -14,14 +14,14 @@
 
 /* ===== Public functions ===== */
 
-/** Carry out an order that the log has at @p index. @return whether it changes anything: an evacuation that stands is
- *  not begun again, and one that does not stand is not ended */
+/** Applies the order in the log entry at @p index. @return whether it changed anything: the begin of an evacuation
+ *  that is already in force and the end of one that is not have no effect */
 bool evacuations_apply(evacuations_t *held, const evacuation_t *order, uint64_t index);
-/** Take over what another box holds, if that is newer. @return whether it was */
-bool evacuations_update(evacuations_t *held, const evacuations_t *told);
-/** Replace what @p to holds by a copy. */
+/** Replaces @p held by a copy of another box's state if that is newer. @return whether it was newer */
+bool evacuations_update(evacuations_t *held, const evacuations_t *received);
+/** Replaces the contents of @p to by a copy of @p from. */
 void evacuations_copy(evacuations_t *to, const evacuations_t *from);
-/** Whether the back ends of that data centre get nothing new. */
+/** @return whether the data centre is evacuated */
 bool evacuations_has(const evacuations_t *held, const char *dc);
 
 #endif
--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -27,22 +27,26 @@
 /* ===== Constants ===== */
 
 enum {
-    /* First guess of what an engine reads, a little below what the users' sheet says; learnt from then on. */
+    /* Initial estimate of an engine's prefill rate, a little below its specification; learnt from then on. */
     PREFILL_TOKENS_S = 50000,
-    /* A decode engine reads prompts at under half the pace and slows the streams it carries: only what has waited. */
+    /* Time in the queue after which a request may be prefilled by a decode engine. A decode engine prefills at less
+     * than half the rate and slows down its streams, so only requests that have waited are sent there. */
     SOLO_AFTER_MS = 120,
-    LOST_MAX = 256,
-    LET_IN_MS = 5000, /* a request waits here for less than its aim; what is remembered for longer was lost */
-    PICTURE_MS = 1000 /* between lines that tell what the scheduler takes engines for */
+    LOST_MAX = 256, /* lost requests in the answer to one renewal */
+    /* Lifetime of the record of an admitted request. A request waits here for less than its target latency, so an older
+     * record belongs to a request that was lost. */
+    ADMISSION_TTL_MS = 5000,
+    PICTURE_INTERVAL_MS = 1000 /* between log lines with the scheduler's view of the engines */
 };
-/** Moves of memory into another data centre take twice as long there and are priced double: they are counted dearer
- *  than they take, so that of two engines alike the near one is taken. */
-static const double FAR_FACTOR = 0.1;
-/** Part of an engine's memory that is handed out: what requests hold is reserved by its mean, so a full engine holds
- *  now more, now less than that, and turns a request away for whom memory was reserved. */
+/** Factor on the rate of links between data centres. Transfers of KV cache to another data centre take twice as long
+ * and are billed double. The factor overstates that cost, so that of two equal engines the near one is chosen. */
+static const double REMOTE_LINK_FACTOR = 0.1;
+/** Part of an engine's memory that may be reserved. Reservations use the mean size of requests, so a fully reserved
+ *  engine holds at times more, at times less than that; at times more it would reject a request that has a
+ *  reservation. */
 static const double MEMORY_SHARE = 0.94;
-/** All engines are one cell: a placement costs some 10 us before 256 engines, hundreds a second a few hundredths of a
- *  core. */
+/** All engines are in one cell: a placement over 256 engines costs some 10 us, so hundreds of placements per second
+ *  take a few hundredths of a core. */
 static const char CELL[] = "main";
 
 /* ===== Types ===== */
@@ -50,9 +54,9 @@
 struct leader_sched {
     peer_net_t *net;
     sched_t *sched;           /* NULL while this box does not lead */
-    quarantine_t *quarantine; /* or NULL */
+    quarantine_t *quarantine; /* borrowed, or NULL */
     uint64_t term;
-    tc_time_t picture_at;
+    tc_time_t picture_at; /* time of the next log line with the scheduler's view */
     leader_sched_service_t *services;
     uint32_t services_n;
     backend_t *backends;
@@ -61,28 +65,28 @@
     cold_rate_t *cold_rates;
     uint32_t cold_rates_n;
     cold_t *cold;
-    retry_rules_t retries; /* for what is handed out here */
-    GHashTable *budgets;   /* as retry_budgets_create; emptied when this box leads no more, since an older leader may
-                              have handed out all of what a new one has */
+    retry_rules_t retries; /* the leader's part */
+    GHashTable *budgets;   /* as retry_budgets_create. Emptied when this box stops leading: before it leads again,
+                              another leader may have handed out the whole budget */
     limits_t *limits;      /* of back ends */
     cap_ledger_t *caps;
-    GHashTable *let_in;  /* request id -> let_in_t: let in, and not placed or refused yet */
-    tc_time_t let_in_at; /* when old ones were dropped last */
+    GHashTable *admitted;        /* request id -> admission_t: admitted, but neither placed nor refused yet */
+    tc_time_t admitted_swept_at; /* time of the last removal of expired admissions */
 };
 
-/** A request that a usage cap let in. */
+/** A request that was admitted under its workspace's usage cap. */
 typedef struct {
     char workspace[CODEC_STR_SIZE];
     double units;
     tc_time_t at;
-} let_in_t;
+} admission_t;
 
 /* ===== Limits of back ends ===== */
 
-static void on_take_limit(leader_sched_t *p, peer_call_t call, const msg_take_limit_t *take, tc_time_t now)
+static void on_take_limit(leader_sched_t *l, peer_call_t call, const msg_take_limit_t *take, tc_time_t now)
 {
     tc_time_t after;
-    const bool granted = limits_acquire(p->limits, p->sched, take, now, &after);
+    const bool granted = limits_acquire(l->limits, l->sched, take, now, &after);
     const msg_take_limit_ack_t ack = {.granted = granted, .after_ms = granted ? 0 : (uint32_t)after};
     counter_add(granted ? &c_limit_granted : &c_limit_refused, 1);
     log_line_t line;
@@ -94,27 +98,27 @@
     log_int(&line, "granted", granted);
     log_int(&line, "after_ms", ack.after_ms);
     log_end(&line);
-    peer_reply(p->net, call, MSG_TAKE_LIMIT_ACK, &ack);
+    peer_reply(l->net, call, MSG_TAKE_LIMIT_ACK, &ack);
 }
 
 /* ===== Configuration ===== */
 
-static const leader_sched_service_t *service_of(const leader_sched_t *p, const char *name)
+static const leader_sched_service_t *find_service(const leader_sched_t *l, const char *name)
 {
-    for (uint32_t i = 0; i < p->services_n; i++)
-        if (strcmp(p->services[i].service, name) == 0)
-            return &p->services[i];
+    for (uint32_t i = 0; i < l->services_n; i++)
+        if (strcmp(l->services[i].service, name) == 0)
+            return &l->services[i];
     return NULL;
 }
 
-static bool is_engine(const leader_sched_t *p, const backend_t *b)
+static bool is_engine(const leader_sched_t *l, const backend_t *b)
 {
-    return b->stage[0] && service_of(p, b->service);
+    return b->stage[0] && find_service(l, b->service);
 }
 
-static void fill_engine(const leader_sched_t *p, const backend_t *b, engine_cfg_t *e)
+static void fill_engine(const leader_sched_t *l, const backend_t *b, engine_cfg_t *e)
 {
-    const leader_sched_service_t *const s = service_of(p, b->service);
+    const leader_sched_service_t *const s = find_service(l, b->service);
     codec_copy_string(e->name, sizeof(e->name), b->id);
     codec_copy_string(e->dc, sizeof(e->dc), b->dc);
     codec_copy_string(e->cell, sizeof(e->cell), CELL);
@@ -125,171 +129,171 @@
     e->prefill_rate = PREFILL_TOKENS_S;
 }
 
-/** Links between every two data centres, and inside each. */
-static void fill_links(const leader_sched_t *p, config_t *config)
+/** Fills in a link for each pair of data centres and one inside each. */
+static void fill_links(const leader_sched_t *l, config_t *config)
 {
     GHashTable *const dcs = g_hash_table_new(g_str_hash, g_str_equal);
-    for (uint32_t i = 0; i < p->backends_n; i++)
-        g_hash_table_add(dcs, (char *)(uintptr_t)p->backends[i].dc);
+    for (uint32_t i = 0; i < l->backends_n; i++)
+        g_hash_table_add(dcs, (char *)(uintptr_t)l->backends[i].dc);
     guint n;
     const char **const names = (const char **)g_hash_table_get_keys_as_array(dcs, &n);
     config->links = calloc((size_t)n * n + 1, sizeof(*config->links));
     if (!config->links)
         abort();
-    const double rate = p->services_n > 0 ? p->services[0].link_tokens_s : 0;
+    const double rate = l->services_n > 0 ? l->services[0].link_tokens_s : 0;
     for (guint i = 0; i < n && rate > 0; i++) {
         for (guint k = i; k < n; k++) {
             link_cfg_t *const link = &config->links[config->links_n++];
             codec_copy_string(link->a, sizeof(link->a), names[i]);
             codec_copy_string(link->b, sizeof(link->b), names[k]);
-            link->rate = (uint32_t)(rate * (i == k || !mechanism_is_on(MECHANISM_NEARNESS) ? 1 : FAR_FACTOR));
+            link->rate = (uint32_t)(rate * (i == k || !mechanism_is_on(MECHANISM_NEARNESS) ? 1 : REMOTE_LINK_FACTOR));
         }
     }
     g_free(names);
     g_hash_table_destroy(dcs);
 }
 
-static void configure(leader_sched_t *p, tc_time_t now)
+static void configure(leader_sched_t *l, tc_time_t now)
 {
-    if (!p->sched)
+    if (!l->sched)
         return;
     config_t config = {.targets = {.max_queue = 512}};
-    config.engines = calloc(p->backends_n + 1, sizeof(*config.engines));
-    config.leaving = calloc(p->backends_n + 1, sizeof(*config.leaving));
+    config.engines = calloc(l->backends_n + 1, sizeof(*config.engines));
+    config.leaving = calloc(l->backends_n + 1, sizeof(*config.leaving));
     if (!config.engines || !config.leaving)
         abort();
-    for (uint32_t i = 0; i < p->backends_n; i++) {
-        const backend_t *const b = &p->backends[i];
-        if (!is_engine(p, b))
+    for (uint32_t i = 0; i < l->backends_n; i++) {
+        const backend_t *const b = &l->backends[i];
+        if (!is_engine(l, b))
             continue;
-        fill_engine(p, b, &config.engines[config.engines_n++]);
-        if (b->draining || evacuations_has(&p->evacuations, b->dc))
+        fill_engine(l, b, &config.engines[config.engines_n++]);
+        if (b->draining || evacuations_has(&l->evacuations, b->dc))
             codec_copy_string(config.leaving[config.leaving_n++].name, CODEC_STR_SIZE, b->id);
     }
-    fill_links(p, &config);
-    sched_configure(p->sched, &config, now);
-    /* The list is all that is heard of an engine beside what requests report. */
-    sched_on_engine_list(p->sched, now);
+    fill_links(l, &config);
+    sched_configure(l->sched, &config, now);
+    /* The list and the reports about requests are the only sources on an engine's state. */
+    sched_on_engine_list(l->sched, now);
     free(config.engines);
     free(config.leaving);
     free(config.links);
 }
 
-void leader_sched_set_quarantine(leader_sched_t *p, quarantine_t *quarantine)
+void leader_sched_set_quarantine(leader_sched_t *l, quarantine_t *quarantine)
 {
-    p->quarantine = quarantine;
+    l->quarantine = quarantine;
 }
 
-void leader_sched_set_services(leader_sched_t *p, const leader_sched_service_t *list, uint32_t n)
+void leader_sched_set_services(leader_sched_t *l, const leader_sched_service_t *list, uint32_t n)
 {
-    free(p->services);
-    p->services = list_copy(list, n * sizeof(*list));
-    p->services_n = n;
-    configure(p, tc_time_now());
+    free(l->services);
+    l->services = list_copy(list, n * sizeof(*list));
+    l->services_n = n;
+    configure(l, tc_time_now());
 }
 
 /* ===== Cold back ends ===== */
 
-static double cold_rate_of(const leader_sched_t *p, const char *service)
+static double find_cold_rate(const leader_sched_t *l, const char *service)
 {
-    for (uint32_t i = 0; i < p->cold_rates_n; i++)
-        if (strcmp(p->cold_rates[i].service, service) == 0)
-            return p->cold_rates[i].rate;
+    for (uint32_t i = 0; i < l->cold_rates_n; i++)
+        if (strcmp(l->cold_rates[i].service, service) == 0)
+            return l->cold_rates[i].rate;
     return 0;
 }
 
-/** Count what cold back ends get. */
-static void configure_cold(leader_sched_t *p)
+/** Sets the limits of the back ends that are cold now. */
+static void configure_cold(leader_sched_t *l)
 {
     GArray *const caps = g_array_new(FALSE, TRUE, sizeof(cap_cfg_t));
-    for (uint32_t i = 0; i < p->backends_n && p->cold_rates_n > 0; i++) {
-        const backend_t *const b = &p->backends[i];
-        cap_cfg_t cap = {.rate = cold_is(p->cold, b) ? cold_rate_of(p, b->service) : 0};
+    for (uint32_t i = 0; i < l->backends_n && l->cold_rates_n > 0; i++) {
+        const backend_t *const b = &l->backends[i];
+        cap_cfg_t cap = {.rate = cold_is(l->cold, b) ? find_cold_rate(l, b->service) : 0};
         codec_copy_string(cap.name, sizeof(cap.name), b->id);
         if (cap.rate > 0)
             g_array_append_val(caps, cap);
     }
-    limits_set_cold(p->limits, (const cap_cfg_t *)(const void *)caps->data, caps->len, tc_time_now());
+    limits_set_cold(l->limits, (const cap_cfg_t *)(const void *)caps->data, caps->len, tc_time_now());
     g_array_free(caps, TRUE);
 }
 
-void leader_sched_set_cold_rates(leader_sched_t *p, const cold_rate_t *list, uint32_t n)
+void leader_sched_set_cold_rates(leader_sched_t *l, const cold_rate_t *list, uint32_t n)
 {
-    free(p->cold_rates);
-    p->cold_rates = list_copy(list, n * sizeof(*list));
-    p->cold_rates_n = n;
-    configure_cold(p);
+    free(l->cold_rates);
+    l->cold_rates = list_copy(list, n * sizeof(*list));
+    l->cold_rates_n = n;
+    configure_cold(l);
 }
 
 /* ===== Back ends ===== */
 
-void leader_sched_confirm_backends(leader_sched_t *p, tc_time_t fetched)
+void leader_sched_confirm_backends(leader_sched_t *l, tc_time_t fetched)
 {
-    if (cold_update_list(p->cold, fetched))
-        configure_cold(p);
+    if (cold_update_list(l->cold, fetched))
+        configure_cold(l);
 }
 
-void leader_sched_set_backends(leader_sched_t *p, const backend_t *list, uint32_t n, tc_time_t fetched)
+void leader_sched_set_backends(leader_sched_t *l, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
-    const bool same = p->backends_n == n && p->backends && memcmp(p->backends, list, n * sizeof(*list)) == 0;
+    const bool same = l->backends_n == n && l->backends && memcmp(l->backends, list, n * sizeof(*list)) == 0;
     if (same) {
-        leader_sched_confirm_backends(p, fetched);
+        leader_sched_confirm_backends(l, fetched);
         return;
     }
-    free(p->backends);
-    p->backends = list_copy(list, n * sizeof(*list));
-    p->backends_n = n;
-    limits_set_backends(p->limits, list, n, tc_time_now());
-    (void)cold_update_list(p->cold, fetched);
-    configure_cold(p);
-    configure(p, tc_time_now());
+    free(l->backends);
+    l->backends = list_copy(list, n * sizeof(*list));
+    l->backends_n = n;
+    limits_set_backends(l->limits, list, n, tc_time_now());
+    (void)cold_update_list(l->cold, fetched);
+    configure_cold(l);
+    configure(l, tc_time_now());
 }
 
-void leader_sched_set_evacuations(leader_sched_t *p, const evacuations_t *evacuations)
+void leader_sched_set_evacuations(leader_sched_t *l, const evacuations_t *evacuations)
 {
-    cold_update_evacuations(p->cold, &p->evacuations, evacuations, tc_time_now());
-    evacuations_copy(&p->evacuations, evacuations);
-    configure_cold(p);
-    configure(p, tc_time_now());
+    cold_update_evacuations(l->cold, &l->evacuations, evacuations, tc_time_now());
+    evacuations_copy(&l->evacuations, evacuations);
+    configure_cold(l);
+    configure(l, tc_time_now());
 }
 
-/* ===== Work ===== */
+/* ===== Load ===== */
 
-const char *leader_sched_pool_work(const leader_sched_t *p, pool_load_t *work)
+const char *leader_sched_pool_work(const leader_sched_t *l, pool_load_t *work)
 {
-    if (!p->sched || p->services_n != 1)
-        return ""; /* the averages are those of all engines together */
-    const sched_stats_t stats = sched_stats(p->sched);
+    if (!l->sched || l->services_n != 1)
+        return ""; /* the scheduler's averages cover all engines: they are a service's only if there is just one */
+    const sched_stats_t stats = sched_stats(l->sched);
     *work = (pool_load_t){
         .prefill = stats.prefill_load, .prefill_slow = stats.prefill_load_slow, .decode = stats.decode_load};
-    return p->services[0].service;
+    return l->services[0].service;
 }
 
-bool leader_sched_accepts_calls(const leader_sched_t *p, const char *box, const char *engine, tc_time_t now)
+bool leader_sched_accepts_calls(const leader_sched_t *l, const char *box, const char *engine, tc_time_t now)
 {
-    return !p->sched || sched_engine_accepts(p->sched, box, engine, now);
+    return !l->sched || sched_engine_accepts(l->sched, box, engine, now);
 }
 
 /* ===== Usage caps ===== */
 
-void leader_sched_set_caps(leader_sched_t *p, const cap_cfg_t *list, uint32_t n)
+void leader_sched_set_caps(leader_sched_t *l, const cap_cfg_t *list, uint32_t n)
 {
-    cap_ledger_configure(p->caps, list, n, tc_time_now());
+    cap_ledger_configure(l->caps, list, n, tc_time_now());
 }
 
-void leader_sched_handle_report(leader_sched_t *p, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
+void leader_sched_handle_report(leader_sched_t *l, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
-    if (!p->sched)
-        return; /* what it let in is told again to whoever leads */
-    cap_ledger_apply_report(p->caps, report->self.box, report->self.incarnation, report->used, report->used_n, now);
-    ack->caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(p->caps, &ack->caps_n, now);
-    sched_set_notices(p->sched, report->self.box, report->notices, report->notices_n, now);
-    limits_handle_report(p->limits, p->sched, report, ack, now);
+    if (!l->sched)
+        return; /* the box reports its admissions again to the next leader */
+    cap_ledger_apply_report(l->caps, report->self.box, report->self.incarnation, report->used, report->used_n, now);
+    ack->caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->caps, &ack->caps_n, now);
+    sched_set_notices(l->sched, report->self.box, report->notices, report->notices_n, now);
+    limits_handle_report(l->limits, l->sched, report, ack, now);
 }
 
-static void log_over_cap(const leader_sched_t *p, const msg_place_t *place, tc_time_t after, tc_time_t now)
+static void log_over_cap(const leader_sched_t *l, const msg_place_t *place, tc_time_t after, tc_time_t now)
 {
-    const cap_view_t view = cap_ledger_view(p->caps, place->cap, now);
+    const cap_view_t view = cap_ledger_view(l->caps, place->cap, now);
     log_line_t line;
     log_begin(&line, LOG_INFO, "cap_refused");
     log_str(&line, "request", place->id);
@@ -302,58 +306,58 @@
     log_end(&line);
 }
 
-/** Whether the request's workspace is within its cap; if not, it is answered. */
-static bool let_in(leader_sched_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
+/** Admits a request if its workspace is within its usage cap, else answers it. @return whether it is admitted */
+static bool admit(leader_sched_t *l, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (place->cap_units == 0 || place->again)
         return true;
     tc_time_t after;
-    if (cap_ledger_take(p->caps, place->cap, (double)place->cap_units, now, &after)) {
-        let_in_t *const entry = g_new0(let_in_t, 1);
-        *entry = (let_in_t){.units = (double)place->cap_units, .at = now};
+    if (cap_ledger_take(l->caps, place->cap, (double)place->cap_units, now, &after)) {
+        admission_t *const entry = g_new0(admission_t, 1);
+        *entry = (admission_t){.units = (double)place->cap_units, .at = now};
         codec_copy_string(entry->workspace, sizeof(entry->workspace), place->cap);
-        g_hash_table_insert(p->let_in, g_strdup(place->id), entry);
+        g_hash_table_insert(l->admitted, g_strdup(place->id), entry);
         return true;
     }
     counter_add(&c_over, 1);
-    log_over_cap(p, place, after, now);
+    log_over_cap(l, place, after, now);
     msg_placed_t placed = {.over_cap = true, .retry_after_ms = (uint32_t)after};
     codec_copy_string(placed.reason, sizeof(placed.reason), "its workspace is over its usage cap");
-    peer_reply(p->net, call, MSG_PLACED, &placed);
+    peer_reply(l->net, call, MSG_PLACED, &placed);
     return false;
 }
 
-/** The scheduler has answered: one that it refused has not run, so its workspace has its units back. */
-static void settle(leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
+/** Handles the scheduler's answer to an admitted request: a refused one has not run, so its units are returned. */
+static void settle_admission(leader_sched_t *l, const sched_answer_t *answer, tc_time_t now)
 {
-    const let_in_t *const entry = answer->repeated ? NULL : g_hash_table_lookup(p->let_in, answer->id);
+    const admission_t *const entry = answer->repeated ? NULL : g_hash_table_lookup(l->admitted, answer->id);
     if (!entry)
         return;
     if (!answer->placed.granted)
-        cap_ledger_refund(p->caps, entry->workspace, entry->units, now);
-    g_hash_table_remove(p->let_in, answer->id);
+        cap_ledger_refund(l->caps, entry->workspace, entry->units, now);
+    g_hash_table_remove(l->admitted, answer->id);
 }
 
-static gboolean is_lost(gpointer id, gpointer value, gpointer arg)
+static gboolean is_expired(gpointer id, gpointer value, gpointer arg)
 {
     const tc_time_t *const now = arg;
     (void)id;
-    return *now - ((const let_in_t *)value)->at > LET_IN_MS;
+    return *now - ((const admission_t *)value)->at > ADMISSION_TTL_MS;
 }
 
-static void tick_caps(leader_sched_t *p, uint32_t boxes, tc_time_t now)
+static void tick_caps(leader_sched_t *l, uint32_t boxes, tc_time_t now)
 {
-    cap_ledger_set_boxes(p->caps, boxes, now);
-    cap_ledger_tick(p->caps, now);
-    if (now - p->let_in_at < LET_IN_MS)
+    cap_ledger_set_boxes(l->caps, boxes, now);
+    cap_ledger_tick(l->caps, now);
+    if (now - l->admitted_swept_at < ADMISSION_TTL_MS)
         return;
-    p->let_in_at = now;
-    g_hash_table_foreach_remove(p->let_in, is_lost, &now);
+    l->admitted_swept_at = now;
+    g_hash_table_foreach_remove(l->admitted, is_expired, &now);
 }
 
 /* ===== Actions ===== */
 
-/** What the scheduler takes engines for: the inputs of its refusals. */
+/** Logs the scheduler's view of the engines, on which its refusals are based. */
 static void log_picture(log_line_t *line, const sched_load_t *load)
 {
     log_int(line, "prefills", load->prefills);
@@ -366,14 +370,14 @@
     log_int(line, "freed_pieces_s", (int64_t)(load->free_rate * 1000));
 }
 
-/** A line a second: what the scheduler believes, for comparison with what engines and entry boxes say. */
-static void log_engines(leader_sched_t *p, tc_time_t now)
+/** Logs the scheduler's view of the engines once per second, for comparison with what engines and entry boxes log. */
+static void log_engines(leader_sched_t *l, tc_time_t now)
 {
-    if (now < p->picture_at)
+    if (now < l->picture_at)
         return;
-    p->picture_at = now + PICTURE_MS;
-    const sched_load_t load = sched_load(p->sched, now);
-    const sched_stats_t stats = sched_stats(p->sched);
+    l->picture_at = now + PICTURE_INTERVAL_MS;
+    const sched_load_t load = sched_load(l->sched, now);
+    const sched_stats_t stats = sched_stats(l->sched);
     counter_set(&c_taken, load.decode_taken);
     counter_set(&c_pieces, load.decode_pieces);
     log_line_t line;
@@ -384,7 +388,7 @@
     log_end(&line);
 }
 
-static void log_placed(const leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
+static void log_placed(const leader_sched_t *l, const sched_answer_t *answer, tc_time_t now)
 {
     const msg_placed_t *const placed = &answer->placed;
     log_line_t line;
@@ -398,34 +402,34 @@
     log_int(&line, "candidates", placed->candidates);
     log_int(&line, "est_ttft_ms", placed->est_ttft_ms);
     if (!placed->granted) {
-        const sched_load_t load = sched_load(p->sched, now);
+        const sched_load_t load = sched_load(l->sched, now);
         log_int(&line, "retry_after_ms", placed->retry_after_ms);
         log_picture(&line, &load);
     }
     log_end(&line);
 }
 
-static void note_decision(const leader_sched_t *p, const sched_answer_t *answer, tc_time_t now)
+static void record_decision(const leader_sched_t *l, const sched_answer_t *answer, tc_time_t now)
 {
     counter_add(answer->placed.granted ? &c_granted : &c_refused, 1);
-    log_placed(p, answer, now);
+    log_placed(l, answer, now);
 }
 
-static void pump(leader_sched_t *p, tc_time_t now)
+static void run_actions(leader_sched_t *l, tc_time_t now)
 {
     sched_action_t action;
-    while (p->sched && sched_next_action(p->sched, &action)) {
+    while (l->sched && sched_next_action(l->sched, &action)) {
         switch (action.kind) {
         case SCHED_ACT_ANSWER:
-            settle(p, &action.u.answer, now);
+            settle_admission(l, &action.u.answer, now);
             if (!action.u.answer.repeated)
-                note_decision(p, &action.u.answer, now);
-            peer_reply(p->net, (peer_call_t){.connection = action.u.answer.token.a, .call = action.u.answer.token.b},
+                record_decision(l, &action.u.answer, now);
+            peer_reply(l->net, (peer_call_t){.connection = action.u.answer.token.a, .call = action.u.answer.token.b},
                        MSG_PLACED, &action.u.answer.placed);
             break;
         case SCHED_ACT_CANCEL:
-            /* Entry boxes end requests by closing their connections: nothing is left to cancel. */
-            sched_cancelled(p->sched, action.u.cancel.engine, action.u.cancel.engine_id, true, now);
+            /* Entry boxes cancel requests by closing the connection to the engine, so there is nothing to send. */
+            sched_cancelled(l->sched, action.u.cancel.engine, action.u.cancel.engine_id, true, now);
             break;
         }
     }
@@ -433,22 +437,22 @@
 
 /* ===== Renewals ===== */
 
-static void on_renew(leader_sched_t *p, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
+static void on_renew(leader_sched_t *l, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
 {
     held_t lost[LOST_MAX];
-    msg_renew_ack_t ack = {.epoch = p->term, .lost = lost};
-    ack.lost_n = sched_renew(p->sched, renew, lost, LOST_MAX, &ack.want_list, now);
-    peer_reply(p->net, call, MSG_RENEW_ACK, &ack);
+    msg_renew_ack_t ack = {.epoch = l->term, .lost = lost};
+    ack.lost_n = sched_renew(l->sched, renew, lost, LOST_MAX, &ack.want_list, now);
+    peer_reply(l->net, call, MSG_RENEW_ACK, &ack);
 }
 
 /* ===== Retry budget ===== */
 
-static void on_retry(leader_sched_t *p, peer_call_t call, const msg_retry_t *retry, tc_time_t now)
+static void on_retry(leader_sched_t *l, peer_call_t call, const msg_retry_t *retry, tc_time_t now)
 {
-    enum { ALONE = 1 }; /* the leader shares its part of the allowance with nobody */
-    retry_budget_t *const budget = retry_budgets_get(p->budgets, retry->service, now);
-    const retry_budget_view_t view = retry_budget_view(budget, &p->retries, ALONE, now);
-    const msg_retry_ack_t ack = {.granted = retry_budget_spend(budget, &p->retries, ALONE, now)};
+    enum { BOXES = 1 }; /* only the leader spends its part of the budget */
+    retry_budget_t *const budget = retry_budgets_get(l->budgets, retry->service, now);
+    const retry_budget_view_t view = retry_budget_view(budget, &l->retries, BOXES, now);
+    const msg_retry_ack_t ack = {.granted = retry_budget_spend(budget, &l->retries, BOXES, now)};
     log_line_t line;
     log_begin(&line, LOG_INFO, "retry_lent");
     log_str(&line, "request", retry->id);
@@ -457,20 +461,20 @@
     log_int(&line, "window_extras", view.extras);
     log_num(&line, "window_limit", view.limit);
     log_end(&line);
-    peer_reply(p->net, call, MSG_RETRY_ACK, &ack);
+    peer_reply(l->net, call, MSG_RETRY_ACK, &ack);
 }
 
 /* ===== Messages ===== */
 
-/** How many back ends ended under a request, as this box or the one that asks knows. */
-static unsigned count_ends(leader_sched_t *p, uint64_t fingerprint, unsigned told, tc_time_t now)
+/** @return number of back ends that crashed under a request: the larger of this box's and the asking box's count */
+static unsigned count_crashes(leader_sched_t *l, uint64_t fingerprint, unsigned reported, tc_time_t now)
 {
-    const unsigned known = p->quarantine && fingerprint ? quarantine_crash_count(p->quarantine, fingerprint, now) : 0;
-    return MAX(known, told);
+    const unsigned known = l->quarantine && fingerprint ? quarantine_crash_count(l->quarantine, fingerprint, now) : 0;
+    return MAX(known, reported);
 }
 
-/** It is to be sent to no back end: its box refuses it. */
-static void refuse_held(const leader_sched_t *p, peer_call_t call, const char *id)
+/** Answers that the request is quarantined: its box refuses it. */
+static void refuse_quarantined(const leader_sched_t *l, peer_call_t call, const char *id)
 {
     msg_placed_t placed = {.held = true};
     codec_copy_string(placed.reason, sizeof(placed.reason), "back ends ended whenever they ran it");
@@ -480,33 +484,33 @@
     log_int(&line, "granted", false);
     log_str(&line, "reason", placed.reason);
     log_end(&line);
-    peer_reply(p->net, call, MSG_PLACED, &placed);
+    peer_reply(l->net, call, MSG_PLACED, &placed);
 }
 
-static void refuse_call(const leader_sched_t *p, peer_call_t call, const char *why)
+static void refuse_call(const leader_sched_t *l, peer_call_t call, const char *why)
 {
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_NOT_LEADER, "place", "", "%s", why);
-    peer_reply_error(p->net, call, &err);
+    peer_reply_error(l->net, call, &err);
 }
 
-static void on_place(leader_sched_t *p, peer_call_t call, const msg_place_t *place, tc_time_t now)
+static void on_place(leader_sched_t *l, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (!place->again)
-        retry_budget_earn(retry_budgets_get(p->budgets, place->model, now), &p->retries, now);
-    msg_place_t known = *place; /* its lists are borrowed */
-    known.ends = count_ends(p, place->fingerprint, place->ends, now);
-    if (known.ends >= QUARANTINE_CRASH_LIMIT) {
-        refuse_held(p, call, place->id);
+        retry_budget_earn(retry_budgets_get(l->budgets, place->model, now), &l->retries, now);
+    msg_place_t request = *place; /* shallow copy: its lists are borrowed */
+    request.ends = count_crashes(l, place->fingerprint, place->ends, now);
+    if (request.ends >= QUARANTINE_CRASH_LIMIT) {
+        refuse_quarantined(l, call, place->id);
         return;
     }
-    if (!p->backends) {
-        refuse_call(p, call, "this box has no list of back ends yet"); /* boxes that have one place by themselves */
+    if (!l->backends) {
+        refuse_call(l, call, "this box has no list of back ends yet"); /* boxes that have one place on their own */
         return;
     }
-    if (!let_in(p, call, place, now))
+    if (!admit(l, call, place, now))
         return;
-    sched_place(p->sched, &known, (sched_token_t){.a = call.connection, .b = call.call}, now);
+    sched_place(l->sched, &request, (sched_token_t){.a = call.connection, .b = call.call}, now);
 }
 
 bool leader_sched_handles_type(uint32_t type)
@@ -515,99 +519,99 @@
            type == MSG_TAKE_LIMIT;
 }
 
-void leader_sched_handle_message(leader_sched_t *p, peer_call_t call, uint32_t type, const void *message, tc_time_t now)
+void leader_sched_handle_message(leader_sched_t *l, peer_call_t call, uint32_t type, const void *message, tc_time_t now)
 {
     const sched_token_t token = {.a = call.connection, .b = call.call};
-    if (!p->sched) {
-        refuse_call(p, call, "this box does not lead");
+    if (!l->sched) {
+        refuse_call(l, call, "this box does not lead");
         return;
     }
     switch (type) {
-    case MSG_PLACE: on_place(p, call, message, now); break;
-    case MSG_RETRY: on_retry(p, call, message, now); break;
-    case MSG_TAKE_LIMIT: on_take_limit(p, call, message, now); break;
-    case MSG_REPLAN: sched_replan(p->sched, message, token, now); break;
-    case MSG_PROGRESS: sched_progress(p->sched, message, now); break;
-    default: on_renew(p, call, message, now); break;
+    case MSG_PLACE: on_place(l, call, message, now); break;
+    case MSG_RETRY: on_retry(l, call, message, now); break;
+    case MSG_TAKE_LIMIT: on_take_limit(l, call, message, now); break;
+    case MSG_REPLAN: sched_replan(l->sched, message, token, now); break;
+    case MSG_PROGRESS: sched_progress(l->sched, message, now); break;
+    default: on_renew(l, call, message, now); break;
     }
-    pump(p, now);
+    run_actions(l, now);
 }
 
-bool leader_sched_is_uncertain(const leader_sched_t *p, tc_time_t now)
+bool leader_sched_is_uncertain(const leader_sched_t *l, tc_time_t now)
 {
-    return p->sched && sched_needs_reconcile(p->sched, now);
+    return l->sched && sched_needs_reconcile(l->sched, now);
 }
 
-void leader_sched_update_engine(leader_sched_t *p, const char *engine, const sched_engine_request_t *held, uint32_t n,
+void leader_sched_update_engine(leader_sched_t *l, const char *engine, const sched_engine_request_t *held, uint32_t n,
                                 tc_time_t now)
 {
-    if (!p->sched)
+    if (!l->sched)
         return;
-    sched_set_engine_requests(p->sched, engine, held, n, now);
-    pump(p, now);
+    sched_set_engine_requests(l->sched, engine, held, n, now);
+    run_actions(l, now);
 }
 
 /* ===== Life ===== */
 
-void leader_sched_tick(leader_sched_t *p, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now)
+void leader_sched_tick(leader_sched_t *l, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now)
 {
     const uint64_t term = lease->term;
-    if (p->sched && term != p->term) {
-        sched_destroy(p->sched); /* whoever waits asks the next leader, or places by itself */
-        p->sched = NULL;
-        g_hash_table_remove_all(p->budgets);
+    if (l->sched && term != l->term) {
+        sched_destroy(l->sched); /* waiting boxes ask the next leader, or place on their own */
+        l->sched = NULL;
+        g_hash_table_remove_all(l->budgets);
     }
-    if (!p->sched && term != 0) {
-        cap_ledger_start_term(p->caps, now);
-        limits_reset(p->limits, now);
-        g_hash_table_remove_all(p->let_in);
+    if (!l->sched && term != 0) {
+        cap_ledger_start_term(l->caps, now);
+        limits_reset(l->limits, now);
+        g_hash_table_remove_all(l->admitted);
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
                                          .local_prefill_after_ms = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
                                          .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
-        p->sched = sched_create(&options, now);
-        p->term = term;
-        configure(p, now);
+        l->sched = sched_create(&options, now);
+        l->term = term;
+        configure(l, now);
     }
-    if (!p->sched)
+    if (!l->sched)
         return;
-    sched_suspend(p->sched, !lease->held);
-    sched_expect_reports(p->sched, boxes);
-    sched_tick(p->sched, now);
-    pump(p, now);
-    tick_caps(p, boxes, now);
-    limits_tick(p->limits, p->sched, boxes, now);
-    log_engines(p, now);
+    sched_suspend(l->sched, !lease->held);
+    sched_expect_reports(l->sched, boxes);
+    sched_tick(l->sched, now);
+    run_actions(l, now);
+    tick_caps(l, boxes, now);
+    limits_tick(l->limits, l->sched, boxes, now);
+    log_engines(l, now);
 }
 
 leader_sched_t *leader_sched_create(peer_net_t *net, const retry_rules_t *retries, const cap_rules_t *caps,
                                     const limit_rules_t *limits)
 {
-    leader_sched_t *const p = g_new0(leader_sched_t, 1);
-    p->net = net;
-    p->retries = retry_rules_part(retries, mechanism_is_on(MECHANISM_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
-    p->budgets = retry_budgets_create();
-    p->caps = cap_ledger_create(caps);
-    p->limits = limits_create(limits);
-    p->cold = cold_create();
-    p->let_in = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    return p;
-}
-
-void leader_sched_destroy(leader_sched_t *p)
-{
-    if (p->sched)
-        sched_destroy(p->sched);
-    g_hash_table_destroy(p->budgets);
-    g_hash_table_destroy(p->let_in);
-    cap_ledger_destroy(p->caps);
-    limits_destroy(p->limits);
-    cold_destroy(p->cold);
-    codec_free(&evacuations_desc, &p->evacuations);
-    free(p->cold_rates);
-    free(p->services);
-    free(p->backends);
-    g_free(p);
+    leader_sched_t *const l = g_new0(leader_sched_t, 1);
+    l->net = net;
+    l->retries = retry_rules_part(retries, mechanism_is_on(MECHANISM_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
+    l->budgets = retry_budgets_create();
+    l->caps = cap_ledger_create(caps);
+    l->limits = limits_create(limits);
+    l->cold = cold_create();
+    l->admitted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    return l;
+}
+
+void leader_sched_destroy(leader_sched_t *l)
+{
+    if (l->sched)
+        sched_destroy(l->sched);
+    g_hash_table_destroy(l->budgets);
+    g_hash_table_destroy(l->admitted);
+    cap_ledger_destroy(l->caps);
+    limits_destroy(l->limits);
+    cold_destroy(l->cold);
+    codec_free(&evacuations_desc, &l->evacuations);
+    free(l->cold_rates);
+    free(l->services);
+    free(l->backends);
+    g_free(l);
 }
--- a/lib/cluster/leader_sched.h
+++ b/lib/cluster/leader_sched.h
@@ -1,17 +1,19 @@
 /** @file leader_sched.h
- * The scheduler core (sched/sched.h) beside the leader of the control boxes: the leader's lease is the scheduler's.
+ * Runs the scheduler core (sched/sched.h) on the leader of the control boxes. The leader's lease is also the
+ * scheduler's.
  *
- * A box that begins to lead begins with an empty scheduler, which learns from the
- * entry boxes' renewals what is under way before it grants. Whoever leads no more
- * drops it. Entry boxes that get no answer place by themselves meanwhile.
+ * A box that becomes leader starts with an empty scheduler, which learns the running requests from the entry boxes'
+ * renewals before it grants anything. A box that is no longer leader destroys its scheduler. Entry boxes that get no
+ * answer meanwhile place requests on their own.
  *
- * Beside placements it hands out the leader's part of the retry budgets
- * (common/retry_budget.h): a new leader begins with all of it spent. It lets requests in by
- * their workspaces' usage caps (cap/cap_ledger.h) before they are placed, and counts what all boxes
- * send to back ends that name limits (cluster/limits.h): no engine is granted beyond its limit, and
- * boxes ask for each other request to such a back end.
+ * Beside placements it
+ * - hands out the leader's part of the retry budgets (common/retry_budget.h), of which a new leader starts with
+ *   nothing left;
+ * - admits requests by the usage caps of their workspaces (cap/cap_ledger.h) before they are placed;
+ * - counts the requests of all boxes to back ends with rate limits (cluster/limits.h): the scheduler grants nothing
+ *   beyond an engine's limit, and boxes ask for each other request to such a back end.
  *
- * Everything runs in the loop's thread.
+ * Not thread-safe: everything runs in the loop's thread.
  */
 #ifndef TRACKCOVE_CLUSTER_LEADER_SCHED_H
 #define TRACKCOVE_CLUSTER_LEADER_SCHED_H
@@ -32,79 +34,82 @@
 
 typedef struct leader_sched leader_sched_t;
 
-/** What the scheduler needs to know of a service whose back ends are engines. */
+/** Engine parameters of a service whose back ends are engines. */
 typedef struct {
     char service[CODEC_STR_SIZE];
-    uint32_t slots;         /**< requests that an engine runs at once */
-    uint32_t memory_tokens; /**< KV cache of an engine */
-    double link_tokens_s;   /**< KV cache that an engine's link carries, tokens a second */
+    uint32_t slots;         /**< concurrent requests per engine, unless the list of back ends says otherwise */
+    uint32_t memory_tokens; /**< size of an engine's KV cache, tokens */
+    double link_tokens_s;   /**< throughput of an engine's link, tokens of KV cache per second */
 } leader_sched_service_t;
 
-/** What a cold back end of a service bears. */
+/** Rate limit of a service's cold back ends. */
 typedef struct {
     char service[CODEC_STR_SIZE];
-    double rate; /**< requests a second of all boxes together, above 0 */
+    double rate; /**< requests per second to each, of all boxes together; > 0 */
 } cold_rate_t;
 
-/** What this box knows of its leadership. */
+/** State of this box's leadership. */
 typedef struct {
     uint64_t term; /**< 0: this box does not lead */
-    bool held;     /**< whether it holds the lease now. Without it nothing is granted, but nothing is forgotten either:
-                        it may have it again a few ms later, and nobody else can lead meanwhile */
+    bool held;     /**< whether the box holds the lease now. While it does not, nothing is granted, but the scheduler's
+                        state is kept: the lease may be back a few ms later, and no other box can lead meanwhile */
 } leader_sched_lease_t;
 
 /* ===== Public functions ===== */
 
-/** @param net borrowed; answers go out through it
- *  @param retries what settings allow all boxes together, copied: the leader's part of it is handed out here
- *  @param caps what they allow beyond usage caps, copied @param limits the same of requests to back ends */
+/** @param net borrowed; used to send answers
+ *  @param retries configured budget of all boxes together, copied; this module hands out the leader's part of it
+ *  @param caps configured tolerance beyond usage caps, copied
+ *  @param limits configured tolerance beyond rate limits of back ends, copied */
 leader_sched_t *leader_sched_create(peer_net_t *net, const retry_rules_t *retries, const cap_rules_t *caps,
                                     const limit_rules_t *limits);
-/** Whoever waits for an answer gets none. */
-void leader_sched_destroy(leader_sched_t *placing);
-
-/** Requests under which back ends have ended are kept apart, or refused, by what @p quarantine knows; borrowed. Without
- *  it only what boxes say of their requests counts. */
-void leader_sched_set_quarantine(leader_sched_t *placing, quarantine_t *quarantine);
-/** The services with engines, from the configuration; copied. */
-void leader_sched_set_services(leader_sched_t *placing, const leader_sched_service_t *list, uint32_t n);
-/** What cold back ends of services bear, from the configuration; copied. */
-void leader_sched_set_cold_rates(leader_sched_t *placing, const cold_rate_t *list, uint32_t n);
-/** The workspaces with usage caps, from the configuration; copied. */
-void leader_sched_set_caps(leader_sched_t *placing, const cap_cfg_t *list, uint32_t n);
-/** A box reports: take what it let in by itself, and fill in what it is to know of caps and limits, borrowed until the
- * next call of any function. */
-void leader_sched_handle_report(leader_sched_t *placing, const msg_report_t *report, msg_report_ack_t *ack,
+/** Pending calls get no answer. */
+void leader_sched_destroy(leader_sched_t *leader_sched);
+
+/** Sets the quarantine table, borrowed: requests that crashed back ends are placed apart from each other, or refused.
+ *  Without a table, only the crash counts in the boxes' requests are used. */
+void leader_sched_set_quarantine(leader_sched_t *leader_sched, quarantine_t *quarantine);
+/** Sets the configured services that have engines; copied. */
+void leader_sched_set_services(leader_sched_t *leader_sched, const leader_sched_service_t *list, uint32_t n);
+/** Sets the configured rate limits of cold back ends; copied. */
+void leader_sched_set_cold_rates(leader_sched_t *leader_sched, const cold_rate_t *list, uint32_t n);
+/** Sets the configured usage caps of workspaces; copied. */
+void leader_sched_set_caps(leader_sched_t *leader_sched, const cap_cfg_t *list, uint32_t n);
+/** Handles a box's report: counts what the box admitted on its own, and fills in the state of caps and limits for it.
+ *  Does nothing while this box does not lead. @param ack its lists are borrowed until the next call of any function */
+void leader_sched_handle_report(leader_sched_t *leader_sched, const msg_report_t *report, msg_report_ack_t *ack,
                                 tc_time_t now);
-/** Whether the engine wants calls of the box, as far as that has reported; true where this box does not schedule. */
-bool leader_sched_accepts_calls(const leader_sched_t *placing, const char *box, const char *engine, tc_time_t now);
-
-/** The back ends, as boxes are told them: engines that change their role are leaving. Copied. @param fetched when they
- * were read from the platform */
-void leader_sched_set_backends(leader_sched_t *placing, const backend_t *list, uint32_t n, tc_time_t fetched);
-/** They were read again, and are the same. */
-void leader_sched_confirm_backends(leader_sched_t *placing, tc_time_t fetched);
-
-/** Engines in these data centres are granted nothing, and count for no pool; copied. */
-void leader_sched_set_evacuations(leader_sched_t *placing, const evacuations_t *evacuations);
-
-/** Whether engines should be asked often what they run: as sched_needs_reconcile. */
-bool leader_sched_is_uncertain(const leader_sched_t *placing, tc_time_t now);
-/** An engine told what it runs: as sched_set_engine_requests. */
-void leader_sched_update_engine(leader_sched_t *placing, const char *engine, const sched_engine_request_t *held,
+/** @return whether the engine accepts calls from the box, by the box's last report; true while this box does not
+ *  schedule */
+bool leader_sched_accepts_calls(const leader_sched_t *leader_sched, const char *box, const char *engine, tc_time_t now);
+
+/** Sets the back ends as they are sent to boxes: engines that are changing their role are marked as leaving. Copied.
+ *  @param fetched when the list was read from the platform */
+void leader_sched_set_backends(leader_sched_t *leader_sched, const backend_t *list, uint32_t n, tc_time_t fetched);
+/** The list of back ends was read again at @p fetched and is unchanged. */
+void leader_sched_confirm_backends(leader_sched_t *leader_sched, tc_time_t fetched);
+
+/** Sets the evacuated data centres: their engines get no grants and count for no pool. Copied. */
+void leader_sched_set_evacuations(leader_sched_t *leader_sched, const evacuations_t *evacuations);
+
+/** @return whether engines should be polled often for what they run, as sched_needs_reconcile */
+bool leader_sched_is_uncertain(const leader_sched_t *leader_sched, tc_time_t now);
+/** Applies an engine's own list of the requests that it runs, as sched_set_engine_requests. */
+void leader_sched_update_engine(leader_sched_t *leader_sched, const char *engine, const sched_engine_request_t *held,
                                 uint32_t n, tc_time_t now);
 
-/** What the two pools have to do, while this box leads and one service alone has engines.
- *  @return that service's name, borrowed until services are set again; or "", with nothing filled in */
-const char *leader_sched_pool_work(const leader_sched_t *placing, pool_load_t *work);
+/** Reads the load of the prefill and decode pools. Available while this box leads and exactly one service has engines.
+ *  @return that service's name, borrowed until services are set again; "" when not available, @p work is then unset */
+const char *leader_sched_pool_work(const leader_sched_t *leader_sched, pool_load_t *work);
 
-/** Call every tick, and when the lease changes. @param boxes entry boxes that are there */
-void leader_sched_tick(leader_sched_t *placing, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now);
+/** Call every tick, and when the lease changes. @param boxes number of live entry boxes */
+void leader_sched_tick(leader_sched_t *leader_sched, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now);
 
-/** Whether messages of this type are the scheduler's. */
+/** @return whether messages of this type are for leader_sched_handle_message */
 bool leader_sched_handles_type(uint32_t type);
-/** Take one of the scheduler's messages: it is answered, with TC_E_NOT_LEADER while this box does not lead. */
-void leader_sched_handle_message(leader_sched_t *placing, peer_call_t call, uint32_t type, const void *message,
+/** Handles a message for the scheduler, now or later sending its answer if its type has one; TC_E_NOT_LEADER while this
+ *  box does not lead. */
+void leader_sched_handle_message(leader_sched_t *leader_sched, peer_call_t call, uint32_t type, const void *message,
                                  tc_time_t now);
 
 #endif
--- a/lib/cluster/limit_table.c
+++ b/lib/cluster/limit_table.c
@@ -53,7 +53,7 @@
     return dropped;
 }
 
-/* ===== Looking ===== */
+/* ===== Queries ===== */
 
 const limit_entry_t *limit_table_find(const limit_table_t *t, const char *backend)
 {
--- a/lib/cluster/limits.c
+++ b/lib/cluster/limits.c
@@ -9,49 +9,50 @@
 /* ===== Constants ===== */
 
 enum {
-    /* How long it is told that a back end names a limit no more: boxes that are cut off hold the limit until then. */
-    LIFTED_KEPT_MS = 10000
+    /* How long boxes are told that a back end no longer declares a limit. Boxes that are cut off keep applying the
+     * limit until then. */
+    LIFTED_RETENTION_MS = 10000
 };
 
 struct limits {
-    cap_ledger_t *ledger; /* of limits that they name */
-    limit_table_t *known;
-    cap_ledger_t *cold; /* of what cold ones bear */
-    GHashTable *colds;  /* ids of those, owned */
-    GArray *told;       /* limit_news_t, as told to a box last */
+    cap_ledger_t *declared; /* counts requests against declared limits */
+    limit_table_t *table;   /* the declared limits */
+    cap_ledger_t *cold;     /* counts requests against limits of cold back ends */
+    GHashTable *cold_ids;   /* set of ids, owned: those cold now, or until the scheduler has been updated */
+    GArray *exported;       /* limit_news_t, the list in the last acknowledgement */
 };
 
 /* ===== Engines ===== */
 
-/** Count what the scheduler granted on an engine, and allow it what is left. */
-static void bind_engine(limits_t *l, sched_t *sched, const char *engine, tc_time_t now)
+/** Counts what the scheduler has granted on an engine, and lets it grant what remains of the tighter limit. */
+static void sync_engine(limits_t *l, sched_t *sched, const char *engine, tc_time_t now)
 {
     const uint32_t granted = sched_limit_engine(sched, engine, SCHED_NO_LIMIT);
-    cap_ledger_spend(l->ledger, engine, granted, now);
+    cap_ledger_spend(l->declared, engine, granted, now);
     cap_ledger_spend(l->cold, engine, granted, now);
-    const double room = MIN(cap_ledger_available(l->ledger, engine, now), cap_ledger_available(l->cold, engine, now));
+    const double room = MIN(cap_ledger_available(l->declared, engine, now), cap_ledger_available(l->cold, engine, now));
     if (!isinf(room))
         (void)sched_limit_engine(sched, engine, room > 0 ? (uint32_t)room : 0);
 }
 
-/** The same of all that have limits, or had one a while ago. */
-static void bind_engines(limits_t *l, sched_t *sched, tc_time_t now)
+/** Does the same for all engines that have a limit, or had one recently. */
+static void sync_engines(limits_t *l, sched_t *sched, tc_time_t now)
 {
-    GList *const entries = limit_table_entries(l->known);
+    GList *const entries = limit_table_entries(l->table);
     for (const GList *at = entries; at; at = at->next)
-        bind_engine(l, sched, ((const limit_entry_t *)at->data)->backend, now);
+        sync_engine(l, sched, ((const limit_entry_t *)at->data)->backend, now);
     g_list_free(entries);
     GHashTableIter iter;
     gpointer id;
-    g_hash_table_iter_init(&iter, l->colds);
+    g_hash_table_iter_init(&iter, l->cold_ids);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        bind_engine(l, sched, id, now);
+        sync_engine(l, sched, id, now);
         if (isinf(cap_ledger_available(l->cold, id, now)))
-            g_hash_table_iter_remove(&iter); /* it is cold no more, and the scheduler knows */
+            g_hash_table_iter_remove(&iter); /* no longer cold, and sync_engine has lifted the scheduler's limit */
     }
 }
 
-/* ===== What is known ===== */
+/* ===== Limits ===== */
 
 static void add_cap(const limit_entry_t *e, GArray *caps)
 {
@@ -60,30 +61,30 @@
     g_array_append_val(caps, cap);
 }
 
-/** What is known has changed: count by it. */
-static void apply(limits_t *l, tc_time_t now)
+/** Configures the ledger with the declared limits, after these have changed. */
+static void configure_declared(limits_t *l, tc_time_t now)
 {
     GArray *const caps = g_array_new(FALSE, TRUE, sizeof(cap_cfg_t));
-    GList *const entries = limit_table_entries(l->known);
+    GList *const entries = limit_table_entries(l->table);
     for (const GList *at = entries; at; at = at->next)
         if (((const limit_entry_t *)at->data)->is_set)
             add_cap(at->data, caps);
-    cap_ledger_configure(l->ledger, (const cap_cfg_t *)(const void *)caps->data, caps->len, now);
+    cap_ledger_configure(l->declared, (const cap_cfg_t *)(const void *)caps->data, caps->len, now);
     g_list_free(entries);
     g_array_free(caps, TRUE);
 }
 
-/** @return whether a limit has changed */
-static bool hear(limits_t *l, const limit_news_t *list, uint32_t n, tc_time_t now)
+/** Applies limits that boxes have read from answers. @return whether a limit has changed */
+static bool update_declared(limits_t *l, const limit_news_t *list, uint32_t n, tc_time_t now)
 {
     bool changed = false;
     for (uint32_t i = 0; i < n; i++) {
-        if (!list[i].is_set && !limit_table_find(l->known, list[i].backend))
-            continue; /* as of all that are not known */
-        changed = limit_table_update(l->known, &list[i], now) || changed;
+        if (!list[i].is_set && !limit_table_find(l->table, list[i].backend))
+            continue; /* a back end without an entry has no limit */
+        changed = limit_table_update(l->table, &list[i], now) || changed;
     }
     if (changed)
-        apply(l, now);
+        configure_declared(l, now);
     return changed;
 }
 
@@ -91,91 +92,91 @@
 {
     cap_ledger_configure(l->cold, list, n, now);
     for (uint32_t i = 0; i < n; i++)
-        g_hash_table_add(l->colds, g_strdup(list[i].name));
+        g_hash_table_add(l->cold_ids, g_strdup(list[i].name));
 }
 
-/** A list of back ends. */
 typedef struct {
     const backend_t *list;
     uint32_t n;
-} listed_t;
+} backend_list_t;
 
 static bool is_unlisted(void *arg, const limit_entry_t *e)
 {
-    const listed_t *const listed = arg;
-    for (uint32_t i = 0; i < listed->n; i++)
-        if (strcmp(listed->list[i].id, e->backend) == 0)
+    const backend_list_t *const backends = arg;
+    for (uint32_t i = 0; i < backends->n; i++)
+        if (strcmp(backends->list[i].id, e->backend) == 0)
             return false;
     return true;
 }
 
 void limits_set_backends(limits_t *l, const backend_t *list, uint32_t n, tc_time_t now)
 {
-    listed_t listed = {.list = list, .n = n};
-    if (limit_table_remove_if(l->known, is_unlisted, &listed) > 0)
-        apply(l, now);
+    backend_list_t backends = {.list = list, .n = n};
+    if (limit_table_remove_if(l->table, is_unlisted, &backends) > 0)
+        configure_declared(l, now);
 }
 
-static bool is_long_lifted(void *arg, const limit_entry_t *e)
+static bool has_expired(void *arg, const limit_entry_t *e)
 {
     const tc_time_t *const now = arg;
-    return !e->is_set && *now - e->seen_at > LIFTED_KEPT_MS;
+    return !e->is_set && *now - e->seen_at > LIFTED_RETENTION_MS;
 }
 
 /* ===== Boxes ===== */
 
-/** @param hash of what the box was told before */
-static void tell(limits_t *l, uint64_t hash, msg_report_ack_t *ack, tc_time_t now)
+/** Fills in the state of the limits for a box. @param hash of the list that the box has: the list of declared limits is
+ *  left out when it is still the same */
+static void fill_ack(limits_t *l, uint64_t hash, msg_report_ack_t *ack, tc_time_t now)
 {
-    ack->limits.caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->ledger, &ack->limits.caps_n, now);
+    ack->limits.caps = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->declared, &ack->limits.caps_n, now);
     ack->limits.cold = (cap_state_t *)(uintptr_t)cap_ledger_get_states(l->cold, &ack->limits.cold_n, now);
-    ack->limits.hash = limit_table_hash(l->known);
+    ack->limits.hash = limit_table_hash(l->table);
     if (hash == ack->limits.hash)
         return;
-    g_array_free(l->told, TRUE);
-    l->told = limit_table_export(l->known, now);
-    ack->limits.list = (limit_news_t *)(void *)l->told->data;
-    ack->limits.list_n = l->told->len;
+    g_array_free(l->exported, TRUE);
+    l->exported = limit_table_export(l->table, now);
+    ack->limits.list = (limit_news_t *)(void *)l->exported->data;
+    ack->limits.list_n = l->exported->len;
 }
 
-/** What boxes sent there by themselves has been counted. */
-static void bind_used(limits_t *l, sched_t *sched, const cap_use_t *used, uint32_t n, tc_time_t now)
+/** Updates the scheduler's limits on the engines to which a box has sent requests on its own. */
+static void sync_used_engines(limits_t *l, sched_t *sched, const cap_use_t *used, uint32_t n, tc_time_t now)
 {
     for (uint32_t i = 0; i < n; i++)
-        bind_engine(l, sched, used[i].name, now);
+        sync_engine(l, sched, used[i].name, now);
 }
 
 void limits_handle_report(limits_t *l, sched_t *sched, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
-    const bool changed = hear(l, report->limits, report->limits_n, now);
+    const bool changed = update_declared(l, report->limits, report->limits_n, now);
     cap_ledger_apply_report(l->cold, report->self.box, report->self.incarnation, report->cold_used, report->cold_used_n,
                             now);
-    cap_ledger_apply_report(l->ledger, report->self.box, report->self.incarnation, report->limits_used,
+    cap_ledger_apply_report(l->declared, report->self.box, report->self.incarnation, report->limits_used,
                             report->limits_used_n, now);
     if (changed)
-        bind_engines(l, sched, now);
-    bind_used(l, sched, report->limits_used, report->limits_used_n, now);
-    bind_used(l, sched, report->cold_used, report->cold_used_n, now);
-    tell(l, report->limits_hash, ack, now);
+        sync_engines(l, sched, now);
+    sync_used_engines(l, sched, report->limits_used, report->limits_used_n, now);
+    sync_used_engines(l, sched, report->cold_used, report->cold_used_n, now);
+    fill_ack(l, report->limits_hash, ack, now);
 }
 
-/** @return whether both kinds of limits allow it; then it counts by both */
-static bool take_both(limits_t *l, const char *backend, bool cold, tc_time_t now, tc_time_t *after)
+/** Counts one request against both kinds of limits if both allow it. @return whether they do */
+static bool acquire_both(limits_t *l, const char *backend, bool cold, tc_time_t now, tc_time_t *after)
 {
-    if (!cap_ledger_take(l->ledger, backend, 1, now, after))
+    if (!cap_ledger_take(l->declared, backend, 1, now, after))
         return false;
     if (!cold || cap_ledger_take(l->cold, backend, 1, now, after))
         return true;
-    cap_ledger_refund(l->ledger, backend, 1, now);
+    cap_ledger_refund(l->declared, backend, 1, now);
     return false;
 }
 
 bool limits_acquire(limits_t *l, sched_t *sched, const msg_take_limit_t *take, tc_time_t now, tc_time_t *after)
 {
-    (void)hear(l, &take->limit, 1, now);             /* before a report tells of it */
-    bind_engine(l, sched, take->limit.backend, now); /* what was granted there counts first */
-    const bool taken = take_both(l, take->limit.backend, take->cold, now, after);
-    bind_engine(l, sched, take->limit.backend, now);
+    (void)update_declared(l, &take->limit, 1, now);  /* without waiting for the box's next report */
+    sync_engine(l, sched, take->limit.backend, now); /* counts the scheduler's grants first */
+    const bool taken = acquire_both(l, take->limit.backend, take->cold, now, after);
+    sync_engine(l, sched, take->limit.backend, now);
     return taken;
 }
 
@@ -183,39 +184,39 @@
 
 void limits_reset(limits_t *l, tc_time_t now)
 {
-    limit_table_clear(l->known);
-    apply(l, now);
-    cap_ledger_start_term(l->ledger, now);
+    limit_table_clear(l->table);
+    configure_declared(l, now);
+    cap_ledger_start_term(l->declared, now);
     cap_ledger_start_term(l->cold, now);
 }
 
 void limits_tick(limits_t *l, sched_t *sched, unsigned boxes, tc_time_t now)
 {
-    cap_ledger_set_boxes(l->ledger, boxes, now);
+    cap_ledger_set_boxes(l->declared, boxes, now);
     cap_ledger_set_boxes(l->cold, boxes, now);
-    cap_ledger_tick(l->ledger, now);
+    cap_ledger_tick(l->declared, now);
     cap_ledger_tick(l->cold, now);
-    bind_engines(l, sched, now);
-    (void)limit_table_remove_if(l->known, is_long_lifted, &now); /* which count for nothing */
+    sync_engines(l, sched, now);
+    (void)limit_table_remove_if(l->table, has_expired, &now); /* lifted limits: the ledger does not contain them */
 }
 
 limits_t *limits_create(const limit_rules_t *rules)
 {
     limits_t *const l = g_new0(limits_t, 1);
-    l->ledger = cap_ledger_create(&rules->advertised);
+    l->declared = cap_ledger_create(&rules->advertised);
     l->cold = cap_ledger_create(&rules->cold);
-    l->colds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    l->known = limit_table_create();
-    l->told = g_array_new(FALSE, TRUE, sizeof(limit_news_t));
+    l->cold_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    l->table = limit_table_create();
+    l->exported = g_array_new(FALSE, TRUE, sizeof(limit_news_t));
     return l;
 }
 
 void limits_destroy(limits_t *l)
 {
-    cap_ledger_destroy(l->ledger);
+    cap_ledger_destroy(l->declared);
     cap_ledger_destroy(l->cold);
-    g_hash_table_destroy(l->colds);
-    limit_table_destroy(l->known);
-    g_array_free(l->told, TRUE);
+    g_hash_table_destroy(l->cold_ids);
+    limit_table_destroy(l->table);
+    g_array_free(l->exported, TRUE);
     g_free(l);
 }
--- a/lib/cluster/limits.h
+++ b/lib/cluster/limits.h
@@ -1,12 +1,13 @@
 /** @file limits.h
- * Limits of back ends for all boxes together, at the leader of the control boxes: those that they name, and what cold
- * ones bear. Which are known, and for each kind the one count of what all boxes send to each back end that has one.
+ * Rate limits of back ends for all boxes together, kept by the leader of the control boxes. There are two kinds:
+ * limits that back ends declare in their answers, and configured limits of cold back ends. For each kind one ledger
+ * counts the requests that all boxes send to each limited back end.
  *
- * What they name comes from boxes, which tell what answers said. A new leader begins with nothing and hears it again
- * from each box. Counting is cap/cap_ledger.h's, with the back ends as subjects. No engine is granted by the scheduler
- * beyond its limit.
+ * Declared limits are reported by the boxes, which read them from answers. A new leader starts without any and learns
+ * them from the boxes' reports. The ledgers are those of cap/cap_ledger.h, with back ends as subjects. The scheduler
+ * never grants requests on an engine beyond its limits.
  *
- * Nothing here fails, blocks or reads the clock. Everything runs in the loop's thread.
+ * No function fails, blocks or reads the clock. Not thread-safe: everything runs in the loop's thread.
  */
 #ifndef TRACKCOVE_CLUSTER_LIMITS_H
 #define TRACKCOVE_CLUSTER_LIMITS_H
@@ -29,22 +30,24 @@
 limits_t *limits_create(const limit_rules_t *rules);
 void limits_destroy(limits_t *limits);
 
-/** This box begins to lead: nothing is known. */
+/** Forgets all declared limits and restarts the ledgers. Call when this box becomes leader. */
 void limits_reset(limits_t *limits, tc_time_t now);
-/** Call every tick: what the scheduler granted on engines with limits is counted, and it is allowed what is left of
- *  them. @param sched borrowed, as in the calls below @param boxes as cap_ledger_set_boxes */
+/** Counts what the scheduler has granted on limited engines, and lets it grant what remains. Call every tick.
+ *  @param sched borrowed, as in the calls below @param boxes number of reporting boxes, as cap_ledger_set_boxes */
 void limits_tick(limits_t *limits, sched_t *sched, unsigned boxes, tc_time_t now);
-/** These back ends are listed: limits of others are forgotten. */
+/** Sets the current back ends; declared limits of others are dropped. */
 void limits_set_backends(limits_t *limits, const backend_t *list, uint32_t n, tc_time_t now);
 
-/** The cold back ends, and what each bears of all boxes together; copied. */
+/** Sets the cold back ends and the limit of each, for all boxes together; copied. */
 void limits_set_cold(limits_t *limits, const cap_cfg_t *list, uint32_t n, tc_time_t now);
 
-/** A box reports: take what answers told it and what it sent by itself, and fill in what it is to know, borrowed until
- *  the next call of any function. */
+/** Handles a box's report: applies the limits that it read from answers, counts the requests that it sent on its own,
+ *  and fills in the state of the limits for it. @param ack its lists are borrowed until the next call of any function
+ */
 void limits_handle_report(limits_t *limits, sched_t *sched, const msg_report_t *report, msg_report_ack_t *ack,
                           tc_time_t now);
-/** A box asks for one request. @param after when it may send one, ms from now, if it may not now */
+/** Handles a box's query whether it may send one request; if so, the request is counted.
+ *  @param after set when it may not: time until it may ask again, ms */
 bool limits_acquire(limits_t *limits, sched_t *sched, const msg_take_limit_t *take, tc_time_t now, tc_time_t *after);
 
 #endif
--- a/lib/cluster/quarantine.c
+++ b/lib/cluster/quarantine.c
@@ -1,4 +1,4 @@
-/* What is known of each request, and what it comes to. */
+/* The table of suspect requests, and the decision which of them are held. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -18,23 +18,26 @@
 
 /* ===== Constants ===== */
 
-enum { SAME_MS = 1000 /* two ends of one back end within this time are one: it takes seconds to be there again */ };
+enum {
+    /* Crashes of one back end that are reported within this time are the same crash: a restart takes seconds. */
+    SAME_CRASH_MS = 1000
+};
 
 /* ===== Requests ===== */
 
-charge_t *quarantine_crash(const suspect_t *e, guint i)
+suspect_crash_t *quarantine_suspect_crash(const suspect_t *e, guint i)
 {
-    return &g_array_index(e->charges, charge_t, i);
+    return &g_array_index(e->crashes, suspect_crash_t, i);
 }
 
-static void charge_clear(gpointer charge)
+static void suspect_crash_clear(gpointer crash)
 {
-    g_free(((charge_t *)charge)->name);
+    g_free(((suspect_crash_t *)crash)->name);
 }
 
 static void entry_free(suspect_t *e)
 {
-    g_array_free(e->charges, TRUE);
+    g_array_free(e->crashes, TRUE);
     g_free(e);
 }
 
@@ -51,18 +54,18 @@
     counter_set(&c_entries, g_hash_table_size(q->by_request));
 }
 
-/** The entry has changed: it is the newest, for reports and when room is needed. */
-static void note_change(quarantine_t *q, suspect_t *e, tc_time_t at)
+/** Marks the entry as changed: it becomes the newest, for reports and for eviction. */
+static void mark_changed(quarantine_t *q, suspect_t *e, tc_time_t at)
 {
     e->seq = ++q->seq;
-    e->heard_at = MAX(e->heard_at, at);
+    e->updated_at = MAX(e->updated_at, at);
     cds_list_del(&e->node);
     cds_list_add_tail(&e->node, &q->entries);
     q->is_listed = false;
 }
 
-/** The one of which nothing was heard for longest; one that is held only when all are. */
-static suspect_t *least_needed(const quarantine_t *q)
+/** @return the entry without a change for the longest time; a held one only if all are held */
+static suspect_t *find_evictable(const quarantine_t *q)
 {
     suspect_t *e;
     cds_list_for_each_entry(e, &q->entries, node)
@@ -71,17 +74,17 @@
     return cds_list_first_entry(&q->entries, suspect_t, node);
 }
 
-static suspect_t *get(quarantine_t *q, uint64_t request)
+static suspect_t *find_or_add(quarantine_t *q, uint64_t request)
 {
     suspect_t *e = find(q, request);
     if (e)
         return e;
     if (g_hash_table_size(q->by_request) >= QUARANTINE_REQUESTS_MAX)
-        drop(q, least_needed(q));
+        drop(q, find_evictable(q));
     e = g_new0(suspect_t, 1);
     e->request = request;
-    e->charges = g_array_new(FALSE, FALSE, sizeof(charge_t));
-    g_array_set_clear_func(e->charges, charge_clear);
+    e->crashes = g_array_new(FALSE, FALSE, sizeof(suspect_crash_t));
+    g_array_set_clear_func(e->crashes, suspect_crash_clear);
     cds_list_add_tail(&e->node, &q->entries);
     g_hash_table_insert(q->by_request, &e->request, e);
     counter_set(&c_entries, g_hash_table_size(q->by_request));
@@ -90,28 +93,28 @@
 
 /* ===== Judging ===== */
 
-static bool is_together(tc_time_t a, tc_time_t b)
+static bool is_same_time(tc_time_t a, tc_time_t b)
 {
     return ABS(a - b) <= QUARANTINE_CORRELATION_MS;
 }
 
-static bool ended_under(const suspect_t *e, uint64_t backend)
+static bool crashed_under(const suspect_t *e, uint64_t backend)
 {
-    for (guint i = 0; i < e->charges->len; i++)
-        if (quarantine_crash(e, i)->end.backend == backend)
+    for (guint i = 0; i < e->crashes->len; i++)
+        if (quarantine_suspect_crash(e, i)->crash.backend == backend)
             return true;
     return false;
 }
 
-/** Whether so many back ends ended in that moment that no request is the cause. Those that ended under this one as well
- *  say nothing for it: it may have been sent from one to the next. */
-static bool is_one_of_many(const quarantine_t *q, const suspect_t *e, const end_t *end)
+/** @return whether so many back ends crashed at that time that no request is the cause. Back ends that crashed under
+ *  this request do not count: it may have been retried from one to the next. */
+static bool is_correlated_crash(const quarantine_t *q, const suspect_t *e, const crash_t *crash)
 {
     uint64_t others[QUARANTINE_CORRELATED_MIN];
     unsigned n = 0;
     for (unsigned i = 0; i < QUARANTINE_RECENT_MAX && n + 1 < QUARANTINE_CORRELATED_MIN; i++) {
-        const end_t *const other = &q->recent[i];
-        if (other->at == 0 || !is_together(other->at, end->at) || ended_under(e, other->backend))
+        const crash_t *const other = &q->recent[i];
+        if (other->at == 0 || !is_same_time(other->at, crash->at) || crashed_under(e, other->backend))
             continue;
         bool known = false;
         for (unsigned k = 0; k < n; k++)
@@ -122,20 +125,21 @@
     return n + 1 >= QUARANTINE_CORRELATED_MIN;
 }
 
-static bool charge_counts(const quarantine_t *q, const suspect_t *e, charge_t *c, tc_time_t now)
+static bool crash_counts(const quarantine_t *q, const suspect_t *e, suspect_crash_t *c, tc_time_t now)
 {
-    if (c->judged)
+    if (c->settled)
         return c->counts;
-    c->counts = !is_one_of_many(q, e, &c->end);
-    c->judged = now - c->end.at >= QUARANTINE_SETTLE_MS;
+    c->counts = !is_correlated_crash(q, e, &c->crash);
+    c->settled = now - c->crash.at >= QUARANTINE_SETTLE_MS;
     return c->counts;
 }
 
 unsigned quarantine_count_crashes(const quarantine_t *q, const suspect_t *e, bool settled, tc_time_t now)
 {
     unsigned n = 0;
-    for (guint i = 0; i < e->charges->len; i++)
-        n += charge_counts(q, e, quarantine_crash(e, i), now) && (!settled || quarantine_crash(e, i)->judged);
+    for (guint i = 0; i < e->crashes->len; i++)
+        n += crash_counts(q, e, quarantine_suspect_crash(e, i), now) &&
+             (!settled || quarantine_suspect_crash(e, i)->settled);
     return n;
 }
 
@@ -145,31 +149,31 @@
     log_begin(&line, LOG_WARN, event);
     log_hash(&line, "fingerprint", e->request);
     log_int(&line, "ends", ends);
-    log_str(&line, "backend", e->charges->len > 0 ? quarantine_crash(e, e->charges->len - 1)->name : "");
+    log_str(&line, "backend", e->crashes->len > 0 ? quarantine_suspect_crash(e, e->crashes->len - 1)->name : "");
     log_end(&line);
 }
 
 static void hold(quarantine_t *q, suspect_t *e, tc_time_t since)
 {
-    const bool news = e->held_since == 0;
+    const bool is_new = e->held_since == 0;
     e->held_since = MAX(e->held_since, since);
-    if (!news)
+    if (!is_new)
         return;
     q->version++;
     counter_add(&c_held, 1);
     log_request("request_held", e, QUARANTINE_CRASH_LIMIT);
 }
 
-/** The time of a request that was held is over: one more end would have it held again. */
+/** Ends the hold of a request, and keeps so many crashes that one more would have it held again. */
 static void release(quarantine_t *q, suspect_t *e, tc_time_t now)
 {
     e->held_since = 0;
     while (quarantine_count_crashes(q, e, false, now) >= QUARANTINE_CRASH_LIMIT)
-        g_array_remove_index(e->charges, 0);
-    note_change(q, e, 0);
+        g_array_remove_index(e->crashes, 0);
+    mark_changed(q, e, 0);
 }
 
-/** Hold it, or let it go, by what has settled. */
+/** Holds the request by its settled crashes, or releases it when its time is over. */
 static void judge(quarantine_t *q, suspect_t *e, tc_time_t now)
 {
     if (e->held_since > 0) {
@@ -179,8 +183,8 @@
     }
     if (quarantine_count_crashes(q, e, true, now) < QUARANTINE_CRASH_LIMIT)
         return;
-    hold(q, e, quarantine_crash(e, e->charges->len - 1)->end.at);
-    note_change(q, e, 0);
+    hold(q, e, quarantine_suspect_crash(e, e->crashes->len - 1)->crash.at);
+    mark_changed(q, e, 0);
 }
 
 static const suspect_request_t *find_suspect(const quarantine_t *q, uint64_t request)
@@ -202,10 +206,11 @@
         judge(q, e, now);
     if (e && e->held_since > 0)
         return QUARANTINE_CRASH_LIMIT;
-    /* What the leader has heard of is in its list, with what others know: a run elsewhere may have cleared it. */
-    const unsigned own = e && e->seq > q->heard_seq ? quarantine_count_crashes(q, e, false, now) : 0;
-    const suspect_request_t *const told = find_suspect(q, request);
-    const unsigned ends = told && told->ends > own ? told->ends : own;
+    /* Crashes that the leader has confirmed are in its list, merged with other boxes' reports: a run elsewhere may have
+     * cleared them. So own ones count only until they are confirmed. */
+    const unsigned own = e && e->seq > q->confirmed_seq ? quarantine_count_crashes(q, e, false, now) : 0;
+    const suspect_request_t *const listed = find_suspect(q, request);
+    const unsigned ends = listed && listed->ends > own ? listed->ends : own;
     return MIN(ends, QUARANTINE_CRASH_LIMIT);
 }
 
@@ -215,7 +220,7 @@
         return 0;
     const suspect_t *const e = find(q, request);
     if (!e || e->held_since == 0)
-        return QUARANTINE_SETTLE_MS; /* it is judged by then */
+        return QUARANTINE_SETTLE_MS; /* the crash will be judged by then */
     return MAX(e->held_since + QUARANTINE_HOLD_MS - now, 1);
 }
 
@@ -224,84 +229,85 @@
     return q->version;
 }
 
-/* ===== What was found out ===== */
+/* ===== Updates ===== */
 
-static void remember_recent(quarantine_t *q, const end_t *end)
+static void add_recent(quarantine_t *q, const crash_t *crash)
 {
     for (unsigned i = 0; i < QUARANTINE_RECENT_MAX; i++)
-        if (q->recent[i].backend == end->backend && ABS(q->recent[i].at - end->at) < SAME_MS)
+        if (q->recent[i].backend == crash->backend && ABS(q->recent[i].at - crash->at) < SAME_CRASH_MS)
             return;
-    q->recent[q->recent_at++ % QUARANTINE_RECENT_MAX] = *end;
+    q->recent[q->recent_at++ % QUARANTINE_RECENT_MAX] = *crash;
 }
 
-static bool is_known(const suspect_t *e, const end_t *end)
+static bool is_known_crash(const suspect_t *e, const crash_t *crash)
 {
-    for (guint i = 0; i < e->charges->len; i++) {
-        const end_t *const other = &quarantine_crash(e, i)->end;
-        if (other->backend == end->backend && ABS(other->at - end->at) < SAME_MS)
+    for (guint i = 0; i < e->crashes->len; i++) {
+        const crash_t *const other = &quarantine_suspect_crash(e, i)->crash;
+        if (other->backend == crash->backend && ABS(other->at - crash->at) < SAME_CRASH_MS)
             return true;
     }
     return false;
 }
 
-static void add_charge(suspect_t *e, const end_t *end, const char *name)
+static void insert_crash(suspect_t *e, const crash_t *crash, const char *name)
 {
-    const charge_t charge = {.end = *end, .name = g_strdup(name)};
-    guint at = e->charges->len;
-    while (at > 0 && quarantine_crash(e, at - 1)->end.at > end->at)
+    const suspect_crash_t entry = {.crash = *crash, .name = g_strdup(name)};
+    guint at = e->crashes->len;
+    while (at > 0 && quarantine_suspect_crash(e, at - 1)->crash.at > crash->at)
         at--;
-    g_array_insert_val(e->charges, at, charge);
-    if (e->charges->len > QUARANTINE_CRASHES_KEPT)
-        g_array_remove_index(e->charges, 0);
+    g_array_insert_val(e->crashes, at, entry);
+    if (e->crashes->len > QUARANTINE_CRASHES_KEPT)
+        g_array_remove_index(e->crashes, 0);
 }
 
 bool quarantine_add_crash(quarantine_t *q, uint64_t request, const char *backend, tc_time_t at, tc_time_t now)
 {
-    const end_t end = {.backend = XXH3_64bits(backend, strlen(backend)), .at = at};
+    const crash_t crash = {.backend = XXH3_64bits(backend, strlen(backend)), .at = at};
     if (request == 0 || now - at >= QUARANTINE_RETENTION_MS)
         return false;
-    remember_recent(q, &end);
-    suspect_t *const e = get(q, request);
-    if (at <= e->cleared_at || is_known(e, &end))
+    add_recent(q, &crash);
+    suspect_t *const e = find_or_add(q, request);
+    if (at <= e->cleared_at || is_known_crash(e, &crash))
         return false;
-    add_charge(e, &end, backend);
-    note_change(q, e, at);
+    insert_crash(e, &crash, backend);
+    mark_changed(q, e, at);
     counter_add(&c_ends, 1);
     log_request("request_suspected", e, quarantine_count_crashes(q, e, false, now));
     judge(q, e, now);
     return true;
 }
 
-static void forget_suspect(quarantine_t *q, uint64_t request)
+static void remove_suspect(quarantine_t *q, uint64_t request)
 {
-    const suspect_request_t *const told = find_suspect(q, request);
-    if (told && told->ends < QUARANTINE_CRASH_LIMIT)
-        g_array_remove_index(q->suspects, (guint)(told - (const suspect_request_t *)(const void *)q->suspects->data));
+    const suspect_request_t *const listed = find_suspect(q, request);
+    if (listed && listed->ends < QUARANTINE_CRASH_LIMIT)
+        g_array_remove_index(q->suspects, (guint)(listed - (const suspect_request_t *)(const void *)q->suspects->data));
 }
 
 void quarantine_clear(quarantine_t *q, uint64_t request, tc_time_t at)
 {
-    suspect_t *const e = get(q, request);
+    suspect_t *const e = find_or_add(q, request);
     if (e->held_since > 0 || at <= e->cleared_at)
         return;
-    if (e->charges->len > 0 && quarantine_crash(e, 0)->end.at <= at)
+    if (e->crashes->len > 0 && quarantine_suspect_crash(e, 0)->crash.at <= at)
         counter_add(&c_cleared, 1);
-    while (e->charges->len > 0 && quarantine_crash(e, 0)->end.at <= at)
-        g_array_remove_index(e->charges, 0);
+    while (e->crashes->len > 0 && quarantine_suspect_crash(e, 0)->crash.at <= at)
+        g_array_remove_index(e->crashes, 0);
     e->cleared_at = at;
-    forget_suspect(q, request);
-    note_change(q, e, at);
+    remove_suspect(q, request);
+    mark_changed(q, e, at);
 }
 
 void quarantine_hold(quarantine_t *q, uint64_t request, tc_time_t since, tc_time_t now)
 {
     if (request == 0 || now - since >= QUARANTINE_HOLD_MS)
         return;
-    suspect_t *const e = get(q, request);
+    suspect_t *const e = find_or_add(q, request);
     const tc_time_t before = e->held_since;
-    hold(q, e, MAX(since, 1)); /* a machine that has just started may be younger than what it is told */
+    hold(q, e,
+         MAX(since, 1)); /* 0 means not held; the hold may be older than the clock of a machine that has just started */
     if (before == 0)
-        note_change(q, e, since);
+        mark_changed(q, e, since);
 }
 
 /* ===== Time ===== */
@@ -311,7 +317,7 @@
     suspect_t *e, *next;
     cds_list_for_each_entry_safe(e, next, &q->entries, node) {
         judge(q, e, now);
-        if (e->held_since == 0 && now - e->heard_at >= QUARANTINE_RETENTION_MS)
+        if (e->held_since == 0 && now - e->updated_at >= QUARANTINE_RETENTION_MS)
             drop(q, e);
     }
 }
--- a/lib/cluster/quarantine.h
+++ b/lib/cluster/quarantine.h
@@ -1,15 +1,16 @@
 /** @file quarantine.h
- * Requests under which back ends end. One that ends each back end that begins to run it is found out by the third, and
- * is sent to no more; until then it is kept apart from others like it, so that those that only ran beside it are not
- * taken for it.
+ * Quarantine of requests that crash back ends. A request that crashes every back end that runs it is identified by its
+ * third crash and is not sent to any back end after that. Until then it is placed apart from other suspects, so that
+ * requests that only ran beside it are not blamed.
  *
- * A back end that ended while it ran a request counts against that request, and against all others that it ran. A run
- * that ends well clears its request. Many back ends that end within a moment ended for a cause of their own (a
- * power supply, a switch) and count against nobody. A request with QUARANTINE_CRASH_LIMIT of them is held: for
- * QUARANTINE_HOLD_MS, then one more run may clear it.
+ * When a back end crashes, the crash counts against every request that it was running. A run that completes clears its
+ * request. When many back ends crash within a short time, the cause is one of their own (a power supply, a switch), and
+ * the crashes count against no request. A request with QUARANTINE_CRASH_LIMIT crashes is held (quarantined) for
+ * QUARANTINE_HOLD_MS; after that one more run may clear it.
  *
- * Entry boxes find ends out and tell the leader, which adds them up, decides, and tells all boxes. A box without a
- * leader goes by what it knows. Both have one of these tables; which requests are held is told on by whoever knows.
+ * Entry boxes detect crashes and report them to the leader, which adds them up, decides, and informs all boxes. A box
+ * without a leader decides by its own data. Both use one of these tables. Which requests are held is passed on by every
+ * process that knows it.
  *
  * No I/O, no clock.
  */
@@ -27,26 +28,27 @@
 /* ===== Constants ===== */
 
 enum {
-    /** One may be chance, and so may two on a day on which back ends crash; a third costs another back end, and
-     *  everything that it runs. */
+    /** Crashes after which a request is held. One may be chance, and so may two on a day on which back ends crash for
+     *  other reasons; waiting for more than three would cost another back end and all requests that it runs. */
     QUARANTINE_CRASH_LIMIT = 3,
-    /** Ends that are as many ms apart, or less, have one cause: boxes find them out within some ms of each other. */
+    /** Crashes that are at most this far apart are taken to have one cause: boxes detect such crashes within some ms of
+     *  each other. */
     QUARANTINE_CORRELATION_MS = 50,
-    /** Back ends that end in such a moment, from which on a request that ran on one of them is not the cause: as many
-     * as a data centre has. Several requests that come at once end two or three; with 3 here one of them was sent on
-     * after its third. With waves in which a fifth of 5 to 20 engines ends every 3 s,
-     *  106 of 64,005 innocents are held, 20 with a 3 here: that is the price. */
+    /** Number of back ends that must crash within QUARANTINE_CORRELATION_MS for their requests not to be the cause:
+     *  as many as a data centre has. Several bad requests that arrive together crash two or three; with 3 here one of
+     *  them was sent on after its third crash. The price is more innocent requests held: with waves in which a fifth of
+     *  5 to 20 engines crashes every 3 s, 106 of 64,005 are held, and 20 with 3 here. */
     QUARANTINE_CORRELATED_MIN = 6,
-    /** Before an end is judged: until all boxes have told what ended beside it. */
+    /** Delay after which a crash is judged finally: by then all boxes have reported the crashes that came with it. */
     QUARANTINE_SETTLE_MS = 150,
-    /** How long a request is held, from its newest end: one that goes on ending back ends costs one in this time, and
-     *  one that was held for nothing gets its next try then. */
+    /** Time for which a request is held, from its newest crash. A request that keeps crashing back ends costs one back
+     *  end in this time; one that is held by mistake gets its next run after it. */
     QUARANTINE_HOLD_MS = 10 * 60 * 1000,
-    /** How long ends are remembered. */
+    /** Time for which crashes are remembered. */
     QUARANTINE_RETENTION_MS = 60 * 60 * 1000,
-    /** Requests in a table, some 250 bytes each; the one of which nothing was heard for longest makes room. */
+    /** Requests in a table, some 250 bytes each. The one without a change for the longest time is evicted first. */
     QUARANTINE_REQUESTS_MAX = 1024,
-    /** Suspects that are told to boxes, those held first, then the newest: 3 KB in an answer. */
+    /** Suspects in the list for boxes, held ones first, then the newest: 3 KB in an answer. */
     QUARANTINE_SUSPECTS_MAX = 128
 };
 
@@ -59,56 +61,57 @@
 quarantine_t *quarantine_create(void);
 void quarantine_destroy(quarantine_t *quarantine);
 
-/* ===== What was found out ===== */
+/* ===== Updates ===== */
 
-/** A back end ended at @p at, at most @p now, while it ran the request. @return whether it is news */
+/** A back end crashed at @p at, not later than @p now, while it ran the request.
+ *  @return whether the crash was not known and may count */
 bool quarantine_add_crash(quarantine_t *q, uint64_t request, const char *backend, tc_time_t at, tc_time_t now);
-/** A run of the request ended well at @p at: ends before count no more. Requests that are held stay so. */
+/** A run of the request completed at @p at: earlier crashes no longer count. No effect on a held request. */
 void quarantine_clear(quarantine_t *q, uint64_t request, tc_time_t at);
-/** The request is held somewhere else, since @p since. */
+/** Another process has held the request since @p since: holds it here as well. */
 void quarantine_hold(quarantine_t *q, uint64_t request, tc_time_t since, tc_time_t now);
 
-/* ===== Looking ===== */
+/* ===== Queries ===== */
 
-/** How many ends count against the request: QUARANTINE_CRASH_LIMIT, and no more, when it is held. */
+/** @return number of crashes that count against the request, at most QUARANTINE_CRASH_LIMIT, which means held */
 unsigned quarantine_crash_count(quarantine_t *q, uint64_t request, tc_time_t now);
-/** For how long a request with QUARANTINE_CRASH_LIMIT of them will be held, at least 1; 0 when it is not. */
+/** @return time for which the request is still held, at least 1 ms; 0 when it is not held */
 tc_time_t quarantine_remaining_ms(quarantine_t *q, uint64_t request, tc_time_t now);
-/** Grows whenever a request comes to be held. */
+/** @return a number that grows whenever a request becomes held */
 uint64_t quarantine_version(const quarantine_t *q);
-/** All that are held. @return heap array for free(), its length in @p n */
+/** @return the held requests, free with free(); their number in @p n */
 request_age_t *quarantine_list_held(quarantine_t *q, uint32_t *n, tc_time_t now);
 
-/** Judge what has settled and forget what is old. Call now and then. */
+/** Judges crashes that have settled and drops old entries. Call regularly. */
 void quarantine_tick(quarantine_t *q, tc_time_t now);
 
 /* ===== From box to leader ===== */
 
-/** Fill in what the leader of that term has not heard of. To be freed with codec_free. */
+/** Fills in the changes that the leader has not confirmed, as far as one message goes. Free with codec_free. */
 void quarantine_fill_report(quarantine_t *q, quarantine_news_t *news, tc_time_t now);
-/** The leader of @p term has answered a report with the news that were filled in last. @return whether there are more
- *  for it: the leader of another term is told everything anew */
+/** The leader of @p term has answered the report with the changes that were filled in last. When it is another term
+ * than before, that leader has to be sent everything again. @return whether there are more changes to send */
 bool quarantine_confirm_report(quarantine_t *q, uint64_t term);
-/** Take a box's news. @param on_end called for each end that is news, may be NULL */
+/** Applies changes from another process. @param on_crash called for each crash that was not known, may be NULL */
 void quarantine_apply_changes(quarantine_t *q, const quarantine_news_t *news, tc_time_t now,
-                              void (*on_end)(void *arg, const char *backend, tc_time_t at), void *arg);
+                              void (*on_crash)(void *arg, const char *backend, tc_time_t at), void *arg);
 
 /* ===== From leader to the other control boxes ===== */
 
-/** Number of the newest change, which grows with each. */
+/** @return sequence number of the newest change; each change increases it */
 uint64_t quarantine_seq(const quarantine_t *q);
-/** Fill in what has changed after that number, 0 for all, as far as one message goes. To be freed with codec_free.
- *  @return number of the last change in it: what comes behind it is for the next message */
+/** Fills in the changes after sequence number @p after, 0 for all, as far as one message goes. Free with codec_free.
+ *  @return sequence number of the last change filled in: pass it as @p after for the next message */
 uint64_t quarantine_fill_changes(const quarantine_t *q, uint64_t after, quarantine_news_t *news, tc_time_t now);
 
 /* ===== From leader to box ===== */
 
-/** The list of suspects as boxes are told it, borrowed until the next call. @param hash names its state, never 0 */
+/** @return the list of suspects for boxes, borrowed until the next call. @param hash of the list, never 0 */
 const suspect_request_t *quarantine_suspects(quarantine_t *q, uint32_t *n, uint64_t *hash, tc_time_t now);
-/** Take that list from a leader, in place of the one before; what is held stays so without it. */
+/** Replaces the list of suspects by the one from a leader. Requests that are held stay held if they are not in it. */
 void quarantine_apply_suspects(quarantine_t *q, const suspect_request_t *list, uint32_t n, uint64_t hash,
                                tc_time_t now);
-/** Hash of the list taken last, 0 before the first. */
+/** @return hash of the list applied last, 0 before the first */
 uint64_t quarantine_suspects_hash(const quarantine_t *q);
 
 #endif
--- a/lib/cluster/quarantine_internal.h
+++ b/lib/cluster/quarantine_internal.h
@@ -1,6 +1,6 @@
 /** @file quarantine_internal.h
- * Shared by quarantine.c (what is known of each request, and what it comes to) and quarantine_sync.c (what boxes and
- * their leader tell each other); nobody else includes it.
+ * Shared by quarantine.c (the table and its decisions) and quarantine_sync.c (exchange of its contents between boxes
+ * and the leader). Not to be included by other files.
  */
 #ifndef TRACKCOVE_CLUSTER_QUARANTINE_INTERNAL_H
 #define TRACKCOVE_CLUSTER_QUARANTINE_INTERNAL_H
@@ -15,8 +15,8 @@
 /* ===== Constants ===== */
 
 enum {
-    QUARANTINE_CRASHES_KEPT = 6, /* of one request: as many again as decide */
-    QUARANTINE_RECENT_MAX = 64   /* ends of back ends, to see which came together */
+    QUARANTINE_CRASHES_KEPT = 6, /* per request: twice the number that decides */
+    QUARANTINE_RECENT_MAX = 64   /* recent crashes of any back end, to detect correlated ones */
 };
 
 /* ===== Types ===== */
@@ -24,49 +24,49 @@
 typedef struct {
     uint64_t backend; /* hash of its id */
     tc_time_t at;
-} end_t;
+} crash_t;
 
-/** An end as it counts against a request. */
+/** A crash of a back end that was running a suspect request. */
 typedef struct {
-    end_t end;
-    char *name;  /* of the back end */
-    bool judged; /* it has settled: */
-    bool counts; /* whether it counts */
-} charge_t;
+    crash_t crash;
+    char *name;   /* id of the back end, owned */
+    bool settled; /* counts is final */
+    bool counts;  /* whether the crash counts against the request */
+} suspect_crash_t;
 
 typedef struct {
-    struct cds_list_head node; /* what changed last at the end */
+    struct cds_list_head node; /* in order of the last change, newest last */
     uint64_t request;
-    GArray *charges;      /* charge_t, oldest first */
+    GArray *crashes;      /* suspect_crash_t, oldest first */
     tc_time_t cleared_at; /* 0: never */
-    tc_time_t held_since; /* newest end, 0: not held */
-    tc_time_t heard_at;   /* newest of all that is known */
+    tc_time_t held_since; /* time of the newest crash; 0: not held */
+    tc_time_t updated_at; /* time of the newest event that is known */
     uint64_t seq;         /* of the newest change */
 } suspect_t;
 
 struct quarantine {
     GHashTable *by_request; /* &suspect_t.request -> suspect_t, owned by the list */
     struct cds_list_head entries;
-    end_t recent[QUARANTINE_RECENT_MAX]; /* a ring */
-    unsigned recent_at;
+    crash_t recent[QUARANTINE_RECENT_MAX]; /* ring buffer */
+    unsigned recent_at;                    /* number of crashes written so far */
     uint64_t version;
     uint64_t seq; /* of the newest change */
     /* From box to leader. */
-    uint64_t heard_term; /* of the leader that was told */
-    uint64_t heard_seq;  /* up to here */
-    uint64_t sent_seq;   /* the report under way goes up to here */
+    uint64_t confirmed_term; /* term of the leader that answered last */
+    uint64_t confirmed_seq;  /* changes up to this one are known to it */
+    uint64_t sent_seq;       /* last change in the report in flight */
     /* From leader to box. */
-    GArray *suspects; /* suspect_request_t: at the leader as told, at a box as heard */
+    GArray *suspects; /* suspect_request_t: on the leader the list it sends, on a box the list it received */
     uint64_t suspects_hash;
-    tc_time_t listed_at; /* the leader's was made then */
-    bool is_listed;
+    tc_time_t listed_at; /* when the leader's list was made */
+    bool is_listed;      /* no entry has changed since */
 };
 
 /* ===== quarantine.c ===== */
 
-/** An end that counts, or may count, against the request, oldest first. */
-charge_t *quarantine_crash(const suspect_t *suspect, guint i);
-/** How many ends count against it. @param settled only those that have settled */
+/** @return the @p i th crash of the suspect, oldest first */
+suspect_crash_t *quarantine_suspect_crash(const suspect_t *suspect, guint i);
+/** @return number of crashes that count against the suspect. @param settled count only those that have settled */
 unsigned quarantine_count_crashes(const quarantine_t *q, const suspect_t *suspect, bool settled, tc_time_t now);
 
 #endif
--- a/lib/cluster/quarantine_sync.c
+++ b/lib/cluster/quarantine_sync.c
@@ -1,4 +1,5 @@
-/* What boxes tell their leader of what they found out, and what it tells them. */
+/* Exchange of the table's contents: reports from boxes to the leader, changes between control boxes, and the leader's
+ * list of suspects for boxes. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -11,13 +12,14 @@
 /* ===== Constants ===== */
 
 enum {
-    NEWS_MAX = 64,      /* requests in one report */
-    LIST_EVERY_MS = 100 /* between two looks at what settled or lapsed, for the list of suspects */
+    CHANGES_MAX = 64, /* requests in one message */
+    /* Age at which the list of suspects is rebuilt even if no entry has changed: crashes settle and holds expire. */
+    LIST_INTERVAL_MS = 100
 };
 
 /* ===== From box to leader ===== */
 
-static void *new_list(size_t n, size_t size)
+static void *alloc_list(size_t n, size_t size)
 {
     void *const list = calloc(n, size);
     if (!list)
@@ -25,7 +27,7 @@
     return list;
 }
 
-static void fill_one(const suspect_t *e, quarantine_news_t *news, tc_time_t now)
+static void fill_entry(const suspect_t *e, quarantine_news_t *news, tc_time_t now)
 {
     if (e->held_since > 0) {
         news->held[news->held_n++] = (request_age_t){.request = e->request, .age_ms = (uint64_t)(now - e->held_since)};
@@ -34,12 +36,12 @@
     if (e->cleared_at > 0)
         news->cleared[news->cleared_n++] =
             (request_age_t){.request = e->request, .age_ms = (uint64_t)(now - e->cleared_at)};
-    for (guint i = 0; i < e->charges->len; i++) {
-        const charge_t *const charge = quarantine_crash(e, i);
-        backend_end_t *const end = &news->ends[news->ends_n++];
-        end->request = e->request;
-        end->age_ms = (uint64_t)(now - charge->end.at);
-        codec_copy_string(end->backend, sizeof(end->backend), charge->name);
+    for (guint i = 0; i < e->crashes->len; i++) {
+        const suspect_crash_t *const known = quarantine_suspect_crash(e, i);
+        backend_end_t *const crash = &news->ends[news->ends_n++];
+        crash->request = e->request;
+        crash->age_ms = (uint64_t)(now - known->crash.at);
+        codec_copy_string(crash->backend, sizeof(crash->backend), known->name);
     }
 }
 
@@ -53,17 +55,17 @@
     *news = (quarantine_news_t){0};
     if (after >= q->seq)
         return q->seq;
-    news->ends = new_list((size_t)NEWS_MAX * QUARANTINE_CRASHES_KEPT, sizeof(*news->ends));
-    news->cleared = new_list(NEWS_MAX, sizeof(*news->cleared));
-    news->held = new_list(NEWS_MAX, sizeof(*news->held));
+    news->ends = alloc_list((size_t)CHANGES_MAX * QUARANTINE_CRASHES_KEPT, sizeof(*news->ends));
+    news->cleared = alloc_list(CHANGES_MAX, sizeof(*news->cleared));
+    news->held = alloc_list(CHANGES_MAX, sizeof(*news->held));
     unsigned n = 0;
     const suspect_t *e;
     cds_list_for_each_entry(e, &q->entries, node) {
         if (e->seq <= after)
             continue;
-        if (n++ == NEWS_MAX)
+        if (n++ == CHANGES_MAX)
             return after;
-        fill_one(e, news, now);
+        fill_entry(e, news, now);
         after = e->seq;
     }
     return q->seq;
@@ -71,19 +73,19 @@
 
 void quarantine_fill_report(quarantine_t *q, quarantine_news_t *news, tc_time_t now)
 {
-    q->sent_seq = quarantine_fill_changes(q, q->heard_seq, news, now);
+    q->sent_seq = quarantine_fill_changes(q, q->confirmed_seq, news, now);
 }
 
 bool quarantine_confirm_report(quarantine_t *q, uint64_t term)
 {
-    const bool same = term == q->heard_term;
-    q->heard_seq = same ? q->sent_seq : 0;
-    q->heard_term = term;
-    return q->heard_seq < q->seq;
+    const bool same = term == q->confirmed_term;
+    q->confirmed_seq = same ? q->sent_seq : 0;
+    q->confirmed_term = term;
+    return q->confirmed_seq < q->seq;
 }
 
 void quarantine_apply_changes(quarantine_t *q, const quarantine_news_t *news, tc_time_t now,
-                              void (*on_end)(void *arg, const char *backend, tc_time_t at), void *arg)
+                              void (*on_crash)(void *arg, const char *backend, tc_time_t at), void *arg)
 {
     for (uint32_t i = 0; i < news->cleared_n; i++)
         quarantine_clear(q, news->cleared[i].request, now - (tc_time_t)news->cleared[i].age_ms);
@@ -91,14 +93,14 @@
         quarantine_hold(q, news->held[i].request, now - (tc_time_t)news->held[i].age_ms, now);
     for (uint32_t i = 0; i < news->ends_n; i++) {
         const tc_time_t at = now - (tc_time_t)news->ends[i].age_ms;
-        if (quarantine_add_crash(q, news->ends[i].request, news->ends[i].backend, at, now) && on_end)
-            on_end(arg, news->ends[i].backend, at);
+        if (quarantine_add_crash(q, news->ends[i].request, news->ends[i].backend, at, now) && on_crash)
+            on_crash(arg, news->ends[i].backend, at);
     }
 }
 
 /* ===== From leader to box ===== */
 
-/** Those with most ends first, then the newest. */
+/** Orders by number of crashes, highest first, then by age, newest first. */
 static gint compare_suspects(gconstpointer a, gconstpointer b)
 {
     const suspect_request_t *const one = a, *const two = b;
@@ -107,7 +109,7 @@
     return one->age_ms < two->age_ms ? -1 : one->age_ms > two->age_ms;
 }
 
-/** By what boxes act on: ages change all the time. */
+/** Hashes the fields on which boxes act, without the ages, which change all the time. */
 static uint64_t hash_suspects(const GArray *list)
 {
     uint64_t hash = 1;
@@ -124,8 +126,9 @@
     suspect_t *e;
     cds_list_for_each_entry(e, &q->entries, node) {
         const unsigned ends = e->held_since > 0 ? QUARANTINE_CRASH_LIMIT : quarantine_count_crashes(q, e, false, now);
-        const suspect_request_t s = {
-            .request = e->request, .ends = MIN(ends, QUARANTINE_CRASH_LIMIT), .age_ms = (uint64_t)(now - e->heard_at)};
+        const suspect_request_t s = {.request = e->request,
+                                     .ends = MIN(ends, QUARANTINE_CRASH_LIMIT),
+                                     .age_ms = (uint64_t)(now - e->updated_at)};
         if (ends > 0)
             g_array_append_val(q->suspects, s);
     }
@@ -137,7 +140,7 @@
 
 const suspect_request_t *quarantine_suspects(quarantine_t *q, uint32_t *n, uint64_t *hash, tc_time_t now)
 {
-    if (!q->is_listed || now - q->listed_at >= LIST_EVERY_MS) {
+    if (!q->is_listed || now - q->listed_at >= LIST_INTERVAL_MS) {
         quarantine_tick(q, now);
         list_suspects(q, now);
         q->is_listed = true;
