--- a/lib/cluster/quarantine.c
+++ b/lib/cluster/quarantine.c
@@ -143,12 +143,12 @@
     return n;
 }
 
-static void log_request(const char *event, const suspect_t *e, unsigned ends)
+static void log_request(const char *event, const suspect_t *e, unsigned crashes)
 {
     log_line_t line;
     log_begin(&line, LOG_WARN, event);
     log_hash(&line, "fingerprint", e->request);
-    log_int(&line, "ends", ends);
+    log_int(&line, "ends", crashes);
     log_str(&line, "backend", e->crashes->len > 0 ? quarantine_suspect_crash(e, e->crashes->len - 1)->name : "");
     log_end(&line);
 }
@@ -210,8 +210,8 @@
      * cleared them. So own ones count only until they are confirmed. */
     const unsigned own = e && e->seq > q->confirmed_seq ? quarantine_count_crashes(q, e, false, now) : 0;
     const suspect_request_t *const listed = find_suspect(q, request);
-    const unsigned ends = listed && listed->ends > own ? listed->ends : own;
-    return MIN(ends, QUARANTINE_CRASH_LIMIT);
+    const unsigned crashes = listed && listed->ends > own ? listed->ends : own;
+    return MIN(crashes, QUARANTINE_CRASH_LIMIT);
 }
 
 tc_time_t quarantine_remaining_ms(quarantine_t *q, uint64_t request, tc_time_t now)
@@ -304,8 +304,8 @@
         return;
     suspect_t *const e = find_or_add(q, request);
     const tc_time_t before = e->held_since;
-    hold(q, e,
-         MAX(since, 1)); /* 0 means not held; the hold may be older than the clock of a machine that has just started */
+    /* 0 means not held; the hold may be older than the clock of a machine that has just started. */
+    hold(q, e, MAX(since, 1));
     if (before == 0)
         mark_changed(q, e, since);
 }
--- a/lib/cluster/quarantine_sync.c
+++ b/lib/cluster/quarantine_sync.c
@@ -125,11 +125,12 @@
     g_array_set_size(q->suspects, 0);
     suspect_t *e;
     cds_list_for_each_entry(e, &q->entries, node) {
-        const unsigned ends = e->held_since > 0 ? QUARANTINE_CRASH_LIMIT : quarantine_count_crashes(q, e, false, now);
+        const unsigned crashes =
+            e->held_since > 0 ? QUARANTINE_CRASH_LIMIT : quarantine_count_crashes(q, e, false, now);
         const suspect_request_t s = {.request = e->request,
-                                     .ends = MIN(ends, QUARANTINE_CRASH_LIMIT),
+                                     .ends = MIN(crashes, QUARANTINE_CRASH_LIMIT),
                                      .age_ms = (uint64_t)(now - e->updated_at)};
-        if (ends > 0)
+        if (crashes > 0)
             g_array_append_val(q->suspects, s);
     }
     g_array_sort(q->suspects, compare_suspects);
--- a/tests/platform/test_evacuation.c
+++ b/tests/platform/test_evacuation.c
@@ -1,10 +1,10 @@
-/* Requests while the data centres of their back ends are evacuated: nothing new is sent there, what is under way goes
- * on, and what no other data centre can serve is refused at once. The load: each kind of request, one after the other,
- * at a box without a leader. */
+/* Requests while the data centres of their back ends are evacuated: no new request is sent there, running ones go on,
+ * and requests that no other data centre can serve are refused at once. Load: each kind of request, one after the
+ * other, at a box without a leader. */
 
 #include "platform/forward_lab.h"
 
-/** The lab's back ends stand in one data centre. */
+/** Begins or ends the evacuation of the one data centre that has all back ends of the lab. */
 static void evacuate(const fixture_t *f, bool on)
 {
     evacuations_t held = {0};
@@ -39,7 +39,7 @@
     expect(f, "/once/x", 503, "");
     expect(f, "/lm/x", 503, "");
     expect(f, "/again/x", 503, "");
-    expect(f, "/held/x", 503, ""); /* nor is memory set aside */
+    expect(f, "/held/x", 503, ""); /* and no memory is reserved */
     g_assert_cmpuint(all_requests(f), ==, 0);
     evacuate(f, false);
     expect(f, "/safe/x", 200, "ok");
@@ -51,7 +51,8 @@
     return requests(arg, 0) > 0;
 }
 
-/** The prompt is read when the evacuation begins: no decode engine is left. What was read is let go of. */
+/** The evacuation begins during prefill, so no decode engine is left: the request is refused, and the prefilled cache
+ * is released. */
 static void test_between_engines(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -70,8 +71,8 @@
     return requests(arg, 1) > 0;
 }
 
-/** A stream that runs there goes on to its end. */
-static void test_under_way(fixture_t *f, gconstpointer data)
+/** A running stream goes on to its end. */
+static void test_running_stream(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "o", true, false}, {"lm", "decode", "t", false, false}}, 2);
@@ -79,7 +80,7 @@
     lab_run_until(f->loop, has_decode, f);
     evacuate(f, true);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_nonnull(strstr(c->body->str, FIRST)); /* its engine breaks off behind that */
+    g_assert_nonnull(strstr(c->body->str, FIRST)); /* the engine breaks off after that */
     lab_call_free(c);
 }
 
@@ -89,6 +90,6 @@
 #define TEST(name, fn) g_test_add("/evacuation/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("refused-at-once", test_refused_at_once);
     TEST("between-engines", test_between_engines);
-    TEST("under-way", test_under_way);
+    TEST("running-stream", test_running_stream);
     return g_test_run();
 }
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -1,13 +1,12 @@
-/* Limits that back ends name for all boxes together.
+/* Rate limits that back ends declare for all boxes together.
  *
- * Seen: two of three back ends of a plain service named a limit of some 4 requests a second; nine boxes sent them 53
- * and 64 within 4 s, where 28 and 31 were allowed. How it came about: no box read the limit, and each by itself sent
- * less than that. Cause: a promise about a sum over boxes that nobody added up; each box that holds the limit by itself
- * would still make nine times as much. What proved it: by the counts of the back ends nothing changed when they named
- * their limits; here 119 to 149 arrived in a window where 29 are allowed, in touch with control, with a new leader and
- * a new box, and without control.
+ * Guards against a limit on a sum over all boxes that nobody enforces. Two of three back ends of a plain service
+ * declared a limit of some 4 requests per second; nine boxes sent them 53 and 64 within 4 s, where 28 and 31 were
+ * allowed. No box read the limit, and each on its own sent less than that. If each box kept the limit on its own, nine
+ * boxes would still send nine times as much. Without the limits, 119 to 149 requests arrive here in a window where 29
+ * are allowed: connected to control, with a new leader and a new box, and without control.
  *
- * Real control boxes, entry boxes and back ends over loopback; who got what is counted at the back ends.
+ * Uses real control boxes, entry boxes and back ends over loopback; requests are counted at the back ends.
  */
 
 #include "forward/forward.h"
@@ -18,12 +17,12 @@
 enum {
     ENTRIES = 6,
     BACKENDS = 4,
-    ASK_EVERY_MS = 10,
+    REQUEST_INTERVAL_MS = 10,
     WINDOW_MS = 4000,
-    KNOWN_MS = 1000 /* after a back end named its limit all boxes hold it */
+    SPREAD_MS = 1000 /* after a back end first declares its limit, until all boxes apply it */
 };
 
-/** What all boxes together may send in a window: half more than the limit says, and five. */
+/** @return requests that all boxes together may send in a window: 1.5 times the limit, and five */
 static double allowed(double limit)
 {
     return 1.5 * limit * WINDOW_MS / 1000 + 5;
@@ -35,10 +34,10 @@
 
 typedef struct {
     struct world *world;
-    const char *stage; /* of an engine, or "" */
-    double limit;      /* that its answers name; below 0: none */
-    tc_time_t named;   /* it names one since then */
-    GArray *arrivals;  /* tc_time_t */
+    const char *stage;     /* of an engine, or "" */
+    double limit;          /* declared in its answers, requests per second; < 0: none */
+    tc_time_t declared_at; /* time of the first answer that declared it; 0: none yet */
+    GArray *arrivals;      /* tc_time_t */
     char addr[32];
     lab_backend_t *server;
 } backend_server_t;
@@ -61,11 +60,11 @@
     backend_server_t backends[BACKENDS];
     entry_t entries[ENTRIES];
     web_client_t *callers;
-    GPtrArray *calls; /* lab_call_t */
-    bool asks;
-    bool asks_first;  /* only the first box */
-    const char *path; /* that callers ask for */
-    unsigned asked;
+    GPtrArray *calls;      /* lab_call_t */
+    bool is_loaded;        /* whether callers send requests */
+    bool only_first_entry; /* whether they send them to the first box only */
+    const char *path;      /* of the callers' requests */
+    unsigned requested;
     uint32_t backends_n;
     GRand *random;
 } world_t;
@@ -97,11 +96,11 @@
 {
     backend_server_t *const b = arg;
     const tc_time_t now = tc_time_now();
-    if (!strstr(request, "Attempt-Id: ")) /* no request of a caller */
+    if (!strstr(request, "Attempt-Id: ")) /* a request of the box itself */
         return (lab_reply_t){.bytes = g_strdup("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), .end = LAB_KEEP};
     g_array_append_val(b->arrivals, now);
-    if (b->limit >= 0 && b->named == 0)
-        b->named = now;
+    if (b->limit >= 0 && b->declared_at == 0)
+        b->declared_at = now;
     char *const limit = b->limit >= 0 ? g_strdup_printf("Server-Limit: %.1f\r\n", b->limit) : g_strdup("");
     char *const bytes = write_answer(request, limit);
     g_free(limit);
@@ -134,14 +133,14 @@
     return n;
 }
 
-/** Promise: in no window that begins at an arrival, from when all know of the limit on, more arrives than is allowed.
- */
+/** Asserts that no window that starts at an arrival, SPREAD_MS after the limit was declared or later, has more arrivals
+ *  than allowed. */
 static void expect_within(const backend_server_t *b)
 {
-    g_assert_cmpint(b->named, >, 0);
+    g_assert_cmpint(b->declared_at, >, 0);
     for (guint i = 0; i < b->arrivals->len; i++) {
         const tc_time_t from = g_array_index(b->arrivals, tc_time_t, i);
-        if (from >= b->named + KNOWN_MS)
+        if (from >= b->declared_at + SPREAD_MS)
             g_assert_cmpfloat(arrivals_between(b, from, from + WINDOW_MS), <=, allowed(b->limit));
     }
 }
@@ -212,7 +211,7 @@
     entry_t *const e = &w->entries[i];
     do
         lab_run_until(w->f.loop, is_idle, e);
-    while (!is_idle(e)); /* a request may have come behind the look, in the loop's last turn */
+    while (!is_idle(e)); /* a request may have arrived after the check, in the loop's last iteration */
     reporter_destroy(e->reporter);
     e->reporter = NULL;
     web_client_destroy(e->client);
@@ -221,7 +220,7 @@
     fleet_destroy(e->fleet);
 }
 
-static bool hears_leader(void *arg)
+static bool has_leader_contact(void *arg)
 {
     const world_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
@@ -230,8 +229,8 @@
     return true;
 }
 
-/** All entry boxes know of each other, as boxes that share what is counted over all do. */
-static void share(world_t *w)
+/** Sets the number of boxes in all entry boxes; each computes its share of the limits from it. */
+static void set_box_count(world_t *w)
 {
     for (int i = 0; i < ENTRIES; i++)
         forwarder_set_boxes(w->entries[i].forwarder, ENTRIES);
@@ -239,15 +238,15 @@
 
 /* ===== Callers ===== */
 
-static void ask_somebody(void *arg)
+static void send_request(void *arg)
 {
     world_t *const w = arg;
-    const entry_t *const e = &w->entries[w->asks_first ? 0 : g_rand_int_range(w->random, 0, ENTRIES)];
-    if (!w->asks || !e->reporter)
+    const entry_t *const e = &w->entries[w->only_first_entry ? 0 : g_rand_int_range(w->random, 0, ENTRIES)];
+    if (!w->is_loaded || !e->reporter)
         return;
     char *const text = g_strdup_printf("POST %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %08x\r\nDeadline-Ms: 3000\r\n"
                                        "Token-Count: 100,50\r\nContent-Length: 4\r\n\r\nbody",
-                                       w->path, ++w->asked);
+                                       w->path, ++w->requested);
     g_ptr_array_add(w->calls, lab_call(w->callers, e->addr, text));
     g_free(text);
 }
@@ -274,12 +273,12 @@
     lab_call_free(call);
 }
 
-/** Callers ask for a while, each any box. */
-static void ask_for(world_t *w, tc_time_t span)
+/** Sends requests for @p span, each to a random box. */
+static void run_load(world_t *w, tc_time_t span)
 {
-    w->asks = true;
+    w->is_loaded = true;
     lab_run_for(w->f.loop, span);
-    w->asks = false;
+    w->is_loaded = false;
 }
 
 static void await_answers(world_t *w)
@@ -310,18 +309,18 @@
     for (int i = 0; i < SEEDS; i++)
         start_box(&w->f, i, true);
     lab_run_until(w->f.loop, has_leader, &w->f);
-    loop_add_tick(w->f.loop, ASK_EVERY_MS, ask_somebody, w);
+    loop_add_tick(w->f.loop, REQUEST_INTERVAL_MS, send_request, w);
 }
 
 static void start_entries(world_t *w)
 {
     for (int i = 0; i < ENTRIES; i++)
         start_entry(w, i);
-    lab_run_until(w->f.loop, hears_leader, w);
-    share(w);
+    lab_run_until(w->f.loop, has_leader_contact, w);
+    set_box_count(w);
 }
 
-/** Back ends of a plain service. @param limits as they name them; below 0: none */
+/** Starts back ends of a plain service. @param limits that they declare, requests per second; < 0: none */
 static void start_plain(world_t *w, const double *limits, uint32_t n)
 {
     w->backends_n = n;
@@ -330,7 +329,7 @@
     start_entries(w);
 }
 
-/** Two prefill engines and two decode engines, which the leader places on. @param limits as of start_plain */
+/** Starts two prefill and two decode engines, scheduled by the leader. @param limits as of start_plain */
 static void start_engines(world_t *w, const double limits[BACKENDS])
 {
     const char *const stages[BACKENDS] = {"prefill", "prefill", "decode", "decode"};
@@ -365,58 +364,58 @@
 
 /* ===== Tests ===== */
 
-/** Nobody is refused while another back end has room, and a limited one gets some of what it takes. */
-static void test_in_touch(world_t *w, gconstpointer data)
+/** No request is refused while a back end has room, and a limited one gets at least half of its limit. */
+static void test_connected(world_t *w, gconstpointer data)
 {
     (void)data;
     start_plain(w, (const double[]){4, 4, -1}, 3);
-    ask_for(w, KNOWN_MS + WINDOW_MS + 500);
+    run_load(w, SPREAD_MS + WINDOW_MS + 500);
     await_answers(w);
     g_assert_cmpuint(count_status(w, 200), ==, w->calls->len);
     for (int i = 0; i < 2; i++) {
         const backend_server_t *const b = &w->backends[i];
         expect_within(b);
-        const tc_time_t from = b->named + KNOWN_MS;
+        const tc_time_t from = b->declared_at + SPREAD_MS;
         g_assert_cmpfloat(arrivals_between(b, from, from + WINDOW_MS), >=, 0.5 * b->limit * WINDOW_MS / 1000);
     }
 }
 
-/** The leader goes, and a box starts anew that has heard of no limit. */
+/** The leader stops, and a box restarts without knowing any limit. */
 static void test_new_leader_new_box(world_t *w, gconstpointer data)
 {
     (void)data;
     start_plain(w, (const double[]){4, 4, -1}, 3);
-    ask_for(w, KNOWN_MS + 500);
+    run_load(w, SPREAD_MS + 500);
     stop_box(&w->f, leader(&w->f));
-    ask_for(w, 500);
+    run_load(w, 500);
     stop_entry(w, 0);
     start_entry(w, 0);
-    ask_for(w, WINDOW_MS + 500);
+    run_load(w, WINDOW_MS + 500);
     await_answers(w);
     expect_within(&w->backends[0]);
     expect_within(&w->backends[1]);
 }
 
-/** No control box is there any more: each box has its part. */
+/** All control boxes stop: each box uses its share of the limits. */
 static void test_without_control(world_t *w, gconstpointer data)
 {
     (void)data;
     start_plain(w, (const double[]){4, 4, -1}, 3);
-    ask_for(w, KNOWN_MS);
+    run_load(w, SPREAD_MS);
     for (int i = 0; i < SEEDS; i++)
         stop_box(&w->f, i);
-    ask_for(w, WINDOW_MS + 500);
+    run_load(w, WINDOW_MS + 500);
     await_answers(w);
     expect_within(&w->backends[0]);
     expect_within(&w->backends[1]);
 }
 
-/** All back ends are limited: who can't be served is refused at once, as not run, and told when to come back. */
+/** All back ends are limited: requests beyond the limits are refused at once, as not run and with a time to retry. */
 static void test_all_limited(world_t *w, gconstpointer data)
 {
     (void)data;
     start_plain(w, (const double[]){4, 4}, 2);
-    ask_for(w, KNOWN_MS + 2000);
+    run_load(w, SPREAD_MS + 2000);
     await_answers(w);
     expect_within(&w->backends[0]);
     expect_within(&w->backends[1]);
@@ -430,7 +429,7 @@
     }
 }
 
-static bool knows_no_limit(void *arg)
+static bool has_no_limit(void *arg)
 {
     const world_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
@@ -439,44 +438,45 @@
     return true;
 }
 
-/** A limit holds for as long as the back end names it: then it has its share again, and all boxes know at once. */
+/** A limit ends when the back end no longer declares it: the back end gets its full share again, from all boxes. */
 static void test_lifted(world_t *w, gconstpointer data)
 {
     (void)data;
     start_plain(w, (const double[]){2, -1}, 2);
-    ask_for(w, KNOWN_MS + 500);
+    run_load(w, SPREAD_MS + 500);
     w->backends[0].limit = -1;
-    w->asks_first = true; /* the others hear of it from the leader alone */
-    w->asks = true;
-    lab_run_until(w->f.loop, knows_no_limit, w);
-    w->asks_first = false;
+    w->only_first_entry = true; /* the others can learn of it only from the leader */
+    w->is_loaded = true;
+    lab_run_until(w->f.loop, has_no_limit, w);
+    w->only_first_entry = false;
     const tc_time_t from = tc_time_now();
-    ask_for(w, 1000);
+    run_load(w, 1000);
     await_answers(w);
     const unsigned share = arrivals_between(&w->backends[1], from, from + 1000) / 2;
     g_assert_cmpuint(arrivals_between(&w->backends[0], from, from + 1000), >, share);
 }
 
-/** The scheduler grants engines no more than their limits, and boxes that place alone ask for each call. */
+/** The scheduler grants no more than the engines' limits, and boxes that place on their own ask the leader for each
+ *  call. */
 static void test_engines(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(w, (const double[]){4, -1, 4, -1});
-    ask_for(w, KNOWN_MS + WINDOW_MS + 500);
+    run_load(w, SPREAD_MS + WINDOW_MS + 500);
     await_answers(w);
     expect_within(&w->backends[0]);
     expect_within(&w->backends[2]);
     g_assert_cmpuint(count_status(w, 200) * 10, >, 9 * w->calls->len);
 }
 
-/** All prefill engines are limited: they get what they take, and the rest is refused. */
+/** All prefill engines are limited: they get at least half of their limits, and the rest is refused. */
 static void test_engines_all_limited(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(w, (const double[]){8, 8, -1, -1});
-    ask_for(w, KNOWN_MS + WINDOW_MS + 500);
+    run_load(w, SPREAD_MS + WINDOW_MS + 500);
     await_answers(w);
-    const tc_time_t from = w->backends[0].named + KNOWN_MS;
+    const tc_time_t from = w->backends[0].declared_at + SPREAD_MS;
     for (int i = 0; i < 2; i++) {
         expect_within(&w->backends[i]);
         g_assert_cmpuint(arrivals_between(&w->backends[i], from, from + WINDOW_MS), >=, 8 * WINDOW_MS / 1000 / 2);
@@ -484,14 +484,14 @@
     g_assert_cmpuint(count_status(w, 200) + count_status(w, 503), ==, w->calls->len);
 }
 
-/** The same while the leader goes. */
+/** As test_engines, while the leader stops. */
 static void test_engines_new_leader(world_t *w, gconstpointer data)
 {
     (void)data;
     start_engines(w, (const double[]){4, -1, 4, -1});
-    ask_for(w, KNOWN_MS + 500);
+    run_load(w, SPREAD_MS + 500);
     stop_box(&w->f, leader(&w->f));
-    ask_for(w, WINDOW_MS + 500);
+    run_load(w, WINDOW_MS + 500);
     await_answers(w);
     expect_within(&w->backends[0]);
     expect_within(&w->backends[2]);
@@ -501,7 +501,7 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define ADD(name, fn) g_test_add("/limits/" name, world_t, NULL, set_up_world, fn, tear_down_world)
-    ADD("in-touch", test_in_touch);
+    ADD("connected", test_connected);
     ADD("new-leader-new-box", test_new_leader_new_box);
     ADD("without-control", test_without_control);
     ADD("all-limited", test_all_limited);
--- a/tests/platform/test_quarantine.c
+++ b/tests/platform/test_quarantine.c
@@ -1,21 +1,21 @@
-/* The incident: one request ended every back end that began to run it, 37 in a day. It came again and again from its
- * caller, with a new id each time, at any box; after the third back end had ended under it, it was sent 19 times more.
+/* Quarantine of a request that crashes every back end that runs it.
  *
- * How it came about: what a box knew of a run that was lost was part of the request and freed with it. The next try was
- * new to every box, the same one included, and each try took what else ran on its back end along.
+ * Guards against an incident: one request crashed 37 back ends in a day. Its caller repeated it with a new id each
+ * time, at any box; after the third crash it was sent 19 times more. Boxes kept the knowledge of a lost run in the
+ * request and freed it together, so the next attempt was new to every box, and each crash also lost all other requests
+ * on that back end. The request was found as the only one among the lost answers of every crashed back end.
  *
- * What proved it: one request, and no other, was among the lost answers of each back end that ended; below, back ends
- * end whenever a marked request begins to run there, and it must not be sent to a fourth. What can look like it and is
- * none is here as well: connections that break while the back end lives on, another body, another caller, a request
- * that ran well in between. */
+ * Here back ends crash when a marked request begins to run, and it must not be sent to a fourth. Cases that look alike
+ * but must not lead to quarantine: connections that break while the back end lives on, another body, another caller, a
+ * completed run in between. */
 
 #include "platform/forward_lab.h"
 
 enum { TRIES = 8 };
 
-/* ===== Back ends that end ===== */
+/* ===== Back ends that crash ===== */
 
-/** A back end ends when a marked request begins to run there; others are answered by its plan. */
+/** Crashes the back end when a marked request begins to run there; answers others by the back end's plan. */
 static lab_reply_t answer_or_crash(void *arg, const char *request)
 {
     plan_t *const plan = arg;
@@ -29,7 +29,7 @@
 }
 
 /** @param plans at most BACKENDS of them */
-static void start_mortal(fixture_t *f, const backend_plan_t *plans, uint32_t n)
+static void start_crashing(fixture_t *f, const backend_plan_t *plans, uint32_t n)
 {
     for (uint32_t i = 0; i < n; i++)
         f->plan[i].fixture = f;
@@ -62,12 +62,12 @@
     return search.found;
 }
 
-/** Those that ended are back, each under a new id, as the list says at once. @return how many that are */
+/** Restarts the crashed back ends, each with a new id, and updates the list at once. @return their number */
 static unsigned restart_all(const fixture_t *f)
 {
-    static unsigned lives;
+    static unsigned restarts;
     backend_t list[BACKENDS];
-    unsigned n = 0, ended = 0;
+    unsigned n = 0, crashed = 0;
     memset(list, 0, sizeof(list));
     for (int i = 0; i < BACKENDS; i++) {
         const instance_t *const instance = f->backend[i] ? find_at(f, f->backend_addr[i]) : NULL;
@@ -77,11 +77,11 @@
         if (lab_backend_is_up(f->backend[i]))
             continue;
         lab_backend_restart(f->backend[i]);
-        g_snprintf(list[n - 1].id, sizeof(list[n - 1].id), "life-%u", ++lives);
-        ended++;
+        g_snprintf(list[n - 1].id, sizeof(list[n - 1].id), "life-%u", ++restarts);
+        crashed++;
     }
     fleet_set_list(f->fleet, list, n, tc_time_now());
-    return ended;
+    return crashed;
 }
 
 static unsigned all_requests(const fixture_t *f)
@@ -94,8 +94,9 @@
 
 /* ===== Calls ===== */
 
-/** One try of a caller. @param part the caller's own part of its prompt @return for lab_call_free */
-static lab_call_t *try(fixture_t *f, const char *path, const char *part, const char *body)
+/** Sends one request of a caller and waits for the answer. @param part the caller's own part of its prompt
+ *  @return for lab_call_free */
+static lab_call_t *send_request(fixture_t *f, const char *path, const char *part, const char *body)
 {
     avoid_spares(f);
     char *const text = g_strdup_printf("POST %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: id1\r\nDeadline-Ms: 8000\r\n"
@@ -105,35 +106,35 @@
     lab_call_t *const c = lab_call(f->callers, f->addr, text);
     g_free(text);
     lab_run_until_true(f->loop, &c->done);
-    lab_run_for(f->loop, 20); /* what a box does behind the answer, such as a look at the back end */
+    lab_run_for(f->loop, 20); /* for what the box does after the answer, such as a probe of the back end */
     return c;
 }
 
-/** A request that does no harm is served. */
+/** Sends a harmless request and asserts that it is served. */
 static void expect_served(fixture_t *f, const char *path, const char *part, const char *body)
 {
-    lab_call_t *const c = try(f, path, part, body);
+    lab_call_t *const c = send_request(f, path, part, body);
     g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
     g_assert_cmpint(c->status, ==, 200);
     lab_call_free(c);
 }
 
-/** Send the marked request again and again. @return back ends that ended under it */
-static unsigned try_again_and_again(fixture_t *f, const char *path)
+/** Sends the marked request TRIES times. @return number of back ends that crashed under it */
+static unsigned repeat_marked(fixture_t *f, const char *path)
 {
-    unsigned ended = 0;
+    unsigned crashed = 0;
     for (int i = 0; i < TRIES; i++) {
-        lab_call_free(try(f, path, "own", "poison"));
-        ended += restart_all(f);
+        lab_call_free(send_request(f, path, "own", "poison"));
+        crashed += restart_all(f);
     }
-    return ended;
+    return crashed;
 }
 
-/** It is refused at once, before anything is sent, and told when to come back. */
+/** Asserts that the marked request is refused before anything is sent, and with a time to retry. */
 static void expect_refused(fixture_t *f, const char *path)
 {
     const unsigned before = all_requests(f);
-    lab_call_t *const c = try(f, path, "own", "poison");
+    lab_call_t *const c = send_request(f, path, "own", "poison");
     g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
     g_assert_cmpint(c->status, ==, 503);
     g_assert_nonnull(c->retry_after);
@@ -146,46 +147,46 @@
 #define DECODE "lm", "decode", "S", false, false
 #define APP "app", "", "o", false, false
 
-static void test_ends_back_ends(fixture_t *f, gconstpointer data)
+static void test_crashes_back_ends(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const backend_plan_t plans[] = {{"lm", "prefill", "p", false, false}, {DECODE}, {DECODE}, {DECODE}, {APP}, {APP}};
-    start_mortal(f, plans, 6);
-    g_assert_cmpuint(try_again_and_again(f, "/again/x"), ==, 3);
+    start_crashing(f, plans, 6);
+    g_assert_cmpuint(repeat_marked(f, "/again/x"), ==, 3);
     expect_refused(f, "/again/x");
-    g_assert_cmpuint(try_again_and_again(f, "/safe/x"), ==, 3);
+    g_assert_cmpuint(repeat_marked(f, "/safe/x"), ==, 3);
     expect_refused(f, "/safe/x");
-    g_assert_cmpuint(try_again_and_again(f, "/lm/x"), ==, 3); /* which is sent once a try */
+    g_assert_cmpuint(repeat_marked(f, "/lm/x"), ==, 3); /* on this route the box does not retry */
     expect_refused(f, "/lm/x");
 }
 
-/** Only that request of that caller is held back. */
+/** Only that request of that caller is held. */
 static void test_others_are_served(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const backend_plan_t plans[] = {{"lm", "prefill", "p", false, false}, {DECODE}, {DECODE}, {DECODE}};
-    start_mortal(f, plans, 4);
-    (void)try_again_and_again(f, "/again/x");
+    start_crashing(f, plans, 4);
+    (void)repeat_marked(f, "/again/x");
     expect_served(f, "/again/x", "own", "poisom");
     expect_served(f, "/again/y", "own", "poisom");
-    lab_call_free(try(f, "/again/y", "own", "poison")); /* another path: it is sent, and ends a back end */
+    lab_call_free(send_request(f, "/again/y", "own", "poison")); /* another path: it is sent, and crashes a back end */
     g_assert_cmpuint(restart_all(f), >, 0);
-    lab_call_free(try(f, "/again/x", "other", "poison")); /* another caller */
+    lab_call_free(send_request(f, "/again/x", "other", "poison")); /* another caller */
     g_assert_cmpuint(restart_all(f), >, 0);
 }
 
-/** Connections that break while the back end goes on are no evidence. */
+/** Connections that break while the back end goes on running do not count as crashes. */
 static void test_broken_connections(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "rrrrrrrrrrrro", false, false}}, 1);
     for (int i = 0; i < 12; i++)
-        lab_call_free(try(f, "/safe/x", "own", "body"));
+        lab_call_free(send_request(f, "/safe/x", "own", "body"));
     expect_served(f, "/safe/x", "own", "body");
 }
 
-/** A back end is stopped while it runs the request, as often as that: a run that ends well clears it. */
-static void test_run_that_ends_well(fixture_t *f, gconstpointer data)
+/** The back end crashes under the request more than three times in all, but completed runs in between clear it. */
+static void test_completed_run(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "hhohhohho", false, false}}, 1);
@@ -211,8 +212,8 @@
     }
 }
 
-/** Without a decode engine a prompt is not read: it would be for nothing. */
-static void test_prompt_for_nothing(fixture_t *f, gconstpointer data)
+/** Without a decode engine a prompt is not prefilled, since nothing could use the result. */
+static void test_no_decode_engine(fixture_t *f, gconstpointer data)
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"lm", "prefill", "p", false, false}}, 1);
@@ -224,10 +225,10 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/quarantine/" name, fixture_t, NULL, set_up, fn, tear_down)
-    TEST("ends-back-ends", test_ends_back_ends);
+    TEST("crashes-back-ends", test_crashes_back_ends);
     TEST("others-are-served", test_others_are_served);
     TEST("broken-connections", test_broken_connections);
-    TEST("run-that-ends-well", test_run_that_ends_well);
-    TEST("prompt-for-nothing", test_prompt_for_nothing);
+    TEST("completed-run", test_completed_run);
+    TEST("no-decode-engine", test_no_decode_engine);
     return g_test_run();
 }
--- a/tests/random/test_quarantine_random.c
+++ b/tests/random/test_quarantine_random.c
@@ -1,6 +1,6 @@
-/* Many suspects and a few culprits: requests under which engines end are found out by the third end, and who only ran
- * beside them is not taken for one of them. The scheduler and the table are the real ones; engines, boxes and callers
- * are made up, and time passes in steps. */
+/* Many suspects and a few culprits: requests that crash engines are identified by their third crash, and requests that
+ * only ran beside them are not blamed. Uses the real scheduler and quarantine table with simulated engines, boxes,
+ * callers and time. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -15,42 +15,43 @@
 enum {
     STEP_MS = 10,
     SPAN_MS = 25000,
-    SETTLED_MS = 600, /* after the third end: a report, its answer, and the time in which an end settles */
-    PREFILLS = 4,     /* of the engines, which do not end */
+    SETTLED_MS = 600, /* after the third crash: a report, its answer, and the time in which a crash settles */
+    PREFILLS = 4,     /* prefill engines: the first of the engines; waves of crashes spare them */
     ENGINES_MAX = 24,
-    BACK_MS = 3000,   /* an engine that ended is there again, */
-    PREFILL_MS = 120, /* a prompt is read and moved */
-    STREAM_MS = 3000, /* a stream takes so long in the mean */
-    FATAL_MS = 60,    /* a culprit ends its engine within this time */
-    RETURN_MS = 700,  /* a caller whose stream broke off comes back */
-    TRIES_MAX = 3,    /* of an innocent caller; culprits come again for ever */
-    RENEW_MS = 400,
+    RESTART_MS = 3000,    /* from the crash of an engine until it runs again */
+    PREFILL_MS = 120,     /* prefill and transfer of a prompt */
+    STREAM_MS = 3000,     /* mean duration of a stream */
+    CRASH_MAX_MS = 60,    /* a culprit crashes its engine within this time */
+    RETRY_DELAY_MS = 700, /* until a caller whose stream broke off retries */
+    TRIES_MAX = 3,        /* of an innocent caller; culprits retry for ever */
+    RENEW_INTERVAL_MS = 400,
     CALLERS_MAX = 1024
 };
 
-typedef enum { AWAY, WAITING, READING, RUNNING, GONE } state_t;
+typedef enum { IDLE, QUEUED, PREFILLING, RUNNING, DONE } state_t;
 
 typedef struct {
-    bool fatal;        /* it ends engines, */
-    bool fatal_prompt; /* when they read its prompt */
+    bool fatal;        /* crashes engines */
+    bool fatal_prompt; /* does so during prefill */
     uint64_t fingerprint;
     state_t state;
-    tc_time_t until; /* of the state */
+    tc_time_t until; /* end of the state */
     tc_time_t renew_at;
-    unsigned tries, numbers; /* of the caller; placements, each with an id of its own */
+    unsigned tries;
+    unsigned placements; /* requested, each with an id of its own */
     uint32_t attempt;
-    int engine, prefill; /* the decode engine, and the one that reads its prompt */
-    unsigned ended;      /* engines that it ended */
-    tc_time_t third_at;  /* the third of them, 0: none */
-    unsigned sent_late;  /* tries, to engines, after all could know; */
-    bool late;           /* this one was */
+    int engine, prefill; /* the decode engine and the prefill engine */
+    unsigned crashed;    /* engines that it crashed */
+    tc_time_t third_at;  /* time of the third crash, 0: none yet */
+    unsigned sent_late;  /* tries sent to engines more than SETTLED_MS after the third crash */
+    bool late;           /* whether the current try is one of them */
     bool refused, served;
 } caller_t;
 
 typedef struct {
     char name[CODEC_STR_SIZE];
-    unsigned lives;
-    tc_time_t back_at; /* 0: it runs */
+    unsigned starts;
+    tc_time_t restart_at; /* 0: it runs */
 } engine_t;
 
 typedef struct {
@@ -62,8 +63,8 @@
     caller_t callers[CALLERS_MAX];
     unsigned callers_n;
     tc_time_t now;
-    double pace; /* new callers a step */
-    unsigned ends;
+    double pace; /* probability of a new caller per step */
+    unsigned crashes;
 } world_t;
 
 static void configure(world_t *w)
@@ -72,7 +73,7 @@
     uint32_t n = 0;
     memset(cfg, 0, sizeof(cfg));
     for (int i = 0; i < w->engines_n; i++) {
-        if (w->engines[i].back_at)
+        if (w->engines[i].restart_at)
             continue;
         engine_cfg_t *const e = &cfg[n++];
         codec_copy_string(e->name, sizeof(e->name), w->engines[i].name);
@@ -90,21 +91,21 @@
         sched_on_engine_state(w->sched, cfg[i].name, 1, false, NULL, 0, w->now, w->now);
 }
 
-static void begin_life(world_t *w, int i)
+static void start_engine(world_t *w, int i)
 {
     engine_t *const e = &w->engines[i];
-    e->back_at = 0;
-    g_snprintf(e->name, sizeof(e->name), "e%d.%u", i, e->lives++);
+    e->restart_at = 0;
+    g_snprintf(e->name, sizeof(e->name), "e%d.%u", i, e->starts++);
 }
 
 /* ===== Requests ===== */
 
 static void name_request(const world_t *w, const caller_t *c, char *id)
 {
-    g_snprintf(id, CODEC_STR_SIZE, "r%u.%u", (unsigned)(c - w->callers), c->numbers);
+    g_snprintf(id, CODEC_STR_SIZE, "r%u.%u", (unsigned)(c - w->callers), c->placements);
 }
 
-static void tell(world_t *w, const caller_t *c, phase_t phase)
+static void send_progress(world_t *w, const caller_t *c, phase_t phase)
 {
     msg_progress_t progress = {.attempt = c->attempt, .phase = phase};
     name_request(w, c, progress.id);
@@ -112,66 +113,66 @@
     sched_progress(w->sched, &progress, w->now);
 }
 
-static void go(caller_t *c, state_t state, tc_time_t until)
+static void set_state(caller_t *c, state_t state, tc_time_t until)
 {
     c->state = state;
     c->until = until;
 }
 
-/** The caller's try is over. It comes back, or has given up. */
+/** Ends the caller's try. The caller retries, or gives up. */
 static void end_try(const world_t *w, caller_t *c)
 {
     const bool more = c->fatal || ++c->tries < TRIES_MAX;
-    go(c, more ? AWAY : GONE, w->now + RETURN_MS);
+    set_state(c, more ? IDLE : DONE, w->now + RETRY_DELAY_MS);
 }
 
-static void ask(world_t *w, caller_t *c)
+static void request_placement(world_t *w, caller_t *c)
 {
-    const unsigned ends = quarantine_crash_count(w->q, c->fingerprint, w->now);
-    if (ends >= QUARANTINE_CRASH_LIMIT) {
+    const unsigned crashes = quarantine_crash_count(w->q, c->fingerprint, w->now);
+    if (crashes >= QUARANTINE_CRASH_LIMIT) {
         c->refused = true;
         end_try(w, c);
         return;
     }
-    c->numbers++;
+    c->placements++;
     msg_place_t place = {.prompt_tokens = 3000, .max_tokens = 100, .wait_ms = 900, .fingerprint = c->fingerprint};
-    place.ends = ends;
+    place.ends = crashes;
     name_request(w, c, place.id);
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "m");
-    go(c, WAITING, TC_TIME_NEVER);
+    set_state(c, QUEUED, TC_TIME_NEVER);
     sched_place(w->sched, &place, (sched_token_t){.a = (uint64_t)(c - w->callers)}, w->now);
 }
 
 static int find_engine(const world_t *w, const char *name)
 {
     for (int i = 0; i < w->engines_n; i++)
-        if (strcmp(w->engines[i].name, name) == 0 && !w->engines[i].back_at)
+        if (strcmp(w->engines[i].name, name) == 0 && !w->engines[i].restart_at)
             return i;
     return -1;
 }
 
-/** It is sent to an engine; each try counts once. */
-static void note_late(const world_t *w, caller_t *c)
+/** Counts a try that is sent to an engine too late, once per try. */
+static void count_late(const world_t *w, caller_t *c)
 {
     const bool late = c->third_at > 0 && w->now > c->third_at + SETTLED_MS;
     c->sent_late += late && !c->late;
     c->late = c->late || late;
 }
 
-static void read_prompt(world_t *w, caller_t *c)
+static void start_prefill(world_t *w, caller_t *c)
 {
     if (quarantine_crash_count(w->q, c->fingerprint, w->now) >= QUARANTINE_CRASH_LIMIT) {
-        tell(w, c, PHASE_FAILED);
+        send_progress(w, c, PHASE_FAILED);
         end_try(w, c);
         return;
     }
     c->late = false;
-    note_late(w, c);
-    go(c, READING, w->now + (c->fatal_prompt ? g_rand_int_range(w->random, 1, FATAL_MS) : PREFILL_MS));
+    count_late(w, c);
+    set_state(c, PREFILLING, w->now + (c->fatal_prompt ? g_rand_int_range(w->random, 1, CRASH_MAX_MS) : PREFILL_MS));
 }
 
-static void take_answers(world_t *w)
+static void handle_actions(world_t *w)
 {
     sched_action_t action;
     while (sched_next_action(w->sched, &action)) {
@@ -187,84 +188,84 @@
         if (!placed->granted || c->engine < 0 || c->prefill < 0)
             end_try(w, c);
         else
-            read_prompt(w, c);
+            start_prefill(w, c);
     }
     sched_check(w->sched);
 }
 
-/** It begins to run at its engine. */
-static void run(world_t *w, caller_t *c)
+/** The request begins to run on its decode engine. */
+static void start_decode(world_t *w, caller_t *c)
 {
     if (quarantine_crash_count(w->q, c->fingerprint, w->now) >= QUARANTINE_CRASH_LIMIT) {
-        tell(w, c, PHASE_FAILED);
+        send_progress(w, c, PHASE_FAILED);
         end_try(w, c);
         return;
     }
-    note_late(w, c);
-    tell(w, c, PHASE_DECODE);
+    count_late(w, c);
+    send_progress(w, c, PHASE_DECODE);
     const int span =
-        c->fatal ? g_rand_int_range(w->random, 1, FATAL_MS) : g_rand_int_range(w->random, 200, 2 * STREAM_MS);
-    go(c, RUNNING, w->now + span);
-    c->renew_at = w->now + RENEW_MS;
+        c->fatal ? g_rand_int_range(w->random, 1, CRASH_MAX_MS) : g_rand_int_range(w->random, 200, 2 * STREAM_MS);
+    set_state(c, RUNNING, w->now + span);
+    c->renew_at = w->now + RENEW_INTERVAL_MS;
 }
 
-/** An engine ends, and with it what runs there. @param culprit that ended it, or NULL */
-static void end_engine(world_t *w, int engine, caller_t *culprit)
+/** Crashes an engine: all its requests fail. @param culprit the request that caused it, or NULL */
+static void crash_engine(world_t *w, int engine, caller_t *culprit)
 {
     engine_t *const e = &w->engines[engine];
-    w->ends++;
-    if (culprit && ++culprit->ended == QUARANTINE_CRASH_LIMIT)
+    w->crashes++;
+    if (culprit && ++culprit->crashed == QUARANTINE_CRASH_LIMIT)
         culprit->third_at = w->now;
     for (unsigned i = 0; i < w->callers_n; i++) {
         caller_t *const c = &w->callers[i];
         const bool runs = c->state == RUNNING && c->engine == engine;
-        const bool reads = c->state == READING && c->prefill == engine;
-        if (!runs && !reads)
+        const bool prefills = c->state == PREFILLING && c->prefill == engine;
+        if (!runs && !prefills)
             continue;
         (void)quarantine_add_crash(w->q, c->fingerprint, e->name, w->now, w->now);
-        tell(w, c, PHASE_FAILED);
-        /* Its box repeats it once; behind a second end its caller has to come back. */
+        send_progress(w, c, PHASE_FAILED);
+        /* The box retries after the first crash; after a second one the caller has to. */
         if (quarantine_crash_count(w->q, c->fingerprint, w->now) < 2)
-            go(c, AWAY, w->now + STEP_MS);
+            set_state(c, IDLE, w->now + STEP_MS);
         else
             end_try(w, c);
     }
-    e->back_at = w->now + BACK_MS;
+    e->restart_at = w->now + RESTART_MS;
     configure(w);
 }
 
-static void move_on(world_t *w, caller_t *c)
+static void step_caller(world_t *w, caller_t *c)
 {
     if (c->state == RUNNING && w->now >= c->renew_at) {
-        tell(w, c, PHASE_DECODE);
-        c->renew_at = w->now + RENEW_MS;
+        send_progress(w, c, PHASE_DECODE);
+        c->renew_at = w->now + RENEW_INTERVAL_MS;
     }
     if (w->now < c->until)
         return;
     switch (c->state) {
-    case AWAY: ask(w, c); break;
-    case READING:
+    case IDLE: request_placement(w, c); break;
+    case PREFILLING:
         if (c->fatal_prompt) {
-            end_engine(w, c->prefill, c);
-        } else if (w->engines[c->engine].back_at) {
-            tell(w, c, PHASE_FAILED);
+            crash_engine(w, c->prefill, c);
+        } else if (w->engines[c->engine].restart_at) {
+            send_progress(w, c, PHASE_FAILED);
             end_try(w, c);
         } else {
-            run(w, c);
+            start_decode(w, c);
         }
         break;
     case RUNNING:
         if (c->fatal) {
-            end_engine(w, c->engine, c);
+            crash_engine(w, c->engine, c);
             break;
         }
-        tell(w, c, PHASE_FINISHED);
+        send_progress(w, c, PHASE_FINISHED);
         quarantine_clear(w->q, c->fingerprint, w->now);
         c->served = true;
-        go(c, GONE, TC_TIME_NEVER);
+        set_state(c, DONE, TC_TIME_NEVER);
         break;
-    case WAITING:
-    case GONE: break;
+    case QUEUED:
+    case DONE: break;
     }
 }
 
@@ -276,7 +277,7 @@
     *c = (caller_t){.fatal = fatal,
                     .fatal_prompt = fatal_prompt,
                     .fingerprint = 1000 + w->callers_n,
-                    .state = AWAY,
+                    .state = IDLE,
                     .until = w->now};
 }
 
@@ -284,20 +285,21 @@
 
 typedef struct {
     unsigned culprits;
-    unsigned by_prompt; /* each so-manieth of them ends engines that read its prompt, the others those that run them;
-                           0: none */
-    int crash_every;    /* ms between waves in which a fifth of the engines ends by itself; 0: none */
+    /* One in so many culprits crashes engines during prefill, the others during decode; 0: none. */
+    unsigned prompt_every;
+    /* Between waves in which a fifth of the decode engines crashes by itself; 0: no waves. */
+    int wave_interval_ms;
 } plan_t;
 
 typedef struct {
-    unsigned ends, by_culprits, late, innocents, refused, served;
+    unsigned crashes, by_culprits, late, innocents, refused, served;
 } totals_t;
 
-static void crash_some(world_t *w)
+static void crash_wave(world_t *w)
 {
     for (int i = PREFILLS; i < w->engines_n; i++)
-        if (!w->engines[i].back_at && g_rand_int_range(w->random, 0, 5) == 0)
-            end_engine(w, i, NULL);
+        if (!w->engines[i].restart_at && g_rand_int_range(w->random, 0, 5) == 0)
+            crash_engine(w, i, NULL);
 }
 
 static totals_t run_world(guint32 seed, const plan_t *plan)
@@ -312,33 +314,33 @@
     w->engines_n = PREFILLS + g_rand_int_range(w->random, 5, ENGINES_MAX - PREFILLS);
     w->pace = g_rand_double_range(w->random, 0.05, 0.3);
     for (int i = 0; i < w->engines_n; i++)
-        begin_life(w, i);
+        start_engine(w, i);
     configure(w);
     for (tc_time_t end = w->now + SPAN_MS; w->now < end; w->now += STEP_MS) {
         if (g_rand_double(w->random) < w->pace)
             add_caller(w, false, false);
         if (w->callers_n > 20 && r.by_culprits < plan->culprits && g_rand_int_range(w->random, 0, 40) == 0) {
-            add_caller(w, true, plan->by_prompt && r.by_culprits % plan->by_prompt == plan->by_prompt - 1);
+            add_caller(w, true, plan->prompt_every && r.by_culprits % plan->prompt_every == plan->prompt_every - 1);
             r.by_culprits++;
         }
-        if (plan->crash_every && w->now % plan->crash_every == 0)
-            crash_some(w);
+        if (plan->wave_interval_ms && w->now % plan->wave_interval_ms == 0)
+            crash_wave(w);
         for (int i = 0; i < w->engines_n; i++) {
-            if (!w->engines[i].back_at || w->now < w->engines[i].back_at)
+            if (!w->engines[i].restart_at || w->now < w->engines[i].restart_at)
                 continue;
-            begin_life(w, i);
+            start_engine(w, i);
             configure(w);
         }
         for (unsigned i = 0; i < w->callers_n; i++)
-            move_on(w, &w->callers[i]);
+            step_caller(w, &w->callers[i]);
         sched_tick(w->sched, w->now);
-        take_answers(w);
+        handle_actions(w);
     }
-    r.ends = w->ends;
+    r.crashes = w->crashes;
     r.by_culprits = 0;
     for (unsigned i = 0; i < w->callers_n; i++) {
         const caller_t *const c = &w->callers[i];
-        r.by_culprits += c->fatal ? c->ended : 0;
+        r.by_culprits += c->fatal ? c->crashed : 0;
         r.late += c->fatal ? c->sent_late : 0;
         r.innocents += !c->fatal;
         r.refused += !c->fatal && c->refused;
@@ -358,65 +360,67 @@
     totals_t sum = {0};
     for (guint32 seed = 1; seed <= count; seed++) {
         const totals_t r = run_world(seed, plan);
-        /* An end in the middle of a wave of six is not held against the culprit, so that it may end one more. */
-        const unsigned spared = plan->crash_every ? plan->culprits : 0;
-        if (r.late > spared || (plan->crash_every == 0 && r.refused > 0) ||
-            (plan->crash_every == 0 && r.ends > QUARANTINE_CRASH_LIMIT * plan->culprits))
-            g_error("seed %u: %u ends, %u culprits sent late, %u innocents refused", seed, r.ends, r.late, r.refused);
-        sum.ends += r.ends;
+        /* A culprit's crash within a wave of six does not count against it, so it may crash one engine more. */
+        const unsigned spared = plan->wave_interval_ms ? plan->culprits : 0;
+        if (r.late > spared || (plan->wave_interval_ms == 0 && r.refused > 0) ||
+            (plan->wave_interval_ms == 0 && r.crashes > QUARANTINE_CRASH_LIMIT * plan->culprits))
+            g_error("seed %u: %u crashes, %u culprits sent late, %u innocents refused", seed, r.crashes, r.late,
+                    r.refused);
+        sum.crashes += r.crashes;
         sum.by_culprits += r.by_culprits;
         sum.innocents += r.innocents;
         sum.refused += r.refused;
         sum.served += r.served;
     }
-    g_test_message("%u seeds: %u engines ended, %u times under culprits; of %u innocents %u served, %u refused as held",
-                   count, sum.ends, sum.by_culprits, sum.innocents, sum.served, sum.refused);
+    g_test_message(
+        "%u seeds: %u engines crashed, %u of them under culprits; of %u innocents %u served, %u refused as held", count,
+        sum.crashes, sum.by_culprits, sum.innocents, sum.served, sum.refused);
     return sum;
 }
 
 static void test_one_culprit(void)
 {
     const totals_t r = run_seeds(&(plan_t){.culprits = 1});
-    g_assert_cmpuint(r.ends, >, 0);
+    g_assert_cmpuint(r.crashes, >, 0);
 }
 
 static void test_two_culprits(void)
 {
     const totals_t r = run_seeds(&(plan_t){.culprits = 2});
-    g_assert_cmpuint(r.ends, >, 0);
+    g_assert_cmpuint(r.crashes, >, 0);
 }
 
-/** The same at prefill engines, of which there are few and which read several prompts at a time. */
+/** Crashes of prefill engines, of which there are few, with several prompts on each at a time. */
 static void test_one_fatal_prompt(void)
 {
-    const totals_t r = run_seeds(&(plan_t){.culprits = 1, .by_prompt = 1});
-    g_assert_cmpuint(r.ends, >, 0);
+    const totals_t r = run_seeds(&(plan_t){.culprits = 1, .prompt_every = 1});
+    g_assert_cmpuint(r.crashes, >, 0);
 }
 
 static void test_two_fatal_prompts(void)
 {
-    const totals_t r = run_seeds(&(plan_t){.culprits = 2, .by_prompt = 1});
-    g_assert_cmpuint(r.ends, >, 0);
+    const totals_t r = run_seeds(&(plan_t){.culprits = 2, .prompt_every = 1});
+    g_assert_cmpuint(r.crashes, >, 0);
 }
 
-/** One of each kind: an innocent may be beside either, as its prompt is read and as it runs. */
+/** One culprit of each kind: an innocent may run beside either, during prefill and during decode. */
 static void test_fatal_prompt_and_culprit(void)
 {
-    const totals_t r = run_seeds(&(plan_t){.culprits = 2, .by_prompt = 2});
-    g_assert_cmpuint(r.ends, >, 0);
+    const totals_t r = run_seeds(&(plan_t){.culprits = 2, .prompt_every = 2});
+    g_assert_cmpuint(r.crashes, >, 0);
 }
 
-/** Engines end by themselves, in waves of a few at once. Of the innocents, who are in the way of up to eight waves, two
- * in a thousand at most are taken for culprits. */
-static void test_crashes_of_their_own(void)
+/** Engines crash by themselves, in waves of a few at once. An innocent may be hit by up to eight waves; fewer than two
+ *  in a thousand may be held. */
+static void test_unrelated_crashes(void)
 {
-    const totals_t r = run_seeds(&(plan_t){.crash_every = 3000});
+    const totals_t r = run_seeds(&(plan_t){.wave_interval_ms = 3000});
     g_assert_cmpuint(r.refused * 500, <, r.innocents);
 }
 
 static void test_culprit_and_crashes(void)
 {
-    const totals_t r = run_seeds(&(plan_t){.culprits = 1, .crash_every = 3000});
+    const totals_t r = run_seeds(&(plan_t){.culprits = 1, .wave_interval_ms = 3000});
     g_assert_cmpuint(r.refused * 300, <, r.innocents);
 }
 
@@ -428,7 +432,7 @@
     g_test_add_func("/quarantine-random/one-fatal-prompt", test_one_fatal_prompt);
     g_test_add_func("/quarantine-random/two-fatal-prompts", test_two_fatal_prompts);
     g_test_add_func("/quarantine-random/fatal-prompt-and-culprit", test_fatal_prompt_and_culprit);
-    g_test_add_func("/quarantine-random/crashes-of-their-own", test_crashes_of_their_own);
+    g_test_add_func("/quarantine-random/unrelated-crashes", test_unrelated_crashes);
     g_test_add_func("/quarantine-random/culprit-and-crashes", test_culprit_and_crashes);
     return g_test_run();
 }
--- a/tests/unit/test_cluster_evacuations.c
+++ b/tests/unit/test_cluster_evacuations.c
@@ -1,5 +1,5 @@
-/* Evacuations in the replicated log: accepted ones outlive every box, and are acknowledged once the boxes that are
- * there act on them. */
+/* Evacuations in the replicated log: an accepted one survives the restart of every box, and is acknowledged when all
+ * live boxes apply it. */
 
 #include <glib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
     lab_run_until_true(f->loop, &f->offered);
 }
 
-/** As an operator does: until it is taken. */
+/** Repeats the order until it is accepted, as an operator does. */
 static void evacuate(fixture_t *f, const char *dc, bool on)
 {
     do {
@@ -23,7 +23,7 @@
     g_assert_cmpint(f->offer_rc, ==, TC_OK);
 }
 
-static bool reads_any(void *arg)
+static bool has_evacuations(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -32,7 +32,7 @@
 
 static void expect(fixture_t *f, const char *dc, bool on)
 {
-    lab_run_until(f->loop, reads_any, f);
+    lab_run_until(f->loop, has_evacuations, f);
     g_assert_true(evacuations_has(replica_evacuations(f->replica[leader(f)]), dc) == on);
 }
 
@@ -49,7 +49,7 @@
     put(f, 4);
     evacuate(f, "a", true);
     evacuate(f, "b", true);
-    evacuate(f, "a", true); /* sent again */
+    evacuate(f, "a", true); /* repeated */
     const int gone = leader(f);
     stop_box(f, gone);
     expect(f, "a", true);
@@ -63,7 +63,7 @@
     expect_read(f, 4);
 }
 
-/** A box that had no part of the log gets them with the snapshot. */
+/** A box without any log entry gets the evacuations with the snapshot. */
 static void test_in_snapshots(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -74,13 +74,13 @@
     lab_run_until(f->loop, snapshots_wanted, f);
     const int gone = leader(f);
     stop_box(f, gone);
-    start_box(f, 3, false); /* elsewhere, empty */
+    start_box(f, 3, false); /* a new box without data */
     f->who = 3;
     lab_run_until(f->loop, three_with_who, f);
     for (int i = 0; i < SEEDS; i++)
         if (i != gone && i != leader(f))
             stop_box(f, i);
-    expect(f, "a", true); /* of the box that is left and the new one */
+    expect(f, "a", true); /* known to the remaining box and the new one */
 }
 
 /* ===== Boxes ===== */
@@ -88,7 +88,7 @@
 typedef struct {
     fixture_t *f;
     uint64_t version;
-    bool evacuated; /* data centre "a", as the box was told */
+    bool evacuated; /* whether data centre "a" is, by the last update */
 } box_t;
 
 static bool on_document(void *arg, const document_t *document)
@@ -100,17 +100,17 @@
 static void on_evacuations(void *arg, const evacuations_t *evacuations)
 {
     box_t *const box = arg;
-    g_assert_cmpuint(evacuations->version, >, box->version); /* never back */
+    g_assert_cmpuint(evacuations->version, >, box->version); /* versions only increase */
     box->version = evacuations->version;
     box->evacuated = evacuations_has(evacuations, "a");
 }
 
-static bool reports_to_leader(void *arg)
+static bool has_reported(void *arg)
 {
     return reporter_leader_contact_time(((fixture_t *)arg)->reporter) > 0;
 }
 
-static bool is_told(void *arg)
+static bool is_evacuated(void *arg)
 {
     return ((box_t *)arg)->evacuated;
 }
@@ -130,9 +130,7 @@
     g_assert_nonnull(f->reporter);
 }
 
-/** Promise: what is acknowledged is in force at every box that is there; one that starts later is told before it
- * serves.
- */
+/** An acknowledged evacuation is in force at every live box; a box that starts later learns of it before it serves. */
 static void test_boxes(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -140,19 +138,19 @@
     start_all(f, true);
     put(f, 4);
     start_reporter(&box, f->addr[leader(f)]);
-    lab_run_until(f->loop, reports_to_leader, f);
+    lab_run_until(f->loop, has_reported, f);
     const int64_t unspread = counter_read("trackcove_cluster_unspread_total");
     evacuate(f, "a", true);
     g_assert_true(box.evacuated || counter_read("trackcove_cluster_unspread_total") > unspread);
-    lab_run_until(f->loop, is_told, &box);
+    lab_run_until(f->loop, is_evacuated, &box);
     evacuate(f, "a", false);
     evacuate(f, "a", true);
-    lab_run_until(f->loop, is_told, &box);
+    lab_run_until(f->loop, is_evacuated, &box);
     reporter_destroy(f->reporter);
     box = (box_t){.f = f};
     const int follower = (leader(f) + 1) % SEEDS;
     start_reporter(&box, f->addr[follower]);
-    lab_run_until(f->loop, is_told, &box);
+    lab_run_until(f->loop, is_evacuated, &box);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_cold.c
+++ b/tests/unit/test_cold.c
@@ -1,9 +1,9 @@
-/* Back ends that have just started bear few requests a second, of all boxes together.
+/* Cold back ends, which have just started, are sent few requests per second by all boxes together.
  *
- * Seen: nothing read which back ends are cold, so that nothing held back what they get; a data centre that comes back
- * after an evacuation brings many at once, before the list shows them. The load: as many requests as can be asked, of
- * boxes and of the scheduler at the same time, to one cold engine. The limits by themselves, over many boxes without a
- * leader too, are test_caps_random's. */
+ * Guards against a missing limit: nothing read which back ends are cold, so they got the full rate. The end of an
+ * evacuation brings many cold back ends at once, before the list marks them. Load: one cold engine gets as many
+ * requests as possible from boxes and from the scheduler at the same time. test_caps_random tests the limits
+ * themselves, over many boxes and without a leader. */
 
 #include <glib.h>
 #include <string.h>
@@ -11,30 +11,30 @@
 #include "cluster/cold.h"
 #include "cluster/limits.h"
 
-/* ===== Which are cold ===== */
+/* ===== Detection ===== */
 
 static void test_reopened(void)
 {
     cold_t *const cold = cold_create();
     const backend_t in = {.id = "1", .dc = "a"}, other = {.id = "2", .dc = "b"},
-                    told = {.id = "3", .dc = "b", .cold = true};
+                    marked = {.id = "3", .dc = "b", .cold = true};
     evacuated_dc_t dc = {.dc = "a"};
     const evacuations_t none = {.version = 5}, one = {.version = 4, .list = &dc, .list_n = 1};
-    g_assert_true(cold_is(cold, &told));
+    g_assert_true(cold_is(cold, &marked));
     g_assert_false(cold_is(cold, &in));
     cold_update_evacuations(cold, &none, &one, 1000);
-    g_assert_false(cold_is(cold, &in)); /* it gets nothing */
+    g_assert_false(cold_is(cold, &in)); /* evacuated: it gets no requests */
     cold_update_evacuations(cold, &one, &none, 9000);
     g_assert_true(cold_is(cold, &in));
     g_assert_false(cold_is(cold, &other));
-    g_assert_false(cold_update_list(cold, 9900)); /* read too early to tell */
+    g_assert_false(cold_update_list(cold, 9900)); /* within the list's lag */
     g_assert_true(cold_is(cold, &in));
     g_assert_true(cold_update_list(cold, 11000));
     g_assert_false(cold_is(cold, &in));
     cold_destroy(cold);
 }
 
-/* ===== What they get ===== */
+/* ===== Limits ===== */
 
 enum { RATE = 20, WINDOW_MS = 1000, ALLOWED = RATE + RATE / 2 + 5, SPAN_MS = 12000, STEP_MS = 10 };
 
@@ -44,8 +44,8 @@
 typedef struct {
     sched_t *sched;
     limits_t *limits;
-    GArray *sent; /* tc_time_t: each request that the engine got */
-    unsigned asked, placed;
+    GArray *sent; /* tc_time_t of each request sent to the engine */
+    unsigned requested, placed;
 } world_t;
 
 static void add_sent(world_t *w, tc_time_t now)
@@ -53,13 +53,13 @@
     g_array_append_val(w->sent, now);
 }
 
-/** The scheduler's placements of one step: each takes a place of the engine, and is over at once. */
+/** Requests one placement from the scheduler; granted ones are reported as finished at once. */
 static void place(world_t *w, tc_time_t now)
 {
     msg_place_t place = {.prompt_tokens = 100, .max_tokens = 10, .wait_ms = 300};
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "m");
-    g_snprintf(place.id, sizeof(place.id), "r%u", w->asked++);
+    g_snprintf(place.id, sizeof(place.id), "r%u", w->requested++);
     sched_place(w->sched, &place, (sched_token_t){0}, now);
     sched_action_t action;
     while (sched_next_action(w->sched, &action)) {
@@ -67,13 +67,14 @@
             continue;
         add_sent(w, now);
         w->placed++;
-        msg_progress_t over = {.attempt = action.u.answer.placed.attempt, .phase = PHASE_FINISHED};
-        codec_copy_string(over.id, sizeof(over.id), action.u.answer.id);
-        sched_progress(w->sched, &over, now);
+        msg_progress_t finished = {.attempt = action.u.answer.placed.attempt, .phase = PHASE_FINISHED};
+        codec_copy_string(finished.id, sizeof(finished.id), action.u.answer.id);
+        sched_progress(w->sched, &finished, now);
     }
 }
 
-static void take(world_t *w, tc_time_t now)
+/** Requests one slot of the limit as a box. */
+static void acquire(world_t *w, tc_time_t now)
 {
     tc_time_t after;
     msg_take_limit_t message = {.cold = true};
@@ -82,19 +83,19 @@
         add_sent(w, now);
 }
 
-static unsigned most_in_window(const GArray *sent)
+static unsigned max_in_window(const GArray *sent)
 {
-    unsigned most = 0;
+    unsigned max = 0;
     guint from = 0;
     for (guint to = 0; to < sent->len; to++) {
         while (g_array_index(sent, tc_time_t, to) - g_array_index(sent, tc_time_t, from) >= WINDOW_MS)
             from++;
-        most = MAX(most, to - from + 1);
+        max = MAX(max, to - from + 1);
     }
-    return most;
+    return max;
 }
 
-static void begin(world_t *w, tc_time_t now)
+static void start_world(world_t *w, tc_time_t now)
 {
     engine_cfg_t engines[2] = {{.role = ROLE_PREFILL}, {.role = ROLE_DECODE}};
     for (int i = 0; i < 2; i++) {
@@ -117,7 +118,7 @@
 {
     const tc_time_t from = 1000000;
     world_t w;
-    begin(&w, from);
+    start_world(&w, from);
     cap_cfg_t cold = {.rate = RATE};
     codec_copy_string(cold.name, sizeof(cold.name), "d");
     limits_set_cold(w.limits, &cold, 1, from);
@@ -127,12 +128,12 @@
         sched_tick(w.sched, now);
         for (int i = 0; i < 3; i++) {
             place(&w, now);
-            take(&w, now);
+            acquire(&w, now);
         }
     }
-    g_assert_cmpuint(most_in_window(w.sent), <=, ALLOWED);
+    g_assert_cmpuint(max_in_window(w.sent), <=, ALLOWED);
     g_assert_cmpuint(w.sent->len, >=, RATE * (SPAN_MS / 1000) * 2 / 3);
-    /* It is cold no more: the scheduler grants as much as there is room for. */
+    /* No longer cold: the scheduler grants as many as the engine has room for. */
     limits_set_cold(w.limits, NULL, 0, from + SPAN_MS);
     limits_tick(w.limits, w.sched, 1, from + SPAN_MS);
     g_assert_cmpuint(w.placed, >, 0);
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -1,4 +1,5 @@
-/* The replicated document: the newest wins; its text packed, in pieces and back; and JSON read piece by piece. */
+/* The replicated document: the highest version replaces others; the text is compressed, split into pieces and restored;
+ * and JSON is parsed incrementally. */
 
 #include <glib.h>
 #include <string.h>
@@ -7,7 +8,7 @@
 #include "common/codec.h"
 #include "common/json_stream.h"
 
-/* ===== The newest wins ===== */
+/* ===== Versions ===== */
 
 static document_relation_t apply(document_t *held, uint64_t version, const char *text)
 {
@@ -49,8 +50,8 @@
 
 /* ===== Pieces ===== */
 
-/** A text that packs to several pieces. */
-static char *long_text(guint32 seed)
+/** @return a random text whose compressed form has several pieces */
+static char *make_long_text(guint32 seed)
 {
     GRand *const random = g_rand_new_with_seed(seed);
     GString *const text = g_string_new(NULL);
@@ -60,36 +61,36 @@
     return g_string_free(text, FALSE);
 }
 
-/** The next piece that @p arrival lacks, as @p held gives it. */
-static document_piece_t next_piece(const document_t *held, const document_download_t *arrival)
+/** @return the next piece that @p download needs, cut from @p held */
+static document_piece_t next_piece(const document_t *held, const document_download_t *download)
 {
     const msg_fetch_piece_t ask = {
-        .version = arrival->head.version, .body_hash = arrival->head.body_hash, .offset = arrival->have};
+        .version = download->head.version, .body_hash = download->head.body_hash, .offset = download->have};
     return document_piece(held, &ask);
 }
 
 static void test_pieces(void)
 {
-    char *const text = long_text(1);
+    char *const text = make_long_text(1);
     document_t held = {0}, copy = {0};
-    document_download_t arrival = {0};
+    document_download_t download = {0};
     document_make(&held, 7, text, strlen(text));
     const document_head_t head = document_head(&held);
-    g_assert_true(document_download_begin(&arrival, &head));
+    g_assert_true(document_download_begin(&download, &head));
     unsigned pieces = 0;
-    while (!document_download_is_complete(&arrival)) {
-        const document_piece_t piece = next_piece(&held, &arrival);
+    while (!document_download_is_complete(&download)) {
+        const document_piece_t piece = next_piece(&held, &download);
         g_assert_cmpuint(piece.data_n, <=, DOCUMENT_PIECE_BYTES);
-        g_assert_true(document_download_add(&arrival, &piece));
-        g_assert_false(document_download_add(&arrival, &piece)); /* once is enough */
+        g_assert_true(document_download_add(&download, &piece));
+        g_assert_false(document_download_add(&download, &piece)); /* duplicate */
         pieces++;
     }
     g_assert_cmpuint(pieces, >, 3);
-    g_assert_true(document_download_is_valid(&arrival));
-    arrival.body[7] ^= 1; /* damaged on its way */
-    g_assert_false(document_download_is_valid(&arrival));
-    arrival.body[7] ^= 1;
-    document_download_take(&arrival, &copy);
+    g_assert_true(document_download_is_valid(&download));
+    download.body[7] ^= 1; /* damaged in transit */
+    g_assert_false(document_download_is_valid(&download));
+    download.body[7] ^= 1;
+    document_download_take(&download, &copy);
     g_assert_cmpint(document_compare(&held, &copy), ==, DOCUMENT_SAME);
     expect_text(&copy, text);
     codec_free(&document_desc, &held);
@@ -97,35 +98,35 @@
     g_free(text);
 }
 
-/** What is held no more, or was never, is not passed off as what was asked for. */
+/** A request for a document that is not held gets no data, and pieces of another document are not accepted. */
 static void test_pieces_of_another(void)
 {
-    char *const text = long_text(1), *const other = long_text(2);
+    char *const text = make_long_text(1), *const other = make_long_text(2);
     document_t asked = {0}, held = {0};
-    document_download_t arrival = {0};
+    document_download_t download = {0};
     document_make(&asked, 7, text, strlen(text));
     document_make(&held, 7, other, strlen(other)); /* the same version, other content */
     const document_head_t head = document_head(&asked);
-    g_assert_true(document_download_begin(&arrival, &head));
-    document_piece_t piece = next_piece(&held, &arrival);
+    g_assert_true(document_download_begin(&download, &head));
+    document_piece_t piece = next_piece(&held, &download);
     g_assert_cmpuint(piece.data_n, ==, 0);
-    g_assert_false(document_download_add(&arrival, &piece));
-    piece = next_piece(&asked, &arrival);
+    g_assert_false(document_download_add(&download, &piece));
+    piece = next_piece(&asked, &download);
     piece.offset += 1;
-    g_assert_false(document_download_add(&arrival, &piece));
+    g_assert_false(document_download_add(&download, &piece));
     const document_head_t large = {.version = 8, .packed = DOCUMENT_BODY_MAX_BYTES + 1};
-    g_assert_false(document_download_begin(&arrival, &large));
-    document_download_clear(&arrival);
+    g_assert_false(document_download_begin(&download, &large));
+    document_download_clear(&download);
     codec_free(&document_desc, &asked);
     codec_free(&document_desc, &held);
     g_free(text);
     g_free(other);
 }
 
-/** Packed bytes that are cut short or were changed are told, not read as something else. */
+/** Truncated or invalid compressed data is reported as corrupt, not expanded to another text. */
 static void test_packed_bytes_damaged(void)
 {
-    char *const text = long_text(3);
+    char *const text = make_long_text(3);
     size_t size;
     char *const packed = pack_text(text, strlen(text), &size);
     GString *const read = g_string_new(NULL);
@@ -138,10 +139,10 @@
     g_free(text);
 }
 
-/* ===== JSON piece by piece ===== */
+/* ===== Incremental JSON ===== */
 
-/** Writes down what is read, a line each. */
-static int note_part(void *arg, json_stream_kind_t kind, const char *member, const json_t *value, tc_err_t *err)
+/** Records each parsed part, one per line. */
+static int record_part(void *arg, json_stream_kind_t kind, const char *member, const json_t *value, tc_err_t *err)
 {
     static const char *const kinds[] = {"value", "list", "element"};
     char *const text = value ? json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT) : NULL;
@@ -152,17 +153,17 @@
     return json_is_false(value) ? tc_err_set(err, TC_E_INVALID, "test", member, "stopped") : TC_OK;
 }
 
-/** @return what was read, byte by byte, or NULL when it was refused */
-static char *read_bytes(const char *text, size_t size)
+/** Feeds the text one byte at a time. @return the recorded parts, or NULL when the text is rejected */
+static char *parse_bytes(const char *text, size_t size)
 {
     tc_err_t err = {0};
     GString *const notes = g_string_new(NULL);
-    json_stream_t *const stream = json_stream_create(note_part, notes, &err);
+    json_stream_t *const stream = json_stream_create(record_part, notes, &err);
     for (size_t i = 0; i < size; i++)
         (void)json_stream_add(stream, text + i, 1);
     if (json_stream_end(stream) == TC_OK)
         return g_string_free(notes, FALSE);
-    g_assert_cmpint(err.code, ==, TC_E_INVALID); /* and it says why */
+    g_assert_cmpint(err.code, ==, TC_E_INVALID); /* rejected with an error */
     g_string_free(notes, TRUE);
     return NULL;
 }
@@ -171,7 +172,7 @@
 {
     static const char text[] =
         " {\"a\":[{\"x\":[1,{\"y\":null}]},2.5e1,[]],\"b\":{\"c\":\"\\u00e4\"},\"d\":true,\"e\":-7} ";
-    char *const notes = read_bytes(text, strlen(text));
+    char *const notes = parse_bytes(text, strlen(text));
     g_assert_cmpstr(notes, ==,
                     "list a \nelement a {\"x\":[1,{\"y\":null}]}\nelement a 25.0\nelement a []\n"
                     "value b {\"c\":\"\xc3\xa4\"}\nvalue d true\nvalue e -7\n");
@@ -181,10 +182,10 @@
 static void test_json_passed_over(void)
 {
     static const char text[] = "{\"passed over\":[{\"x\":[1,{\"y\":[]}]},[2,[3]],\"s\",true,null],\"b\":[4]}";
-    char *const notes = read_bytes(text, strlen(text));
+    char *const notes = parse_bytes(text, strlen(text));
     g_assert_cmpstr(notes, ==, "list passed over \nlist b \nelement b 4\n");
     g_free(notes);
-    g_assert_null(read_bytes("{\"passed over\":[1", 17));
+    g_assert_null(parse_bytes("{\"passed over\":[1", 17));
 }
 
 static void test_json_refused(void)
@@ -206,7 +207,7 @@
         "{\"a\":false,\"b\":1}",
     };
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-        g_assert_null(read_bytes(bad[i], strlen(bad[i])));
+        g_assert_null(parse_bytes(bad[i], strlen(bad[i])));
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -1,8 +1,8 @@
-/* Data centres that operators have evacuated: what stands after any order of orders, and that nothing new is sent
- * there, by a box or by the scheduler.
+/* Evacuated data centres: the state after any sequence of orders, and that neither a box nor the scheduler sends new
+ * requests there.
  *
- * Seen: both evacuations of a day got 404, and back ends of the data centre got requests all the while. Cause: no part
- * of the program knew of evacuations. */
+ * Guards against missing support: evacuation orders were answered with 404, and the back ends of the data centre kept
+ * getting requests, since no part of the program implemented evacuations. */
 
 #include <glib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 #include "forward/fleet.h"
 #include "harness/lab.h"
 
-/* ===== What stands ===== */
+/* ===== State ===== */
 
 static bool order(evacuations_t *held, const char *dc, bool on, uint64_t index)
 {
@@ -25,10 +25,10 @@
 static void test_orders(void)
 {
     evacuations_t held = {0}, other = {0};
-    g_assert_false(order(&held, "b", false, 3)); /* an end without a start */
+    g_assert_false(order(&held, "b", false, 3)); /* end of an evacuation that is not in force */
     g_assert_cmpuint(held.version, ==, 0);
     g_assert_true(order(&held, "b", true, 5));
-    g_assert_false(order(&held, "b", true, 6)); /* sent again */
+    g_assert_false(order(&held, "b", true, 6)); /* repeated */
     g_assert_cmpuint(held.version, ==, 5);
     g_assert_true(order(&held, "a", true, 7));
     g_assert_true(order(&held, "c", true, 8));
@@ -46,22 +46,22 @@
     codec_free(&evacuations_desc, &other);
 }
 
-/** Boxes hear versions in any order, some never: each ends with what the log says. */
+/** Boxes receive versions in any order and miss some: each ends with the state of the log. */
 static void test_random_orders(void)
 {
-    enum { DAYS = 2000, DCS = 5, ENTRIES = 40, BOXES = 4 };
-    for (uint32_t seed = 1; seed <= DAYS; seed++) {
+    enum { SEEDS = 2000, DCS = 5, ENTRIES = 40, BOXES = 4 };
+    for (uint32_t seed = 1; seed <= SEEDS; seed++) {
         GRand *const random = g_rand_new_with_seed(seed);
         evacuations_t states[ENTRIES + 1], box[BOXES];
-        bool stands[DCS] = {false};
+        bool is_evacuated[DCS] = {false};
         memset(states, 0, sizeof(states));
         memset(box, 0, sizeof(box));
         for (uint64_t i = 1; i <= ENTRIES; i++) {
             const int dc = g_rand_int_range(random, 0, DCS);
             const char name[] = {(char)('a' + dc), '\0'};
-            stands[dc] = g_rand_boolean(random);
+            is_evacuated[dc] = g_rand_boolean(random);
             evacuations_copy(&states[i], &states[i - 1]);
-            (void)order(&states[i], name, stands[dc], i);
+            (void)order(&states[i], name, is_evacuated[dc], i);
             for (int k = 0; k < BOXES; k++)
                 (void)evacuations_update(&box[k], &states[g_rand_int_range(random, 0, (gint)i + 1)]);
         }
@@ -69,7 +69,7 @@
             (void)evacuations_update(&box[k], &states[ENTRIES]);
             for (int dc = 0; dc < DCS; dc++) {
                 const char name[] = {(char)('a' + dc), '\0'};
-                g_assert_true(evacuations_has(&box[k], name) == stands[dc]);
+                g_assert_true(evacuations_has(&box[k], name) == is_evacuated[dc]);
             }
             codec_free(&evacuations_desc, &box[k]);
         }
@@ -113,11 +113,11 @@
     g_assert_cmpuint(count_chosen(fleet, "a", now), >, 0);
     g_assert_false(instance_accepts_work(fleet_find(fleet, "b1"), now));
     g_assert_true(instance_accepts_maintenance(fleet_find(fleet, "b1"), now));
-    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list changes nothing of it */
+    fleet_set_list(fleet, backends, G_N_ELEMENTS(backends), now + 1); /* a newer list does not end the evacuation */
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 0);
     order(&held, "a", true, 2);
     fleet_set_evacuations(fleet, &held, now);
-    g_assert_cmpuint(count_chosen(fleet, "a", now), ==, 0); /* all are evacuated: refused at once */
+    g_assert_cmpuint(count_chosen(fleet, "a", now), ==, 0); /* all are evacuated */
     order(&held, "b", false, 3);
     fleet_set_evacuations(fleet, &held, now);
     g_assert_cmpuint(count_chosen(fleet, "b", now), ==, 50);
@@ -130,7 +130,7 @@
 typedef struct {
     loop_t *loop;
     peer_net_t *net;
-    leader_sched_t *placing;
+    leader_sched_t *leader_sched;
     tc_time_t now;
 } fixture_t;
 
@@ -145,34 +145,34 @@
     f->net = peer_create(f->loop, &options, &err);
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
-    f->placing = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                     &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
+    f->leader_sched = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
+                                          &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
     const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
-    leader_sched_set_services(f->placing, &service, 1);
+    leader_sched_set_services(f->leader_sched, &service, 1);
     const backend_t engines[] = {{.id = "p1", .service = "lm", .addr = "1", .dc = "a", .stage = "prefill", .slots = 8},
                                  {.id = "d1", .service = "lm", .addr = "2", .dc = "a", .stage = "decode", .slots = 8},
                                  {.id = "p2", .service = "lm", .addr = "3", .dc = "b", .stage = "prefill", .slots = 8},
                                  {.id = "d2", .service = "lm", .addr = "4", .dc = "b", .stage = "decode", .slots = 8}};
-    leader_sched_set_backends(f->placing, engines, G_N_ELEMENTS(engines), tc_time_now());
+    leader_sched_set_backends(f->leader_sched, engines, G_N_ELEMENTS(engines), tc_time_now());
     f->now = tc_time_now();
 }
 
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    leader_sched_destroy(f->placing);
+    leader_sched_destroy(f->leader_sched);
     peer_destroy(f->net);
     loop_destroy(f->loop);
 }
 
-static void pass(fixture_t *f, tc_time_t span)
+static void advance(fixture_t *f, tc_time_t span)
 {
     const leader_sched_lease_t lease = {.term = 3, .held = true};
     f->now += span;
-    leader_sched_tick(f->placing, &lease, 0, f->now);
+    leader_sched_tick(f->leader_sched, &lease, 0, f->now);
 }
 
-/** Ask for one placement. @return how many more were granted */
+/** Requests one placement. @return the number of placements granted by it */
 static int64_t place(fixture_t *f, const char *id)
 {
     const int64_t before = counter_read("trackcove_placing_granted_total");
@@ -180,29 +180,30 @@
     codec_copy_string(place.id, sizeof(place.id), id);
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "lm");
-    leader_sched_handle_message(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
+    leader_sched_handle_message(f->leader_sched, (peer_call_t){0}, MSG_PLACE, &place, f->now);
     return counter_read("trackcove_placing_granted_total") - before;
 }
 
-/** Nothing is granted on engines of an evacuated data centre; with all of them evacuated it is refused at once. */
+/** Nothing is granted on engines of an evacuated data centre; with all data centres evacuated, requests are refused at
+ *  once. */
 static void test_scheduler(fixture_t *f, gconstpointer data)
 {
     (void)data;
     evacuations_t held = {0};
-    pass(f, 0);
-    pass(f, 2 * SCHED_REBUILD_MS);
+    advance(f, 0);
+    advance(f, 2 * SCHED_REBUILD_MS);
     order(&held, "a", true, 1);
-    leader_sched_set_evacuations(f->placing, &held);
-    g_assert_cmpint(place(f, "first"), ==, 1); /* at b */
+    leader_sched_set_evacuations(f->leader_sched, &held);
+    g_assert_cmpint(place(f, "first"), ==, 1); /* in data centre b */
     pool_load_t load;
-    g_assert_cmpstr(leader_sched_pool_work(f->placing, &load), ==, "lm");
+    g_assert_cmpstr(leader_sched_pool_work(f->leader_sched, &load), ==, "lm");
     order(&held, "b", true, 2);
-    leader_sched_set_evacuations(f->placing, &held);
+    leader_sched_set_evacuations(f->leader_sched, &held);
     const int64_t refused = counter_read("trackcove_placing_refused_total");
     g_assert_cmpint(place(f, "second"), ==, 0);
     g_assert_cmpint(counter_read("trackcove_placing_refused_total"), ==, refused + 1);
     order(&held, "a", false, 3);
-    leader_sched_set_evacuations(f->placing, &held);
+    leader_sched_set_evacuations(f->leader_sched, &held);
     g_assert_cmpint(place(f, "third"), ==, 1);
     codec_free(&evacuations_desc, &held);
 }
--- a/tests/unit/test_leader_sched.c
+++ b/tests/unit/test_leader_sched.c
@@ -1,5 +1,5 @@
-/* The scheduler beside a leader whose lease lapses for a moment: nothing is granted meanwhile, and nobody loses a
- * place. */
+/* The scheduler on a leader whose lease lapses for a moment: nothing is granted meanwhile, and no request loses its
+ * place in the queue. */
 
 #include <glib.h>
 #include <string.h>
@@ -13,9 +13,9 @@
 typedef struct {
     loop_t *loop;
     peer_net_t *net;
-    leader_sched_t *placing;
+    leader_sched_t *leader_sched;
     tc_time_t now;
-    int64_t granted, refused; /* before the test */
+    int64_t granted, refused; /* counters before the test */
 } fixture_t;
 
 static void set_up(fixture_t *f, gconstpointer data)
@@ -29,13 +29,13 @@
     f->net = peer_create(f->loop, &options, &err);
     g_assert_nonnull(f->net);
     const retry_rules_t retries = {.ratio = 1, .allowance = 1, .window = 1000};
-    f->placing = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
-                                     &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
+    f->leader_sched = leader_sched_create(f->net, &retries, &(cap_rules_t){.window = 8000},
+                                          &(limit_rules_t){.advertised = {.window = 4000}, .cold = {.window = 1000}});
     const leader_sched_service_t service = {.service = "lm", .slots = 8, .memory_tokens = 100000};
-    leader_sched_set_services(f->placing, &service, 1);
+    leader_sched_set_services(f->leader_sched, &service, 1);
     const backend_t engines[] = {{.id = "p", .service = "lm", .addr = "a", .dc = "dc", .stage = "prefill", .slots = 8},
                                  {.id = "d", .service = "lm", .addr = "b", .dc = "dc", .stage = "decode", .slots = 8}};
-    leader_sched_set_backends(f->placing, engines, 2, tc_time_now());
+    leader_sched_set_backends(f->leader_sched, engines, 2, tc_time_now());
     f->now = tc_time_now();
     f->granted = counter_read("trackcove_placing_granted_total");
     f->refused = counter_read("trackcove_placing_refused_total");
@@ -44,25 +44,25 @@
 static void tear_down(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    leader_sched_destroy(f->placing);
+    leader_sched_destroy(f->leader_sched);
     peer_destroy(f->net);
     loop_destroy(f->loop);
 }
 
-static void pass(fixture_t *f, tc_time_t span, uint64_t term, bool held)
+static void advance(fixture_t *f, tc_time_t span, uint64_t term, bool held)
 {
     const leader_sched_lease_t lease = {.term = term, .held = held};
     f->now += span;
-    leader_sched_tick(f->placing, &lease, 0, f->now);
+    leader_sched_tick(f->leader_sched, &lease, 0, f->now);
 }
 
-static bool ask(const fixture_t *f, const char *id)
+static bool place(const fixture_t *f, const char *id)
 {
     msg_place_t place = {.prompt_tokens = 3000, .max_tokens = 40, .wait_ms = 900};
     codec_copy_string(place.id, sizeof(place.id), id);
     codec_copy_string(place.box, sizeof(place.box), "box");
     codec_copy_string(place.model, sizeof(place.model), "lm");
-    leader_sched_handle_message(f->placing, (peer_call_t){0}, MSG_PLACE, &place, f->now);
+    leader_sched_handle_message(f->leader_sched, (peer_call_t){0}, MSG_PLACE, &place, f->now);
     return leader_sched_handles_type(MSG_PLACE);
 }
 
@@ -79,30 +79,30 @@
 static void test_lapse(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    pass(f, 0, 3, true);
-    pass(f, 2 * SCHED_REBUILD_MS, 3, true);
-    g_assert_true(ask(f, "before"));
+    advance(f, 0, 3, true);
+    advance(f, 2 * SCHED_REBUILD_MS, 3, true);
+    g_assert_true(place(f, "before"));
     g_assert_cmpint(granted(f), ==, 1);
-    pass(f, 25, 3, false);
-    g_assert_true(ask(f, "meanwhile"));
-    pass(f, 25, 3, false);
-    g_assert_cmpint(granted(f), ==, 1); /* without the lease nothing is given away */
+    advance(f, 25, 3, false);
+    g_assert_true(place(f, "meanwhile"));
+    advance(f, 25, 3, false);
+    g_assert_cmpint(granted(f), ==, 1); /* nothing is granted without the lease */
     g_assert_cmpint(refused(f), ==, 0);
-    pass(f, 25, 3, true);
-    g_assert_cmpint(granted(f), ==, 2); /* at once: nothing has to be learnt again */
+    advance(f, 25, 3, true);
+    g_assert_cmpint(granted(f), ==, 2); /* at once: the scheduler kept its state */
 }
 
-/** A leadership that ended has forgotten everything. */
+/** The end of a leadership discards the scheduler's state. */
 static void test_end(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    pass(f, 0, 3, true);
-    pass(f, 2 * SCHED_REBUILD_MS, 3, true);
-    pass(f, 25, 3, false);
-    g_assert_true(ask(f, "meanwhile"));
-    pass(f, 25, 0, false);
-    pass(f, 25, 5, true);
-    pass(f, 2 * SCHED_REBUILD_MS, 5, true);
+    advance(f, 0, 3, true);
+    advance(f, 2 * SCHED_REBUILD_MS, 3, true);
+    advance(f, 25, 3, false);
+    g_assert_true(place(f, "meanwhile"));
+    advance(f, 25, 0, false);
+    advance(f, 25, 5, true);
+    advance(f, 2 * SCHED_REBUILD_MS, 5, true);
     g_assert_cmpint(granted(f), ==, 0);
 }
 
--- a/tests/unit/test_quarantine_spread.c
+++ b/tests/unit/test_quarantine_spread.c
@@ -1,6 +1,6 @@
-/* Requests under which back ends ended, and back ends that one box found to have ended or to leave, told between real
- * control boxes and the entry boxes that report to them: what each box found out adds up, over changes of the leader
- * and restarts of everything. */
+/* Exchange of quarantine data between real control boxes and the entry boxes that report to them: crashes under a
+ * request, and back ends that one box found crashed or leaving. The findings of all boxes add up, also over changes of
+ * the leader and restarts of all processes. */
 
 #include "backend/availability.h"
 #include "unit/cluster_lab.h"
@@ -14,11 +14,11 @@
         entry_box_t self;
         quarantine_t *quarantine;
         reporter_t *reporter;
-        bool leaving; /* the back end that it was told of last is */
-        bool told;
-        tc_time_t leaving_since; /* the back end said so in an answer to this box; 0: it did not */
+        bool leaving;            /* whether the back end is marked so in the last list */
+        bool has_list;           /* whether a list was received */
+        tc_time_t leaving_since; /* when an answer to this box said that the back end is leaving; 0: none did */
     } entries[ENTRIES];
-    unsigned wanted; /* ends that all entry boxes should know of */
+    unsigned wanted; /* crash count that all entry boxes should reach */
 } world_t;
 
 /* ===== Boxes ===== */
@@ -27,7 +27,7 @@
 {
     struct entry *const e = arg;
     g_assert_cmpuint(n, ==, 1);
-    e->told = true;
+    e->has_list = true;
     e->leaving = list[0].draining;
 }
 
@@ -84,17 +84,17 @@
     tear_down(&w->f, data);
 }
 
-/* ===== What is found out ===== */
+/* ===== Findings ===== */
 
-/** An entry box finds that a back end ended under the request. */
-static void find_end(world_t *w, int i, const char *backend)
+/** An entry box detects that a back end crashed under the request. */
+static void find_crash(world_t *w, int i, const char *backend)
 {
     const tc_time_t now = tc_time_now();
     g_assert_true(quarantine_add_crash(w->entries[i].quarantine, CULPRIT, backend, now, now));
     reporter_report_now(w->entries[i].reporter);
 }
 
-static bool all_know(void *arg)
+static bool all_reach_count(void *arg)
 {
     const world_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
@@ -103,10 +103,10 @@
     return true;
 }
 
-static void await_ends(world_t *w, unsigned ends)
+static void await_crash_count(world_t *w, unsigned crashes)
 {
-    w->wanted = ends;
-    lab_run_until(w->f.loop, all_know, w);
+    w->wanted = crashes;
+    lab_run_until(w->f.loop, all_reach_count, w);
 }
 
 /* ===== Tests ===== */
@@ -114,57 +114,58 @@
 static void test_adds_up(world_t *w, gconstpointer data)
 {
     (void)data;
-    find_end(w, 0, "a");
-    await_ends(w, 1);
-    find_end(w, 1, "b");
-    await_ends(w, 2);
-    find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_CRASH_LIMIT);
+    find_crash(w, 0, "a");
+    await_crash_count(w, 1);
+    find_crash(w, 1, "b");
+    await_crash_count(w, 2);
+    find_crash(w, 2, "c");
+    await_crash_count(w, QUARANTINE_CRASH_LIMIT);
 }
 
-/** Two ends are known when the leader goes, the third is found under the next one; then that goes as well, and a box
- * that has just started hears of it from the third. */
-static void test_leaders_go(world_t *w, gconstpointer data)
+/** The leader stops after two crashes, and the third is detected under the next leader. Then that one stops as well,
+ * and a box that has just started learns of the crashes from the third leader. */
+static void test_leaders_stop(world_t *w, gconstpointer data)
 {
     (void)data;
-    find_end(w, 0, "a");
-    find_end(w, 1, "b");
-    await_ends(w, 2);
+    find_crash(w, 0, "a");
+    find_crash(w, 1, "b");
+    await_crash_count(w, 2);
     const int first = leader(&w->f);
     stop_box(&w->f, first);
-    find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_CRASH_LIMIT);
+    find_crash(w, 2, "c");
+    await_crash_count(w, QUARANTINE_CRASH_LIMIT);
     start_box(&w->f, first, false);
     lab_run_until(w->f.loop, has_leader, &w->f);
     stop_box(&w->f, leader(&w->f));
     stop_entry(&w->entries[0]);
     start_entry(w, 0);
-    await_ends(w, QUARANTINE_CRASH_LIMIT);
+    await_crash_count(w, QUARANTINE_CRASH_LIMIT);
 }
 
-/** The box that found the first end is gone, and so is the leader that it told: the next one counts on from it. */
-static void test_finder_and_leader_go(world_t *w, gconstpointer data)
+/** The box that detected the first crash stops, and so does the leader to which it reported it: the next leader still
+ *  counts it. */
+static void test_finder_and_leader_stop(world_t *w, gconstpointer data)
 {
     (void)data;
-    find_end(w, 0, "a");
-    await_ends(w, 1);
-    lab_run_for(w->f.loop, 200); /* one tick of the leader, and the way to the others */
+    find_crash(w, 0, "a");
+    await_crash_count(w, 1);
+    lab_run_for(w->f.loop, 200); /* one tick of the leader, and the transfer to the other control boxes */
     stop_entry(&w->entries[0]);
     stop_box(&w->f, leader(&w->f));
     start_entry(w, 0);
-    find_end(w, 1, "b");
-    await_ends(w, 2);
+    find_crash(w, 1, "b");
+    await_crash_count(w, 2);
 }
 
-/** Everything is killed, but for the disks. */
+/** All boxes stop; only the data on disk remains. */
 static void test_everything_restarts(world_t *w, gconstpointer data)
 {
     (void)data;
-    find_end(w, 0, "a");
-    find_end(w, 1, "b");
-    find_end(w, 2, "c");
-    await_ends(w, QUARANTINE_CRASH_LIMIT);
-    lab_run_for(w->f.loop, 200); /* it is written at the next tick */
+    find_crash(w, 0, "a");
+    find_crash(w, 1, "b");
+    find_crash(w, 2, "c");
+    await_crash_count(w, QUARANTINE_CRASH_LIMIT);
+    lab_run_for(w->f.loop, 200); /* the held request is written to disk at the next tick */
     for (int i = 0; i < ENTRIES; i++)
         stop_entry(&w->entries[i]);
     for (int i = 0; i < SEEDS; i++)
@@ -173,10 +174,10 @@
         start_box(&w->f, i, false);
     for (int i = 0; i < ENTRIES; i++)
         start_entry(w, i);
-    await_ends(w, QUARANTINE_CRASH_LIMIT);
+    await_crash_count(w, QUARANTINE_CRASH_LIMIT);
 }
 
-/** The leader reads the platform's list, as it does once a second. */
+/** The leader reads the platform's list, as it does once per second. */
 static void read_list(const world_t *w)
 {
     const backend_t engine = {.id = "a", .service = "lm", .addr = "127.0.0.1:1", .stage = "decode"};
@@ -184,17 +185,17 @@
         replica_set_backends(w->f.replica[leader(&w->f)], &engine, 1, tc_time_now());
 }
 
-static bool all_are_told(void *arg)
+static bool all_have_list(void *arg)
 {
     const world_t *const w = arg;
     read_list(w);
     for (int i = 0; i < ENTRIES; i++)
-        if (!w->entries[i].told)
+        if (!w->entries[i].has_list)
             return false;
     return true;
 }
 
-static bool all_leave_it(void *arg)
+static bool all_see_leaving(void *arg)
 {
     const world_t *const w = arg;
     read_list(w);
@@ -204,7 +205,7 @@
     return true;
 }
 
-static bool all_use_it(void *arg)
+static bool all_see_ready(void *arg)
 {
     const world_t *const w = arg;
     read_list(w);
@@ -214,48 +215,49 @@
     return true;
 }
 
-/** A back end that one box found to have ended gets no work from the others, though the platform lists it still; and
- * does again when it is listed for longer than one that has ended is. */
-static void test_ended_back_end(world_t *w, gconstpointer data)
+/** A back end that one box found crashed gets no work from the other boxes although the platform still lists it. It
+ * does again once it has been listed for longer than a crashed one would be. */
+static void test_crashed_back_end(world_t *w, gconstpointer data)
 {
     (void)data;
-    lab_run_until(w->f.loop, all_are_told, w);
-    g_assert_true(all_use_it(w));
-    find_end(w, 1, "a");
-    lab_run_until(w->f.loop, all_leave_it, w);
-    lab_run_until(w->f.loop, all_use_it, w);
+    lab_run_until(w->f.loop, all_have_list, w);
+    g_assert_true(all_see_ready(w));
+    find_crash(w, 1, "a");
+    lab_run_until(w->f.loop, all_see_leaving, w);
+    lab_run_until(w->f.loop, all_see_ready, w);
 }
 
-static void hear_leaving(world_t *w, int i, tc_time_t since)
+static void set_leaving(world_t *w, int i, tc_time_t since)
 {
     w->entries[i].leaving_since = since;
     reporter_report_now(w->entries[i].reporter);
 }
 
-/** One that told one box in an answer that it leaves gets no work from the others; and does again when a list that was
- *  read long after that shows it as ready. */
+/** A back end that announced to one box, in an answer, that it is leaving gets no work from the others. It does again
+ *  when a list that was read long after that shows it as ready. */
 static void test_leaving_back_end(world_t *w, gconstpointer data)
 {
     (void)data;
-    lab_run_until(w->f.loop, all_are_told, w);
-    hear_leaving(w, 1, tc_time_now() - AVAILABILITY_LISTED_MS + 1000);
-    lab_run_until(w->f.loop, all_leave_it, w);
-    lab_run_until(w->f.loop, all_use_it, w);
+    lab_run_until(w->f.loop, all_have_list, w);
+    set_leaving(w, 1, tc_time_now() - AVAILABILITY_LISTED_MS + 1000);
+    lab_run_until(w->f.loop, all_see_leaving, w);
+    lab_run_until(w->f.loop, all_see_ready, w);
 }
 
-/** The leader that was told goes: the next one is told again, and tells a box that has just started. */
-static void test_leaving_and_leader_goes(world_t *w, gconstpointer data)
+/** The leader that knows of the leaving back end stops: the next one gets the reports again, and informs a box that has
+ *  just started. */
+static void test_leaving_and_leader_stops(world_t *w, gconstpointer data)
 {
     (void)data;
-    lab_run_until(w->f.loop, all_are_told, w);
-    hear_leaving(w, 1, tc_time_now());
-    lab_run_until(w->f.loop, all_leave_it, w);
+    lab_run_until(w->f.loop, all_have_list, w);
+    set_leaving(w, 1, tc_time_now());
+    lab_run_until(w->f.loop, all_see_leaving, w);
     stop_box(&w->f, leader(&w->f));
     lab_run_until(w->f.loop, has_leader, &w->f);
     stop_entry(&w->entries[0]);
     start_entry(w, 0);
-    lab_run_until(w->f.loop, all_are_told, w);
-    lab_run_until(w->f.loop, all_leave_it, w);
+    lab_run_until(w->f.loop, all_have_list, w);
+    lab_run_until(w->f.loop, all_see_leaving, w);
 }
 
 int main(int argc, char **argv)
@@ -263,11 +265,11 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/quarantine-spread/" name, world_t, NULL, set_up_world, fn, tear_down_world)
     TEST("adds-up", test_adds_up);
-    TEST("leaders-go", test_leaders_go);
-    TEST("finder-and-leader-go", test_finder_and_leader_go);
+    TEST("leaders-stop", test_leaders_stop);
+    TEST("finder-and-leader-stop", test_finder_and_leader_stop);
     TEST("everything-restarts", test_everything_restarts);
-    TEST("ended-back-end", test_ended_back_end);
+    TEST("crashed-back-end", test_crashed_back_end);
     TEST("leaving-back-end", test_leaving_back_end);
-    TEST("leaving-and-leader-goes", test_leaving_and_leader_goes);
+    TEST("leaving-and-leader-stops", test_leaving_and_leader_stops);
     return g_test_run();
 }
--- a/tests/unit/test_quarantine_table.c
+++ b/tests/unit/test_quarantine_table.c
@@ -1,11 +1,12 @@
-/* What is held against requests under which back ends ended, and who is told: the table alone, without a network. */
+/* The quarantine table alone, without a network: which crashes count against a request, and how boxes and leader
+ * exchange them. */
 
 #include <glib.h>
 #include <string.h>
 
 #include "cluster/quarantine.h"
 
-enum { CULPRIT = 17, OTHER = 23, START = 1000000, APART = 400 };
+enum { CULPRIT = 17, OTHER = 23, START = 1000000, APART_MS = 400 };
 
 typedef struct {
     quarantine_t *q;
@@ -25,20 +26,20 @@
     quarantine_destroy(f->q);
 }
 
-/** A back end ends under the request, a while after the one before. */
-static void end(fixture_t *f, uint64_t request, const char *backend)
+/** Advances the time by APART_MS, then reports the crash of a back end under the request. */
+static void crash(fixture_t *f, uint64_t request, const char *backend)
 {
-    f->now += APART;
+    f->now += APART_MS;
     (void)quarantine_add_crash(f->q, request, backend, f->now, f->now);
 }
 
-static void pass(fixture_t *f, tc_time_t span)
+static void advance(fixture_t *f, tc_time_t span)
 {
     f->now += span;
     quarantine_tick(f->q, f->now);
 }
 
-static unsigned ends(const fixture_t *f, uint64_t request)
+static unsigned crash_count(const fixture_t *f, uint64_t request)
 {
     return quarantine_crash_count(f->q, request, f->now);
 }
@@ -50,68 +51,69 @@
     return n;
 }
 
-static void end_three(fixture_t *f, uint64_t request)
+static void crash_three(fixture_t *f, uint64_t request)
 {
-    end(f, request, "a");
-    end(f, request, "b");
-    end(f, request, "c");
-    pass(f, QUARANTINE_SETTLE_MS);
+    crash(f, request, "a");
+    crash(f, request, "b");
+    crash(f, request, "c");
+    advance(f, QUARANTINE_SETTLE_MS);
 }
 
-/* ===== Judging ===== */
+/* ===== Decisions ===== */
 
-static void test_three_ends(fixture_t *f, gconstpointer data)
+static void test_three_crashes(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end(f, CULPRIT, "a");
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 1);
-    end(f, CULPRIT, "b");
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 2);
+    crash(f, CULPRIT, "a");
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 1);
+    crash(f, CULPRIT, "b");
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 2);
     g_assert_cmpint(quarantine_remaining_ms(f->q, CULPRIT, f->now), ==, 0);
-    end(f, CULPRIT, "c");
-    g_assert_cmpuint(ends(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT); /* it is sent nowhere from this moment on */
-    pass(f, QUARANTINE_SETTLE_MS);
+    crash(f, CULPRIT, "c");
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT); /* held even before the crash has settled */
+    advance(f, QUARANTINE_SETTLE_MS);
     g_assert_cmpuint(count_held(f), ==, 1);
     g_assert_cmpuint(quarantine_version(f->q), ==, 1);
     g_assert_cmpint(quarantine_remaining_ms(f->q, CULPRIT, f->now), ==, QUARANTINE_HOLD_MS - QUARANTINE_SETTLE_MS);
-    g_assert_cmpuint(ends(f, OTHER), ==, 0);
+    g_assert_cmpuint(crash_count(f, OTHER), ==, 0);
 }
 
-/** Several boxes find out that one back end ended, some of them later; its next life is another one. */
-static void test_one_end_found_twice(fixture_t *f, gconstpointer data)
+/** Several boxes detect the crash of one back end, some of them later: it counts once. A crash after its restart is
+ *  another one. */
+static void test_one_crash_found_twice(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end(f, CULPRIT, "a");
+    crash(f, CULPRIT, "a");
     g_assert_false(quarantine_add_crash(f->q, CULPRIT, "a", f->now + 90, f->now + 90));
     g_assert_false(quarantine_add_crash(f->q, CULPRIT, "a", f->now - 90, f->now + 90));
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 1);
-    pass(f, 3000);
-    end(f, CULPRIT, "a");
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 2);
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 1);
+    advance(f, 3000);
+    crash(f, CULPRIT, "a");
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 2);
 }
 
-/** A data centre loses its power: no request is the cause. */
+/** A data centre loses power: no request is the cause. */
 static void test_many_at_once(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end(f, OTHER, "a");
-    end(f, OTHER, "b");
-    f->now += APART;
+    crash(f, OTHER, "a");
+    crash(f, OTHER, "b");
+    f->now += APART_MS;
     for (uint64_t request = 100; request < 114; request++) {
         char backend[8];
         g_snprintf(backend, sizeof(backend), "z%u", (unsigned)(request % 7));
         (void)quarantine_add_crash(f->q, request, backend, f->now + (tc_time_t)(request % 5), f->now + 10);
     }
     (void)quarantine_add_crash(f->q, OTHER, "z1", f->now, f->now + 10);
-    pass(f, QUARANTINE_SETTLE_MS + 10);
+    advance(f, QUARANTINE_SETTLE_MS + 10);
     for (uint64_t request = 100; request < 114; request++)
-        g_assert_cmpuint(ends(f, request), ==, 0);
-    g_assert_cmpuint(ends(f, OTHER), ==, 2);
+        g_assert_cmpuint(crash_count(f, request), ==, 0);
+    g_assert_cmpuint(crash_count(f, OTHER), ==, 2);
     g_assert_cmpuint(count_held(f), ==, 0);
 }
 
-/** A request that is sent on at once from one back end to the next is no such case, though its ends are as near. */
-static void test_ends_in_a_row(fixture_t *f, gconstpointer data)
+/** A request that is retried at once from one back end to the next does count, although its crashes are as close. */
+static void test_crashes_in_a_row(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const char *const backends[] = {"a", "b", "c"};
@@ -119,67 +121,67 @@
         f->now += 12;
         (void)quarantine_add_crash(f->q, CULPRIT, backends[i], f->now, f->now);
     }
-    pass(f, QUARANTINE_SETTLE_MS);
+    advance(f, QUARANTINE_SETTLE_MS);
     g_assert_cmpuint(count_held(f), ==, 1);
 }
 
-static void test_run_that_ends_well(fixture_t *f, gconstpointer data)
+static void test_completed_run(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end(f, OTHER, "a");
-    end(f, OTHER, "b");
+    crash(f, OTHER, "a");
+    crash(f, OTHER, "b");
     quarantine_clear(f->q, OTHER, f->now + 1);
-    g_assert_cmpuint(ends(f, OTHER), ==, 0);
-    /* What is told later of the time before counts no more: a box that stood still comes back with old news. */
+    g_assert_cmpuint(crash_count(f, OTHER), ==, 0);
+    /* Crashes before the completed run do not count when reported later, as by a box that was paused. */
     g_assert_false(quarantine_add_crash(f->q, OTHER, "d", f->now, f->now + 5000));
-    g_assert_cmpuint(ends(f, OTHER), ==, 0);
-    end(f, OTHER, "c");
-    g_assert_cmpuint(ends(f, OTHER), ==, 1);
-    end_three(f, CULPRIT);
-    quarantine_clear(f->q, CULPRIT, f->now + 1); /* the way back is time */
-    g_assert_cmpuint(ends(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
+    g_assert_cmpuint(crash_count(f, OTHER), ==, 0);
+    crash(f, OTHER, "c");
+    g_assert_cmpuint(crash_count(f, OTHER), ==, 1);
+    crash_three(f, CULPRIT);
+    quarantine_clear(f->q, CULPRIT, f->now + 1); /* no effect: a held request is released only by time */
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
 }
 
-/** It is let go after its time; the next end is the third again. */
-static void test_time_of_holding(fixture_t *f, gconstpointer data)
+/** A held request is released after QUARANTINE_HOLD_MS; its next crash is the third again. */
+static void test_hold_time(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end_three(f, CULPRIT);
-    pass(f, QUARANTINE_HOLD_MS);
-    g_assert_cmpuint(ends(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT - 1);
+    crash_three(f, CULPRIT);
+    advance(f, QUARANTINE_HOLD_MS);
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT - 1);
     g_assert_cmpuint(count_held(f), ==, 0);
-    end(f, CULPRIT, "d");
-    g_assert_cmpuint(ends(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
-    pass(f, QUARANTINE_SETTLE_MS);
+    crash(f, CULPRIT, "d");
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
+    advance(f, QUARANTINE_SETTLE_MS);
     g_assert_cmpuint(count_held(f), ==, 1);
-    pass(f, QUARANTINE_HOLD_MS);
-    quarantine_clear(f->q, CULPRIT, f->now); /* its next run ended well */
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 0);
-    pass(f, QUARANTINE_RETENTION_MS);
-    g_assert_cmpuint(ends(f, CULPRIT), ==, 0);
+    advance(f, QUARANTINE_HOLD_MS);
+    quarantine_clear(f->q, CULPRIT, f->now); /* its next run completed */
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 0);
+    advance(f, QUARANTINE_RETENTION_MS);
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, 0);
 }
 
-/** A flood of suspects takes a bounded room, and not that of those held. */
+/** Many suspects take bounded memory, and do not evict held requests. */
 static void test_bounded(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    end_three(f, CULPRIT);
+    crash_three(f, CULPRIT);
     for (uint64_t request = 1000; request < 1000 + 4 * QUARANTINE_REQUESTS_MAX; request++) {
         f->now += 100;
         (void)quarantine_add_crash(f->q, request, "x", f->now, f->now);
     }
-    g_assert_cmpuint(ends(f, 1000), ==, 0); /* it made room */
-    g_assert_cmpuint(ends(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
+    g_assert_cmpuint(crash_count(f, 1000), ==, 0); /* evicted */
+    g_assert_cmpuint(crash_count(f, CULPRIT), ==, QUARANTINE_CRASH_LIMIT);
     uint32_t n;
     uint64_t hash;
     const suspect_request_t *const list = quarantine_suspects(f->q, &n, &hash, f->now);
     g_assert_cmpuint(n, ==, QUARANTINE_SUSPECTS_MAX);
-    g_assert_cmpuint(list[0].request, ==, CULPRIT); /* those held first */
+    g_assert_cmpuint(list[0].request, ==, CULPRIT); /* held ones come first */
 }
 
-/* ===== Telling ===== */
+/* ===== Exchange ===== */
 
-/** A report and its answer, as they travel. @return whether the box has more to tell */
+/** Sends a report and its answer, with their travel time. @return whether the box has more changes to report */
 static bool report(quarantine_t *box, quarantine_t *leader, uint64_t term, tc_time_t now)
 {
     quarantine_news_t news;
@@ -201,14 +203,14 @@
     }
 }
 
-/** Each of three boxes knows of one end: together they are three, and all boxes hear. */
-static void test_boxes_together(fixture_t *f, gconstpointer data)
+/** Three boxes know of one crash each: the leader counts three, and all boxes learn it. */
+static void test_boxes_add_up(fixture_t *f, gconstpointer data)
 {
     (void)data;
     quarantine_t *const boxes[] = {quarantine_create(), quarantine_create(), quarantine_create(), quarantine_create()};
     const char *const backends[] = {"a", "b", "c"};
     for (int i = 0; i < 3; i++) {
-        f->now += APART;
+        f->now += APART_MS;
         (void)quarantine_add_crash(boxes[i], CULPRIT, backends[i], f->now, f->now);
         report_all(boxes[i], f->q, 1, f->now);
     }
@@ -220,27 +222,27 @@
     }
 }
 
-/** What a leader knew is told to the next one by the boxes. */
+/** Boxes report to the next leader what the one before knew. */
 static void test_next_leader(fixture_t *f, gconstpointer data)
 {
     (void)data;
     quarantine_t *const one = quarantine_create(), *const two = quarantine_create(), *const next = quarantine_create();
-    end(f, CULPRIT, "a");
-    end(f, CULPRIT, "b");
-    (void)quarantine_add_crash(one, CULPRIT, "a", f->now - APART, f->now);
+    crash(f, CULPRIT, "a");
+    crash(f, CULPRIT, "b");
+    (void)quarantine_add_crash(one, CULPRIT, "a", f->now - APART_MS, f->now);
     (void)quarantine_add_crash(two, CULPRIT, "b", f->now, f->now);
     report_all(one, f->q, 1, f->now);
     report_all(two, f->q, 1, f->now);
     report_all(one, next, 2, f->now + 10);
     report_all(two, next, 2, f->now + 10);
     g_assert_cmpuint(quarantine_crash_count(next, CULPRIT, f->now + 20), ==, 2);
-    f->now += APART;
+    f->now += APART_MS;
     (void)quarantine_add_crash(two, CULPRIT, "c", f->now, f->now);
     report_all(two, next, 2, f->now);
     f->now += QUARANTINE_SETTLE_MS;
     report_all(one, next, 2, f->now);
     g_assert_cmpuint(quarantine_crash_count(one, CULPRIT, f->now), ==, QUARANTINE_CRASH_LIMIT);
-    /* A leader that knows nothing hears of it from a box that was only told. */
+    /* A leader without data learns of the held request from a box that itself only got it from a leader. */
     quarantine_t *const third = quarantine_create();
     report_all(one, third, 3, f->now + 10);
     g_assert_cmpuint(quarantine_crash_count(third, CULPRIT, f->now + 20), ==, QUARANTINE_CRASH_LIMIT);
@@ -250,17 +252,17 @@
     quarantine_destroy(third);
 }
 
-/** A run that ended well at one box clears what another found out. */
+/** A run that completes at one box clears a crash that another box detected. */
 static void test_cleared_elsewhere(fixture_t *f, gconstpointer data)
 {
     (void)data;
     quarantine_t *const one = quarantine_create(), *const two = quarantine_create();
-    f->now += APART;
+    f->now += APART_MS;
     (void)quarantine_add_crash(one, OTHER, "a", f->now, f->now);
     report_all(one, f->q, 1, f->now);
     report_all(two, f->q, 1, f->now + 10);
     g_assert_cmpuint(quarantine_crash_count(two, OTHER, f->now + 10), ==, 1);
-    f->now += APART;
+    f->now += APART_MS;
     quarantine_clear(two, OTHER, f->now);
     report_all(two, f->q, 1, f->now);
     g_assert_cmpuint(quarantine_crash_count(f->q, OTHER, f->now + 10), ==, 0);
@@ -271,7 +273,7 @@
 }
 
 /** Hundreds of suspects reach the leader in several reports. */
-static void test_many_news(fixture_t *f, gconstpointer data)
+static void test_many_changes(fixture_t *f, gconstpointer data)
 {
     (void)data;
     quarantine_t *const box = quarantine_create();
@@ -289,16 +291,16 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/quarantine-table/" name, fixture_t, NULL, set_up, fn, tear_down)
-    TEST("three-ends", test_three_ends);
-    TEST("one-end-found-twice", test_one_end_found_twice);
+    TEST("three-crashes", test_three_crashes);
+    TEST("one-crash-found-twice", test_one_crash_found_twice);
     TEST("many-at-once", test_many_at_once);
-    TEST("ends-in-a-row", test_ends_in_a_row);
-    TEST("run-that-ends-well", test_run_that_ends_well);
-    TEST("time-of-holding", test_time_of_holding);
+    TEST("crashes-in-a-row", test_crashes_in_a_row);
+    TEST("completed-run", test_completed_run);
+    TEST("hold-time", test_hold_time);
     TEST("bounded", test_bounded);
-    TEST("boxes-together", test_boxes_together);
+    TEST("boxes-add-up", test_boxes_add_up);
     TEST("next-leader", test_next_leader);
     TEST("cleared-elsewhere", test_cleared_elsewhere);
-    TEST("many-news", test_many_news);
+    TEST("many-changes", test_many_changes);
     return g_test_run();
 }
