--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -259,12 +259,12 @@
 
 /* ===== Load ===== */
 
-const char *leader_sched_pool_work(const leader_sched_t *l, pool_load_t *work)
+const char *leader_sched_pool_load(const leader_sched_t *l, pool_load_t *load)
 {
     if (!l->sched || l->services_n != 1)
         return ""; /* the scheduler's averages cover all engines: they are a service's only if there is just one */
     const sched_stats_t stats = sched_stats(l->sched);
-    *work = (pool_load_t){
+    *load = (pool_load_t){
         .prefill = stats.prefill_load, .prefill_slow = stats.prefill_load_slow, .decode = stats.decode_load};
     return l->services[0].service;
 }
--- a/lib/cluster/leader_sched.h
+++ b/lib/cluster/leader_sched.h
@@ -99,8 +99,8 @@
                                 uint32_t n, tc_time_t now);
 
 /** Reads the load of the prefill and decode pools. Available while this box leads and exactly one service has engines.
- *  @return that service's name, borrowed until services are set again; "" when not available, @p work is then unset */
-const char *leader_sched_pool_work(const leader_sched_t *leader_sched, pool_load_t *work);
+ *  @return that service's name, borrowed until services are set again; "" when not available, @p load is then unset */
+const char *leader_sched_pool_load(const leader_sched_t *leader_sched, pool_load_t *load);
 
 /** Call every tick, and when the lease changes. @param boxes number of live entry boxes */
 void leader_sched_tick(leader_sched_t *leader_sched, const leader_sched_lease_t *lease, uint32_t boxes, tc_time_t now);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -366,7 +366,7 @@
 
 const char *replica_work(const replica_t *r, pool_load_t *work)
 {
-    return leader_sched_pool_work(r->placing, work);
+    return leader_sched_pool_load(r->placing, work);
 }
 
 bool replica_is_in_doubt(const replica_t *r)
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -98,7 +98,7 @@
 bool replica_is_in_doubt(const replica_t *replica);
 /** An engine told what it runs: as sched_set_engine_requests. */
 void replica_update_engine(replica_t *replica, const char *engine, const sched_engine_request_t *held, uint32_t n);
-/** What the pools of engines have to do: as leader_sched_pool_work. */
+/** What the pools of engines have to do: as leader_sched_pool_load. */
 const char *replica_work(const replica_t *replica, pool_load_t *work);
 
 /** The services with engines that the document names: for the scheduler beside the leader. */
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -196,7 +196,7 @@
     leader_sched_set_evacuations(f->leader_sched, &held);
     g_assert_cmpint(place(f, "first"), ==, 1); /* in data centre b */
     pool_load_t load;
-    g_assert_cmpstr(leader_sched_pool_work(f->leader_sched, &load), ==, "lm");
+    g_assert_cmpstr(leader_sched_pool_load(f->leader_sched, &load), ==, "lm");
     order(&held, "b", true, 2);
     leader_sched_set_evacuations(f->leader_sched, &held);
     const int64_t refused = counter_read("trackcove_placing_refused_total");
