--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -537,7 +537,7 @@
     run_actions(l, now);
 }
 
-bool leader_sched_is_uncertain(const leader_sched_t *l, tc_time_t now)
+bool leader_sched_needs_reconcile(const leader_sched_t *l, tc_time_t now)
 {
     return l->sched && sched_needs_reconcile(l->sched, now);
 }
--- a/lib/cluster/leader_sched.h
+++ b/lib/cluster/leader_sched.h
@@ -93,7 +93,7 @@
 void leader_sched_set_evacuations(leader_sched_t *leader_sched, const evacuations_t *evacuations);
 
 /** @return whether engines should be polled often for what they run, as sched_needs_reconcile */
-bool leader_sched_is_uncertain(const leader_sched_t *leader_sched, tc_time_t now);
+bool leader_sched_needs_reconcile(const leader_sched_t *leader_sched, tc_time_t now);
 /** Applies an engine's own list of the requests that it runs, as sched_set_engine_requests. */
 void leader_sched_update_engine(leader_sched_t *leader_sched, const char *engine, const sched_engine_request_t *held,
                                 uint32_t n, tc_time_t now);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -371,7 +371,7 @@
 
 bool replica_is_in_doubt(const replica_t *r)
 {
-    return leader_sched_is_uncertain(r->placing, tc_time_now());
+    return leader_sched_needs_reconcile(r->placing, tc_time_now());
 }
 
 void replica_update_engine(replica_t *r, const char *engine, const sched_engine_request_t *held, uint32_t n)
