--- a/lib/cluster/fetch.h
+++ b/lib/cluster/fetch.h
@@ -1,12 +1,12 @@
 /** @file fetch.h
- * Fetches the newest document that this box hears of, piece by piece, from whoever has it.
+ * Fetches the newest document announced to this box, in pieces, from any box that has it.
  *
- * One piece is under way at a time, so that a box never owes more than one and its link is shared fairly with callers.
- * A document that has begun to arrive is fetched to its end before a newer one is begun: under changes that follow
- * each other faster than they arrive, each box still moves on. What has arrived survives the death of the box that
- * it came from. Boxes spread over the control boxes, by a hash of their address, and fall back to whoever told them.
+ * At most one piece is in flight, so that the link is shared fairly with callers. A document that has begun to arrive
+ * is fetched to its end before a newer one is started: a box still makes progress when documents change faster than
+ * they arrive. The pieces that have arrived stay valid when the box that sent them fails. Boxes are distributed over
+ * the control boxes by a hash of their own address, and fall back to the box that announced the document.
  *
- * Everything runs in the loop's thread.
+ * Everything runs in the thread of the event loop.
  */
 #ifndef TRACKCOVE_CLUSTER_FETCH_H
 #define TRACKCOVE_CLUSTER_FETCH_H
@@ -21,28 +21,28 @@
 
 typedef struct fetch fetch_t;
 
-/** Where a fetch gets its sources from and reports to. */
+/** Callbacks of a fetch. */
 typedef struct {
-    /** A document is here whole. @p document may be moved out by document_apply. */
+    /** A document has arrived completely. @p document may be moved out by document_apply. */
     void (*on_complete)(void *arg, document_t *document, const char *from);
-    /** Control boxes that are known. @return their peer addresses' number; borrowed until the loop's next turn */
+    /** The known control boxes. @return their number; @p list is borrowed until the loop's next turn */
     uint32_t (*sources)(void *arg, const raft_member_t **list);
     void *arg;
 } fetch_events_t;
 
 /* ===== Public functions ===== */
 
-/** @param self peer address of this box, borrowed */
+/** @param self peer address of this box, borrowed @param events copied */
 fetch_t *fetch_create(peer_net_t *net, const char *self, const fetch_events_t *events);
-/** After loop_run returned, before the net is destroyed: calls under way end with it. */
+/** Call after loop_run has returned and before the net is destroyed, which ends the calls in flight. */
 void fetch_stop(fetch_t *fetch);
 void fetch_destroy(fetch_t *fetch);
 
-/** Box @p from has that document. @param held version that is here already */
+/** Box @p from has that document. @param held version that this box already has */
 void fetch_announce(fetch_t *fetch, const document_head_t *head, const char *from, uint64_t held);
-/** Whether a document is on its way. */
+/** Whether a document is being fetched. */
 bool fetch_is_busy(const fetch_t *fetch);
-/** Let time pass; call every 50 ms or so. */
+/** Retry when due; call about every 50 ms. */
 void fetch_tick(fetch_t *fetch, tc_time_t now);
 
 #endif
--- a/lib/cluster/known_members.h
+++ b/lib/cluster/known_members.h
@@ -1,5 +1,5 @@
 /** @file known_members.h
- * The control boxes as others know them: told once to each box, and again when they have changed. Pure.
+ * Hash of the list of control boxes: the list is sent to a box only when the box has another hash. Pure.
  */
 #ifndef TRACKCOVE_CLUSTER_KNOWN_MEMBERS_H
 #define TRACKCOVE_CLUSTER_KNOWN_MEMBERS_H
@@ -12,7 +12,7 @@
 
 /* ===== Public functions ===== */
 
-/** A number that names a list of control boxes; never 0, which stands for knowing none, unless @p n is 0. */
+/** Hash of a list of control boxes. 0, which stands for knowing none, is returned only when @p n is 0. */
 uint64_t known_members_hash(const raft_member_t *list, uint32_t n);
 
 #endif
--- a/lib/cluster/missing.c
+++ b/lib/cluster/missing.c
@@ -8,13 +8,13 @@
 typedef struct {
     char box[CODEC_STR_SIZE];
     tc_time_t since;
-} gone_box_t;
+} missing_box_t;
 
 struct missing {
-    GHashTable *boxes; /* name -> gone_box_t, owned */
+    GHashTable *boxes; /* name -> missing_box_t, owned */
 };
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 missing_t *missing_create(void)
 {
@@ -29,20 +29,20 @@
     g_free(m);
 }
 
-/* ===== Following the list ===== */
+/* ===== Updates ===== */
 
 static void add(missing_t *m, const char *box, tc_time_t now)
 {
-    gone_box_t *const gone = g_new0(gone_box_t, 1);
+    missing_box_t *const gone = g_new0(missing_box_t, 1);
     codec_copy_string(gone->box, sizeof(gone->box), box);
     gone->since = now;
     g_hash_table_replace(m->boxes, gone->box, gone);
 }
 
-static gboolean is_forgotten(gpointer key, gpointer value, gpointer now)
+static gboolean is_expired(gpointer key, gpointer value, gpointer now)
 {
     (void)key;
-    return *(const tc_time_t *)now - ((const gone_box_t *)value)->since >= MISSING_TIMEOUT_MS;
+    return *(const tc_time_t *)now - ((const missing_box_t *)value)->since >= MISSING_TIMEOUT_MS;
 }
 
 void missing_update(missing_t *m, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
@@ -59,7 +59,7 @@
     for (; i < before_n; i++)
         if (!before[i].leaving)
             add(m, before[i].box, now);
-    g_hash_table_foreach_remove(m->boxes, is_forgotten, &now);
+    g_hash_table_foreach_remove(m->boxes, is_expired, &now);
 }
 
 uint32_t missing_count(const missing_t *m, tc_time_t now)
@@ -69,6 +69,6 @@
     gpointer value;
     g_hash_table_iter_init(&iter, m->boxes);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-        n += now - ((const gone_box_t *)value)->since < MISSING_TIMEOUT_MS;
+        n += now - ((const missing_box_t *)value)->since < MISSING_TIMEOUT_MS;
     return n;
 }
--- a/lib/cluster/missing.h
+++ b/lib/cluster/missing.h
@@ -1,6 +1,7 @@
 /** @file missing.h
- * How many boxes are missing: gone from the list of boxes without having said that they leave, and not back yet. Those
- * who ask boxes for addresses ask missing ones too, and wait for them. Pure: lists and the time go in.
+ * Counts missing boxes: those that have disappeared from the list of boxes without announcing that they leave, and have
+ * not come back. A query to all boxes also goes to missing ones, and waits for them. Pure: takes the lists and the
+ * time.
  */
 #ifndef TRACKCOVE_CLUSTER_MISSING_H
 #define TRACKCOVE_CLUSTER_MISSING_H
@@ -16,7 +17,7 @@
 
 typedef struct missing missing_t;
 
-/** A box that has been missing for so long is taken for gone: nobody is told of it any more. */
+/** A box that has been missing for so long is no longer counted. */
 #define MISSING_TIMEOUT_MS 30000
 
 /* ===== Public functions ===== */
@@ -24,11 +25,11 @@
 missing_t *missing_create(void);
 void missing_destroy(missing_t *missing);
 
-/** The list of boxes has changed. Both lists are in order of names. */
+/** The list of boxes has changed. Both lists are sorted by name. */
 void missing_update(missing_t *missing, const entry_box_t *before, uint32_t before_n, const entry_box_t *after,
                     uint32_t after_n, tc_time_t now);
 
-/** How many are missing now. */
+/** Number of boxes missing now. */
 uint32_t missing_count(const missing_t *missing, tc_time_t now);
 
 #endif
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -18,9 +18,9 @@
 
 enum {
     TICK_MS = 25,
-    SNAPSHOT_BYTES = 512 * 1024, /* the log must not outgrow memory and disk */
+    SNAPSHOT_BYTES = 512 * 1024, /* bounds the log in memory and on disk */
     SNAPSHOT_ENTRIES = 128,
-    SNAPSHOT_QUIET_MS = 250
+    SNAPSHOT_IDLE_MS = 250
 };
 
 /* ===== Log lines ===== */
@@ -38,8 +38,8 @@
     log_end(&line);
 }
 
-/** Why a lease lapsed, as far as this box can see: what its loop stood still for, and what waits to be sent. */
-static void log_lapse(const replica_t *r, const char *event, tc_time_t now)
+/** Log the local causes of a lapsed lease: the longest turn of the event loop, and what waits to be sent. */
+static void log_lease_lapse(const replica_t *r, const char *event, tc_time_t now)
 {
     const loop_turn_t turn = loop_longest_turn(r->loop);
     const peer_backlog_t waiting = peer_backlog(r->net, now);
@@ -59,11 +59,11 @@
 
 /* ===== Evacuations ===== */
 
-/** Act on what is evacuated now: the scheduler by itself, boxes when they are told. */
-static void note_evacuations(replica_t *r)
+/** Pass the evacuations to the scheduler; boxes are notified separately. */
+static void apply_evacuations(replica_t *r)
 {
     counter_set(&c_evacuated, r->evacuations.list_n);
-    if (r->placing) /* not before all of this box stands */
+    if (r->placing) /* NULL while replica_create is running */
         leader_sched_set_evacuations(r->placing, &r->evacuations);
 }
 
@@ -78,39 +78,39 @@
     log_int(&line, "version", (int64_t)r->evacuations.version);
     log_end(&line);
     if (changed) {
-        note_evacuations(r);
+        apply_evacuations(r);
         if (replica_is_leader(r))
             reports_publish(r);
     }
     proposals_applied(r, entry, r->evacuations.version, true, r->applied_at);
 }
 
-/* ===== What the log applies ===== */
+/* ===== State machine ===== */
 
-/** A document as it lies in a snapshot, or in entries written before there were pieces. */
+/** Unpack a document of a snapshot, or of an entry in the older format without pieces. */
 static document_t read_document(const char *data, size_t size)
 {
     document_t document;
     const int rc = codec_unpack_bytes(&document_desc, &document, data, size, NULL);
-    assert(rc == TC_OK); /* checked by its checksum, written by this code */
+    assert(rc == TC_OK); /* its checksum was verified, and this code has written it */
     (void)rc;
     if (document.size > 0 || document.body_n == 0)
         return document;
-    document_t packed = {0}; /* its body is the text itself */
+    document_t packed = {0}; /* older format: the body is the text, not compressed */
     document_make(&packed, document.version, document.body, document.body_n);
     codec_free(&document_desc, &document);
     return packed;
 }
 
-static void note_version(replica_t *r)
+static void notify_document(replica_t *r)
 {
     counter_set(&c_version, (int64_t)r->document.version);
-    if (r->options.on_document && r->placing) /* not before all of this box stands */
+    if (r->options.on_document && r->placing) /* NULL while replica_create is running */
         r->options.on_document(r->options.arg, r, &r->document);
 }
 
-/** A document is accepted: the newest wins. */
-static document_relation_t take_document(replica_t *r, document_t *offered)
+/** Replace the document if the committed one is newer. */
+static document_relation_t accept_document(replica_t *r, document_t *offered)
 {
     const document_relation_t relation = document_compare(&r->document, offered);
     if (relation != DOCUMENT_NEWER)
@@ -121,14 +121,14 @@
     (void)document_apply(&r->document, offered);
     counter_add(&c_accepted, 1);
     log_cluster(r, "document accepted");
-    note_version(r);
+    notify_document(r);
     if (replica_is_leader(r))
         reports_publish(r);
     return relation;
 }
 
-/** The next piece of a document. A leader writes the pieces of one document one behind the other, so that those of
- *  another one begin anew. @return whether the document is whole, in @p whole */
+/** Add the next piece of a document. A leader appends all pieces of a document in a row, so that a piece at offset 0
+ *  starts a new document. @return whether the document is complete, and moved to @p whole */
 static bool add_piece(replica_t *r, const log_entry_t *entry, document_t *whole)
 {
     document_piece_t piece;
@@ -138,11 +138,11 @@
     }
     if (piece.offset == 0) {
         const bool fits = document_download_begin(&r->arrival, &piece.head);
-        assert(fits); /* checked when it was offered */
+        assert(fits); /* checked when it was proposed */
         (void)fits;
         r->arrival_first = entry->index;
     }
-    (void)document_download_add(&r->arrival, &piece); /* false: behind a beginning that another leader cut off */
+    (void)document_download_add(&r->arrival, &piece); /* false: its first pieces were truncated by another leader */
     codec_free(&document_piece_desc, &piece);
     if (!document_download_is_complete(&r->arrival))
         return false;
@@ -158,7 +158,7 @@
     r->since_snapshot += entry->data_n;
     r->entries_since++;
     r->applied_at = tc_time_now();
-    /* Kinds of entries differ in the type of their first field. */
+    /* The kinds of entries differ in the type of their first field. */
     if (codec_unpack_bytes(&evacuation_desc, &order, entry->data, entry->data_n, NULL) == TC_OK) {
         apply_evacuation(r, entry, &order);
         return;
@@ -166,14 +166,14 @@
     if (!add_piece(r, entry, &whole))
         return;
     const uint64_t version = whole.version;
-    const document_relation_t relation = take_document(r, &whole);
+    const document_relation_t relation = accept_document(r, &whole);
     codec_free(&document_desc, &whole);
     proposals_applied(r, entry, version, relation != DOCUMENT_CONFLICTS, r->applied_at);
 }
 
 /* ===== Actions of the log ===== */
 
-/** Snapshots written before there were evacuations hold the document alone. */
+/** Unpack a snapshot. Those in the older format, without evacuations, hold only the document. */
 static replica_image_t read_image(const raft_image_t *image)
 {
     replica_image_t read = {0};
@@ -191,24 +191,24 @@
     (void)document_apply(&r->document, &read.document);
     const bool evacuations = evacuations_update(&r->evacuations, &read.evacuations);
     codec_free(&replica_image_desc, &read);
-    document_download_clear(&r->arrival); /* what had begun before is a part of the image, or was cut off */
-    note_version(r);
+    document_download_clear(&r->arrival); /* a partial document is contained in the image, or was truncated */
+    notify_document(r);
     if (evacuations)
-        note_evacuations(r);
+        apply_evacuations(r);
 }
 
 static void send_message(replica_t *r, const raft_action_t *action)
 {
     const char *addr = action->addr;
-    for (uint32_t i = 0; !addr[0] && i < r->known.list_n; i++)
-        if (r->known.list[i].id == action->to)
-            addr = r->known.list[i].peer;
+    for (uint32_t i = 0; !addr[0] && i < r->known_members.list_n; i++)
+        if (r->known_members.list[i].id == action->to)
+            addr = r->known_members.list[i].peer;
     if (addr[0])
         peer_send_first(r->net, addr, action->type, action->message);
 }
 
-/** The part of an action that does not concern the disk. */
-static void act(replica_t *r, const raft_action_t *action)
+/** Execute the part of an action that does not concern the disk. */
+static void execute(replica_t *r, const raft_action_t *action)
 {
     switch (action->kind) {
     case RAFT_ACT_META:
@@ -226,20 +226,20 @@
     }
 }
 
-/** The log may go up to here: not into a document whose pieces are being applied, which no snapshot holds. */
-static uint64_t compact_to(const replica_t *r)
+/** Last index that may be compacted: before a document whose pieces are being applied, which no snapshot contains. */
+static uint64_t compaction_limit(const replica_t *r)
 {
     return r->arrival.body ? r->arrival_first - 1 : r->applied;
 }
 
-/** Also when nothing has come for a moment: what is in a snapshot is known to be accepted without asking anybody, so a
- *  box that has just started can tell it before a leader is elected. */
+/** Whether to write a snapshot. An idle log is compacted too: what a snapshot contains is known to be committed, so
+ * that a box that has just started can serve it before a leader is elected. */
 static bool wants_snapshot(const replica_t *r, tc_time_t now)
 {
-    if (r->entries_since == 0 || compact_to(r) <= raft_view(r->raft).snapshot_index)
+    if (r->entries_since == 0 || compaction_limit(r) <= raft_view(r->raft).snapshot_index)
         return false;
     return r->since_snapshot >= SNAPSHOT_BYTES || r->entries_since >= SNAPSHOT_ENTRIES ||
-           now - r->applied_at > SNAPSHOT_QUIET_MS;
+           now - r->applied_at > SNAPSHOT_IDLE_MS;
 }
 
 static void compact(replica_t *r)
@@ -249,49 +249,50 @@
     size_t size;
     const replica_image_t state = {.document = r->document, .evacuations = r->evacuations}; /* borrowed */
     char *const image = codec_pack_bytes(&replica_image_desc, &state, &size);
-    raft_compact(r->raft, compact_to(r), image, size);
+    raft_compact(r->raft, compaction_limit(r), image, size);
     free(image);
 }
 
-/** Do what the log asks. */
-static void pump(replica_t *r)
+/** Execute the pending actions of the log. */
+static void run_actions(replica_t *r)
 {
-    if (r->pumping)
-        return; /* an offer's end may offer again */
-    r->pumping = true;
+    if (r->is_running_actions)
+        return; /* a proposal's callback may propose again */
+    r->is_running_actions = true;
     raft_action_t action;
     while (log_writer_next(r->writer, r->raft, &action, tc_time_now())) {
-        act(r, &action);
+        execute(r, &action);
         raft_action_free(&action);
         compact(r);
     }
-    r->pumping = false;
+    r->is_running_actions = false;
     if (log_writer_is_stalled(r->writer))
-        proposals_fail(r, TC_E_BROKEN); /* other boxes may have them and go on without this one */
+        proposals_fail(r, TC_E_BROKEN); /* other boxes may have received and commit them without this one */
 }
 
 /* ===== Messages and time ===== */
 
-/** Begin, suspend or end what a leader does, by its lease. */
-static void note_lead(replica_t *r, tc_time_t now)
+/** Start, suspend or end the work of a leader, according to its lease. */
+static void update_leadership(replica_t *r, tc_time_t now)
 {
     const bool keeps = replica_retains_leadership(r);
     const leader_sched_lease_t lease = {.term = keeps ? raft_view(r->raft).term : 0, .held = replica_is_leader(r)};
-    if (r->held && !lease.held)
-        log_lapse(r, keeps ? "the lease lapsed" : "the lease is over", now);
-    if (keeps != r->led)
-        log_cluster(r, keeps ? "this box leads" : "this box leads no more");
-    r->held = lease.held;
-    r->led = keeps;
+    if (r->had_lease && !lease.held)
+        log_lease_lapse(r, keeps ? "lease lapsed" : "lease lapsed and leadership lost", now);
+    if (keeps != r->was_leader)
+        log_cluster(r, keeps ? "became leader" : "lost leadership");
+    r->had_lease = lease.held;
+    r->was_leader = keeps;
     counter_set(&c_leads, lease.held);
     leader_sched_tick(r->placing, &lease, roster_count(r->roster), now);
 }
 
-/** A loop that stood still reads messages before it ticks: nothing is granted by a box that may lead no more. */
-static void note_end(replica_t *r, tc_time_t now)
+/** After a stall the event loop reads messages before it ticks: without this check a box that is no longer the leader
+ *  could grant requests. */
+static void check_leadership_lost(replica_t *r, tc_time_t now)
 {
-    if (r->led && !replica_retains_leadership(r))
-        note_lead(r, now);
+    if (r->was_leader && !replica_retains_leadership(r))
+        update_leadership(r, now);
 }
 
 static void on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
@@ -300,7 +301,7 @@
     const tc_time_t now = tc_time_now();
     (void)from;
     if (leader_sched_handles_type(type)) {
-        note_end(r, now);
+        check_leadership_lost(r, now);
         leader_sched_handle_message(r->placing, call, type, message, now);
         return;
     }
@@ -308,15 +309,15 @@
     case MSG_REPORT: reports_answer(r, call, message, now); break;
     case MSG_FETCH_PIECE: reports_answer_piece(r, call, message); break;
     case MSG_FETCH_LIST: follow_answer_list(r, call, message, now); break;
-    case MSG_JOIN: members_answer(r, call, message, now); break;
-    case MSG_HELD_REQUESTS: held_hear(r, message, now); break;
-    case MSG_JOIN_ACK: break; /* an announcement for those who are no members */
+    case MSG_JOIN: members_answer_join(r, call, message, now); break;
+    case MSG_HELD_REQUESTS: replica_quarantine_receive(r, message, now); break;
+    case MSG_JOIN_ACK: break; /* an announcement for boxes that are no members */
     default:
-        if (!log_writer_is_stalled(r->writer)) /* as if it were lost on its way: no answer could leave */
+        if (!log_writer_is_stalled(r->writer)) /* else dropped as if lost: no answer could be sent */
             raft_receive(r->raft, type, message, now);
         break;
     }
-    pump(r);
+    run_actions(r);
 }
 
 static void on_tick(void *arg)
@@ -330,13 +331,13 @@
         members_announce(r, now);
         raft_trim(r->raft, r->options.voters_wanted, now);
     }
-    pump(r);
+    run_actions(r);
     roster_expire(r->roster, now);
     reports_expire_withdrawn(r, now);
     reports_tick(r, now);
-    held_tick(r, now);
-    kept_tick(r, now);
-    note_lead(r, now);
+    replica_quarantine_tick(r, now);
+    saved_list_tick(r, now);
+    update_leadership(r, now);
     follow_tick(r, now);
     proposals_check(r, now);
 }
@@ -344,25 +345,25 @@
 void replica_propose(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
     proposals_add_document(r, document, done, arg);
-    pump(r);
+    run_actions(r);
 }
 
 void replica_evacuate(replica_t *r, const char *dc, bool on, replica_done_t done, void *arg)
 {
     proposals_add_evacuation(r, dc, on, done, arg);
-    pump(r);
+    run_actions(r);
 }
 
 void replica_resign(replica_t *r)
 {
     if (!raft_resign(r->raft, tc_time_now()))
         return;
-    log_cluster(r, "this box resigns");
-    pump(r);
-    note_lead(r, tc_time_now()); /* whoever waits for a placement asks the next leader */
+    log_cluster(r, "resigned");
+    run_actions(r);
+    update_leadership(r, tc_time_now()); /* boxes that wait for a placement ask the next leader */
 }
 
-/* ===== The scheduler beside it ===== */
+/* ===== Scheduler ===== */
 
 const char *replica_work(const replica_t *r, pool_load_t *work)
 {
@@ -379,7 +380,7 @@
     leader_sched_update_engine(r->placing, engine, held, n, tc_time_now());
 }
 
-/* ===== Life ===== */
+/* ===== Settings and lifecycle ===== */
 
 void replica_set_services(replica_t *r, const leader_sched_service_t *list, uint32_t n)
 {
@@ -427,7 +428,7 @@
 replica_t *replica_create(loop_t *loop, const replica_options_t *options, tc_err_t *err)
 {
     raft_start_t start;
-    if (options->bootstrap && members_found(options, err) < 0)
+    if (options->bootstrap && members_bootstrap(options, err) < 0)
         return NULL;
     store_t *const store = store_open(options->data_dir, &start, err);
     if (!store)
@@ -438,11 +439,11 @@
     r->store = store;
     r->writer = log_writer_create(store);
     r->roster = roster_create();
-    r->told = list_feed_create(&list_of_backends);
+    r->published = list_feed_create(&list_of_backends);
     r->budget = (list_budget_t){.rate = options->list_bytes_s};
     r->withdrawn = g_array_new(FALSE, TRUE, sizeof(withdrawn_t));
     r->quarantine = quarantine_create();
-    held_load(r);
+    replica_quarantine_load(r);
     CDS_INIT_LIST_HEAD(&r->proposals);
     replica_set_seeds(r, options->seeds);
     fill_self(r, start.id);
@@ -458,11 +459,11 @@
     }
     r->placing = leader_sched_create(r->net, &options->retries, &options->caps, &options->limits);
     leader_sched_set_quarantine(r->placing, r->quarantine);
-    kept_load(r);
+    saved_list_load(r);
     log_cluster(r, "started");
     if (r->document.version > 0)
-        note_version(r);
-    note_evacuations(r);
+        notify_document(r);
+    apply_evacuations(r);
     loop_add_tick(loop, TICK_MS, on_tick, r);
     return r;
 }
@@ -483,13 +484,13 @@
     codec_free(&document_desc, &r->previous);
     document_download_clear(&r->arrival);
     codec_free(&evacuations_desc, &r->evacuations);
-    codec_free(&raft_members_desc, &r->known);
+    codec_free(&raft_members_desc, &r->known_members);
     g_strfreev(r->seeds);
     free(r->backends);
     follow_free(r);
-    list_feed_destroy(r->told);
+    list_feed_destroy(r->published);
     g_array_free(r->withdrawn, TRUE);
     quarantine_destroy(r->quarantine);
-    free(r->moving);
+    free(r->role_changes);
     g_free(r);
 }
--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -1,4 +1,4 @@
-/* Members of the control boxes' log: how a cluster is founded, and how a box gets into one. */
+/* Membership of the replicated log: bootstrapping a cluster, and joining one. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -12,13 +12,13 @@
 /* ===== Constants ===== */
 
 enum {
-    JOIN_EVERY_MS = 300, /* a box that is no voter, or hears no leader, asks this often */
-    JOIN_LIMIT_MS = 1000,
-    ANNOUNCE_EVERY_MS = 500, /* to seeds that are no members */
-    ANNOUNCE_SOON_MS = 100,  /* the same while there is no leader: all boxes may have restarted, and whoever knows only
-                                seeds serves nobody until they know the members */
-    FOUNDING_INDEX = 1,      /* of the image that all founders start from */
-    FOUNDING_TERM = 1,
+    JOIN_PERIOD_MS = 300, /* for a box that is no voter, or knows no leader */
+    JOIN_TIMEOUT_MS = 1000,
+    ANNOUNCE_PERIOD_MS = 500,     /* announcements to seeds that are no members */
+    ANNOUNCE_LEADERLESS_MS = 100, /* the same without a leader: all boxes may have restarted, and a box that knows
+                               only seeds serves no one until those know the members */
+    BOOTSTRAP_INDEX = 1,          /* of the image that all founders start with */
+    BOOTSTRAP_TERM = 1,
     FOUNDERS_MAX = 16
 };
 
@@ -27,22 +27,22 @@
 static void on_join_answer(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
     replica_t *const r = arg;
-    (void)err; /* an unreachable seed is asked again */
+    (void)err; /* an unreachable seed is retried */
     if (rc != TC_OK || type != MSG_JOIN_ACK)
         return;
     const msg_join_ack_t *const ack = message;
     if (ack->members_n == 0)
         return;
-    codec_free(&raft_members_desc, &r->known);
-    r->known.list = list_copy(ack->members, ack->members_n * sizeof(*ack->members));
-    r->known.list_n = ack->members_n;
+    codec_free(&raft_members_desc, &r->known_members);
+    r->known_members.list = list_copy(ack->members, ack->members_n * sizeof(*ack->members));
+    r->known_members.list_n = ack->members_n;
 }
 
-static void ask(replica_t *r, const char *addr)
+static void request_join(replica_t *r, const char *addr)
 {
     const msg_join_t join = {.member = r->self};
     if (addr[0] && strcmp(addr, r->self.peer) != 0)
-        peer_call(r->net, addr, MSG_JOIN, &join, JOIN_LIMIT_MS, on_join_answer, r);
+        peer_call(r->net, addr, MSG_JOIN, &join, JOIN_TIMEOUT_MS, on_join_answer, r);
 }
 
 static bool is_seed(const replica_t *r, const char *addr)
@@ -55,19 +55,19 @@
     const raft_view_t view = raft_view(r->raft);
     if (now < r->join_at || (raft_is_voter(r->raft, r->self.id) && view.leader != 0))
         return;
-    r->join_at = now + JOIN_EVERY_MS;
+    r->join_at = now + JOIN_PERIOD_MS;
     for (char **seed = r->seeds; *seed; seed++)
-        ask(r, *seed);
-    for (uint32_t i = 0; i < r->known.list_n; i++)
-        if (!is_seed(r, r->known.list[i].peer))
-            ask(r, r->known.list[i].peer);
+        request_join(r, *seed);
+    for (uint32_t i = 0; i < r->known_members.list_n; i++)
+        if (!is_seed(r, r->known_members.list[i].peer))
+            request_join(r, r->known_members.list[i].peer);
 }
 
 void members_announce(replica_t *r, tc_time_t now)
 {
     if (now < r->announce_at)
         return;
-    r->announce_at = now + (replica_has_leader(r) ? ANNOUNCE_EVERY_MS : ANNOUNCE_SOON_MS);
+    r->announce_at = now + (replica_has_leader(r) ? ANNOUNCE_PERIOD_MS : ANNOUNCE_LEADERLESS_MS);
     const raft_members_t *const members = raft_members(r->raft);
     const msg_join_ack_t message = {.has_state = true, .members = members->list, .members_n = members->list_n};
     for (char **seed = r->seeds; *seed && members->list_n > 0; seed++) {
@@ -79,7 +79,7 @@
     }
 }
 
-void members_answer(replica_t *r, peer_call_t call, const msg_join_t *message, tc_time_t now)
+void members_answer_join(replica_t *r, peer_call_t call, const msg_join_t *message, tc_time_t now)
 {
     const raft_members_t *const members = raft_members(r->raft);
     const msg_join_ack_t ack = {.has_state = raft_view(r->raft).last_index > 0,
@@ -91,22 +91,22 @@
         raft_join(r->raft, &message->member, now);
 }
 
-/* ===== Founding ===== */
+/* ===== Bootstrap ===== */
 
-/** Founders are named after their addresses, so that all know them all without asking. */
+/** The id of a founder is derived from its address, so that each founder knows the others without communication. */
 static uint64_t founder_id(const char *peer)
 {
     return XXH64(peer, strlen(peer), 0) | 1;
 }
 
-/** Where operators reach the member at @p peer: on the port of ours, since ports are alike everywhere. */
-static void http_beside(char *to, size_t size, const char *peer, const char *own_http)
+/** HTTP address of the member at @p peer: its host with our HTTP port, since ports are the same on all boxes. */
+static void founder_http(char *to, size_t size, const char *peer, const char *own_http)
 {
     const char *const port = strrchr(own_http, ':');
     g_snprintf(to, (gulong)size, "%.*s%s", (int)strcspn(peer, ":"), peer, port ? port : "");
 }
 
-int members_found(const replica_options_t *options, tc_err_t *err)
+int members_bootstrap(const replica_options_t *options, tc_err_t *err)
 {
     raft_member_t founders[FOUNDERS_MAX];
     memset(founders, 0, sizeof(founders));
@@ -115,15 +115,15 @@
     for (const char *const *seed = options->seeds; *seed && n < FOUNDERS_MAX; seed++, n++) {
         codec_copy_string(founders[n].name, sizeof(founders[n].name), *seed);
         codec_copy_string(founders[n].peer, sizeof(founders[n].peer), *seed);
-        http_beside(founders[n].http, sizeof(founders[n].http), *seed, options->http_addr);
+        founder_http(founders[n].http, sizeof(founders[n].http), *seed, options->http_addr);
         founders[n].id = founder_id(*seed);
         founders[n].voter = true;
         among = among || strcmp(*seed, options->peer_listen) == 0;
     }
     if (!among)
-        return TC_OK; /* it joins */
+        return TC_OK; /* this box joins instead */
     const raft_image_t image = {
-        .last_index = FOUNDING_INDEX, .last_term = FOUNDING_TERM, .members = {.list = founders, .list_n = n}};
+        .last_index = BOOTSTRAP_INDEX, .last_term = BOOTSTRAP_TERM, .members = {.list = founders, .list_n = n}};
     return store_found(options->data_dir, founder_id(options->peer_listen), &image, err);
 }
 
--- a/lib/cluster/replica_proposals.c
+++ b/lib/cluster/replica_proposals.c
@@ -1,5 +1,5 @@
-/* What operators offer, documents and evacuations, on its way into force: through the log, documents in pieces, then to
- * every box. */
+/* Proposals of operators, documents and evacuations, until they are in force: committed by the log, documents in
+ * pieces, then rolled out to every box. */
 
 #include <assert.h>
 #include <glib.h>
@@ -16,18 +16,17 @@
 /* ===== Constants ===== */
 
 enum {
-    COMMIT_LIMIT_MS = 3000, /* an offer not applied by then has an unknown outcome: below the time in which an operator
-                            wants an answer */
-    /* An accepted document is acknowledged once every box that is there acts on it, so that none needs this leader for
-     * it any more; for boxes that do not get there no longer than this. Below 1 s, after which operators ask another
-     * box, and 2 ms more a KB: twice what it takes over 10 Mbit/s. */
+    COMMIT_LIMIT_MS = 3000, /* a proposal not applied by then ends with an unknown outcome: below the timeout of
+                            operators */
+    /* A committed proposal is acknowledged once every live box acts on it, so that none of them depends on this leader
+     * for it any more. It waits no longer than this for boxes that do not get there: below the 1 s after which
+     * operators ask another box. */
     ROLLOUT_LIMIT_MS = 800,
-    ROLLOUT_MS_PER_KB = 2,
-    PIECE_BYTES =
-        64 * 1024 /* of one entry: 5 ms of a link of 100 Mbit/s, so that heartbeats wait no longer behind it */
+    ROLLOUT_MS_PER_KB = 2,  /* added for the size of a document: twice the transfer time over 10 Mbit/s */
+    PIECE_BYTES = 64 * 1024 /* of one entry: 5 ms on a link of 100 Mbit/s, the longest that heartbeats wait behind it */
 };
 
-/* ===== Ending ===== */
+/* ===== Completion ===== */
 
 static void proposal_end(replica_proposal_t *o, int rc)
 {
@@ -43,7 +42,7 @@
         proposal_end(o, o->state == PROPOSAL_COMMITTED ? TC_OK : rc);
 }
 
-/* ===== Through the log ===== */
+/* ===== Commit ===== */
 
 static replica_proposal_t *proposal_add(replica_t *r, proposal_kind_t kind, uint64_t version, replica_done_t done,
                                         void *arg)
@@ -69,7 +68,7 @@
         size_t size;
         char *const data = codec_pack_bytes(&document_piece_desc, &piece, &size);
         const int64_t index = raft_propose(r->raft, data, size, now);
-        assert(index > 0); /* this box leads: nothing was pumped since it was asked */
+        assert(index > 0); /* this box is the leader: no action has run since that was checked */
         (void)index;
         free(data);
         piece.offset += piece.data_n;
@@ -81,7 +80,7 @@
     return (document->body_n + PIECE_BYTES - 1) / PIECE_BYTES;
 }
 
-/** Wait for the entry that is the last of @p entries to be proposed. Call before they are: a cluster of one applies
+/** Wait for the last of the next @p entries entries. Call before they are proposed: a cluster of one member applies
  * them at once. */
 static void wait_for_commit(const replica_t *r, replica_proposal_t *o, uint64_t entries, tc_time_t now)
 {
@@ -100,7 +99,7 @@
         proposal_end(o, TC_OK);
 }
 
-/* ===== Into force ===== */
+/* ===== Rollout ===== */
 
 static void wait_for_rollout(const replica_t *r, replica_proposal_t *o, uint64_t version, tc_time_t now)
 {
@@ -110,7 +109,7 @@
     o->deadline = now + ROLLOUT_LIMIT_MS + ROLLOUT_MS_PER_KB * (tc_time_t)(size / 1024);
 }
 
-/** Whether a box that is there does not act on what was offered. */
+/** Whether a live box does not act on the proposal yet. */
 static bool is_behind(const replica_t *r, const replica_proposal_t *o)
 {
     switch (o->kind) {
@@ -126,7 +125,7 @@
     cds_list_for_each_entry_safe(o, next, &r->proposals, node) {
         if (o->state != PROPOSAL_LOGGED || o->index != entry->index)
             continue;
-        /* Promise: the answer comes after the log has it on disk at a majority. */
+        /* Guarantee: the answer comes after a majority has the entry on disk. */
         if (o->term != entry->term)
             proposal_end(o, TC_E_BROKEN);
         else if (!accepted)
@@ -137,7 +136,7 @@
     proposals_check(r, now);
 }
 
-/** Every box that is there acts on it, or is waited for no more. */
+/** Acknowledge a committed proposal. @param everywhere false: its deadline has passed first */
 static void end_rollout(replica_proposal_t *o, bool everywhere, tc_time_t now)
 {
     counter_add(&c_unspread, everywhere ? 0 : 1);
@@ -170,7 +169,7 @@
     }
 }
 
-/* ===== Taking proposals ===== */
+/* ===== New proposals ===== */
 
 void proposals_add_document(replica_t *r, const document_t *document, replica_done_t done, void *arg)
 {
@@ -212,7 +211,7 @@
     size_t size;
     char *const data = codec_pack_bytes(&evacuation_desc, &order, &size);
     const int64_t index = raft_propose(r->raft, data, size, now);
-    assert(index > 0); /* this box leads: nothing was pumped since it was asked */
+    assert(index > 0); /* this box is the leader: no action has run since that was checked */
     (void)index;
     free(data);
 }
--- a/lib/cluster/replica_quarantine.c
+++ b/lib/cluster/replica_quarantine.c
@@ -1,7 +1,8 @@
-/* Requests that are sent to no back end, as the control boxes keep them: on disk, so that a restart of everything does
- * not cost three back ends anew, and told by the leader to the others, so that a lost disk loses nothing. Ends under
- * requests that are not held yet are told as well: the next leader counts on from them, also when the box that found
- * them out is gone. Nobody has to agree on either: what one box knows the others know too, as soon as they hear. */
+/* Durability of the quarantine, the requests that are sent to no back end. It is kept on disk, so that a restart of
+ * everything does not cost three back ends again, and sent by the leader to the other members, so that a lost disk
+ * loses nothing. Ends of back ends under requests that are not quarantined yet are sent as well: the next leader goes
+ * on counting from them, even when the box that reported them is gone. This needs no consensus: members merge what they
+ * receive. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -12,16 +13,16 @@
 /* ===== Constants ===== */
 
 enum {
-    TELL_MS = 2000,      /* between two times that the leader tells, when nothing is new: for members that were away */
-    RETRY_KEEP_MS = 1000 /* between tries while the disk fails */
+    RESEND_PERIOD_MS = 2000, /* when nothing has changed: for members that were away */
+    SAVE_RETRY_MS = 1000     /* between tries while the disk fails, and between any two writes */
 };
 
-/** Of the data folder. */
+/** In the data folder. */
 static const char FILE_NAME[] = "quarantine";
 
 /* ===== The data folder ===== */
 
-void held_load(replica_t *r)
+void replica_quarantine_load(replica_t *r)
 {
     tc_err_t err = {0};
     uint32_t size;
@@ -30,25 +31,25 @@
     const tc_time_t now = tc_time_now();
     const int64_t wall = tc_time_wall();
     if (!data && err.code == TC_E_NOT_FOUND)
-        return; /* nothing was ever held */
+        return; /* no request was ever quarantined */
     if (!data || codec_unpack_bytes(&quarantine_image_desc, &image, data, size, NULL) < 0) {
-        log_failure(LOG_ERROR, "quarantine_lost", &err); /* it is found out anew, or told by the others */
+        log_failure(LOG_ERROR, "quarantine_lost", &err); /* it is detected again, or received from other members */
         free(data);
         return;
     }
     for (uint32_t i = 0; i < image.list_n; i++) {
-        const int64_t age = wall - image.list[i].wall_ms; /* below 0 when the time of day was set back */
+        const int64_t age = wall - image.list[i].wall_ms; /* below 0 when the wall clock was set back */
         quarantine_hold(r->quarantine, image.list[i].request, now - (age > 0 ? age : 0), now);
     }
-    r->held_kept = quarantine_version(r->quarantine);
+    r->quarantine_saved = quarantine_version(r->quarantine);
     codec_free(&quarantine_image_desc, &image);
     free(data);
 }
 
-static void keep(replica_t *r, tc_time_t now)
+static void save(replica_t *r, tc_time_t now)
 {
     const uint64_t version = quarantine_version(r->quarantine);
-    if (version == r->held_kept || now < r->keep_at)
+    if (version == r->quarantine_saved || now < r->save_at)
         return;
     uint32_t n;
     request_age_t *const held = quarantine_list_held(r->quarantine, &n, now);
@@ -62,40 +63,41 @@
     char *const data = codec_pack_bytes(&quarantine_image_desc, &image, &size);
     tc_err_t err = {0};
     if (store_keep(r->store, FILE_NAME, data, (uint32_t)size, &err) == TC_OK)
-        r->held_kept = version;
+        r->quarantine_saved = version;
     else
-        log_failure(LOG_ERROR, "quarantine_not_kept", &err); /* the others keep it as well */
-    r->keep_at = now + RETRY_KEEP_MS;
+        log_failure(LOG_ERROR, "quarantine_not_kept", &err); /* the other members keep it as well */
+    r->save_at = now + SAVE_RETRY_MS;
     free(data);
     free(image.list);
     free(held);
 }
 
-/* ===== Telling ===== */
+/* ===== Replication ===== */
 
-/** What this message brings of single requests: what has changed, else some of them in turn, so that a member that was
- *  away hears of all. */
-static void fill_turn(replica_t *r, quarantine_news_t *news, tc_time_t now)
+/** Fill in the changes since the last message, or, when there are none, some entries in turn, so that a member that was
+ *  away receives all of them. */
+static void fill_ends(replica_t *r, quarantine_news_t *news, tc_time_t now)
 {
     const uint64_t seq = quarantine_seq(r->quarantine);
-    if (r->news_told < seq) {
-        r->news_told = quarantine_fill_changes(r->quarantine, r->news_told, news, now);
+    if (r->ends_sent < seq) {
+        r->ends_sent = quarantine_fill_changes(r->quarantine, r->ends_sent, news, now);
         return;
     }
-    const uint64_t turn = quarantine_fill_changes(r->quarantine, r->news_turn, news, now);
-    r->news_turn = turn < seq ? turn : 0;
+    const uint64_t turn = quarantine_fill_changes(r->quarantine, r->ends_resent, news, now);
+    r->ends_resent = turn < seq ? turn : 0;
 }
 
-static void tell(replica_t *r, tc_time_t now)
+static void replicate(replica_t *r, tc_time_t now)
 {
     const uint64_t seq = quarantine_seq(r->quarantine);
-    if (seq == 0 || !replica_retains_leadership(r) || (r->news_told == seq && now - r->held_at < TELL_MS))
+    if (seq == 0 || !replica_retains_leadership(r) ||
+        (r->ends_sent == seq && now - r->replicated_at < RESEND_PERIOD_MS))
         return;
-    r->held_at = now;
+    r->replicated_at = now;
     quarantine_tick(r->quarantine, now);
     msg_held_requests_t message = {0};
     message.list = quarantine_list_held(r->quarantine, &message.list_n, now);
-    fill_turn(r, &message.news, now);
+    fill_ends(r, &message.news, now);
     const raft_members_t *const members = raft_members(r->raft);
     for (uint32_t i = 0; i < members->list_n; i++)
         if (members->list[i].id != r->self.id)
@@ -103,13 +105,13 @@
     codec_free(&msg_held_requests_desc, &message);
 }
 
-void held_tick(replica_t *r, tc_time_t now)
+void replica_quarantine_tick(replica_t *r, tc_time_t now)
 {
-    keep(r, now);
-    tell(r, now);
+    save(r, now);
+    replicate(r, now);
 }
 
-void held_hear(replica_t *r, const msg_held_requests_t *message, tc_time_t now)
+void replica_quarantine_receive(replica_t *r, const msg_held_requests_t *message, tc_time_t now)
 {
     for (uint32_t i = 0; i < message->list_n; i++)
         quarantine_hold(r->quarantine, message->list[i].request, now - (tc_time_t)message->list[i].age_ms, now);
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -1,5 +1,5 @@
-/* What the boxes that report here are told: which document there is, its pieces, the back ends, the other boxes and
- * their loads. */
+/* Answers to the reports of boxes: the head of the document and its pieces, the back ends, the other boxes and their
+ * loads. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -14,24 +14,25 @@
 
 /* ===== Constants ===== */
 
-/** A new leader tells no list of boxes before all had the time to report to it. */
+/** A new leader sends no list of boxes until all have had the time to report to it. */
 enum { ROSTER_SETTLE_MS = 1000 };
 
 enum {
-    SHORT_NEWS_BYTES = 512, /* news that are told at any time */
-    LOAD_BYTES = 30,        /* of one load on its way, more or less */
-    /* Between two answers to one box that tell the loads of engines: it needs them while it places alone. Loads of
-     * other back ends, a few, are in each answer. */
-    ENGINE_LOADS_MS = 1500,
-    /* A back end that a box found to have ended is told as leaving for so long: the platform lists it for up to 4 s
-     * more, and meanwhile another may have its address, which turns all away that is meant for it. On a day on which 45
-     * ended, each box found it out by itself: 87 connections refused and 35 requests turned away in 12 s. */
-    ENDED_MS = 4000
+    SMALL_UPDATE_BYTES = 512, /* updates up to this size are sent without regard to the budget */
+    LOAD_BYTES = 30,          /* approximate size of one load in a message */
+    /* Between two answers to one box with the loads of engines, which it needs while it places requests by itself. The
+     * loads of other back ends are few, and are in each answer. */
+    ENGINE_LOADS_PERIOD_MS = 1500,
+    /* How long a back end that has ended is published as leaving. The platform lists it for up to 4 s more, and
+     * meanwhile another may have its address and reject all requests for it. When each box had to find this out by
+     * itself, 45 ends cost 87 refused connections and 35 rejected requests in 12 s. */
+    ENDED_LEAVING_MS = 4000
 };
 
-/** Of what may be told in a moment, this part is left for back ends, without which a box refuses every request, when it
- *  comes to boxes, and to loads of engines. */
-static const double ENTRIES_KEPT = 0.5, LOADS_KEPT = 0.75;
+/** Part of the budget that lists of boxes leave to the list of back ends, without which a box refuses every request. */
+static const double ENTRIES_RESERVE = 0.5;
+/** Part of the budget that loads of engines leave to both lists. */
+static const double LOADS_RESERVE = 0.75;
 
 /* ===== Back ends ===== */
 
@@ -45,43 +46,43 @@
     return NULL;
 }
 
-/** Make the list as boxes and the scheduler get it: engines that change their role, and back ends that were withdrawn,
- *  are told as leaving. */
-static void tell_backends(replica_t *r)
+/** Build the list for boxes and the scheduler: engines that change their role, and withdrawn back ends, are published
+ * as leaving. */
+static void publish_backends(replica_t *r)
 {
     backend_t *const list = list_copy(r->backends, r->backends_n * sizeof(*list));
     for (uint32_t i = 0; i < r->backends_n; i++)
-        list[i].draining =
-            list[i].draining || list_has_name(r->moving, r->moving_n, list[i].id) || find_withdrawn(r, list[i].id);
-    (void)list_feed_set(r->told, list, r->backends_n);
+        list[i].draining = list[i].draining || list_has_name(r->role_changes, r->role_changes_n, list[i].id) ||
+                           find_withdrawn(r, list[i].id);
+    (void)list_feed_set(r->published, list, r->backends_n);
     free(list);
     uint32_t n;
-    const backend_t *const told = list_feed_list(r->told, &n);
-    leader_sched_set_backends(r->placing, told, n, r->backends_fetched);
-    r->is_told = true;
-    r->told_at = tc_time_now();
+    const backend_t *const published = list_feed_list(r->published, &n);
+    leader_sched_set_backends(r->placing, published, n, r->backends_fetched);
+    r->is_published = true;
+    r->published_at = tc_time_now();
 }
 
-/** Between two lists that are made since a few back ends are withdrawn, for each that there is: of 10,000 one list
- * tells those of 0.2 s. */
-static const double TELL_EVERY_MS = 0.02;
+/** Minimum interval between two lists when single back ends change, per back end in the list: with 10,000 of them a
+ * list collects the changes of 0.2 s. */
+static const double PUBLISH_MS_PER_BACKEND = 0.02;
 
 void reports_tick(replica_t *r, tc_time_t now)
 {
-    if (!r->is_told && r->backends && (double)(now - r->told_at) >= TELL_EVERY_MS * r->backends_n)
-        tell_backends(r);
+    if (!r->is_published && r->backends && (double)(now - r->published_at) >= PUBLISH_MS_PER_BACKEND * r->backends_n)
+        publish_backends(r);
 }
 
-/** A few back ends are to be told otherwise than before. */
-static void tell_soon(replica_t *r)
+/** Publish changes of single back ends once the minimum interval has passed. */
+static void schedule_publish(replica_t *r)
 {
-    r->is_told = false;
+    r->is_published = false;
     reports_tick(r, tc_time_now());
 }
 
-static bool is_as_read(const replica_t *r)
+static bool is_unmodified(const replica_t *r)
 {
-    return r->moving_n == 0 && r->withdrawn->len == 0;
+    return r->role_changes_n == 0 && r->withdrawn->len == 0;
 }
 
 void replica_set_backends(replica_t *r, const backend_t *list, uint32_t n, tc_time_t fetched)
@@ -92,35 +93,35 @@
         leader_sched_confirm_backends(r->placing, fetched);
         return;
     }
-    /* The list as it was read is a state that boxes may have: from another control box, or read by themselves. */
-    if (!is_as_read(r))
-        (void)list_feed_set(r->told, list, n);
+    /* Boxes may have the list as it was read: from another control box, or because they read it themselves. */
+    if (!is_unmodified(r))
+        (void)list_feed_set(r->published, list, n);
     free(r->backends);
     r->backends = list_copy(list, n * sizeof(*list));
     r->backends_n = n;
-    tell_backends(r);
+    publish_backends(r);
 }
 
 void reports_take_backends(replica_t *r)
 {
     uint32_t n;
-    const backend_t *const told = list_feed_list(r->told, &n);
+    const backend_t *const published = list_feed_list(r->published, &n);
     r->backends_fetched = list_mirror_time(r->follow.backends_mirror);
     free(r->backends);
-    r->backends = list_copy(told, n * sizeof(*told));
+    r->backends = list_copy(published, n * sizeof(*published));
     r->backends_n = n;
-    leader_sched_set_backends(r->placing, told, n, r->backends_fetched);
+    leader_sched_set_backends(r->placing, published, n, r->backends_fetched);
 }
 
 void replica_set_role_changes(replica_t *r, const leaving_cfg_t *list, uint32_t n)
 {
-    const bool same = r->moving_n == n && (n == 0 || memcmp(r->moving, list, n * sizeof(*list)) == 0);
+    const bool same = r->role_changes_n == n && (n == 0 || memcmp(r->role_changes, list, n * sizeof(*list)) == 0);
     if (same)
         return;
-    free(r->moving);
-    r->moving = list_copy(list, n * sizeof(*list));
-    r->moving_n = n;
-    tell_soon(r);
+    free(r->role_changes);
+    r->role_changes = list_copy(list, n * sizeof(*list));
+    r->role_changes_n = n;
+    schedule_publish(r);
 }
 
 static void withdraw(replica_t *r, const char *backend, tc_time_t until, bool by_list)
@@ -134,18 +135,18 @@
     withdrawn_t fresh = {.until = until, .by_list = by_list};
     codec_copy_string(fresh.id, sizeof(fresh.id), backend);
     g_array_append_val(r->withdrawn, fresh);
-    tell_soon(r);
+    schedule_publish(r);
 }
 
-/** A box found that a back end ended. */
-static void on_end(void *arg, const char *backend, tc_time_t at)
+/** A box has reported the end of a back end. */
+static void on_backend_end(void *arg, const char *backend, tc_time_t at)
 {
     replica_t *const r = arg;
-    if (r->backends_fetched > 0 && tc_time_now() < at + ENDED_MS)
-        withdraw(r, backend, at + ENDED_MS, false);
+    if (r->backends_fetched > 0 && tc_time_now() < at + ENDED_LEAVING_MS)
+        withdraw(r, backend, at + ENDED_LEAVING_MS, false);
 }
 
-/** Take what answers told a box of back ends that leave. */
+/** Take the notices of leaving back ends that a box has found in answers. */
 static void take_notices(replica_t *r, const msg_report_t *report, tc_time_t now)
 {
     for (uint32_t i = 0; i < report->notices_n; i++) {
@@ -156,10 +157,10 @@
     }
 }
 
-/** Whether it stands in a data centre that is evacuated. */
+/** Whether the back end is in an evacuated data centre. */
 static bool is_evacuated(const replica_t *r, const char *backend)
 {
-    const backend_t *const listed = r->evacuations.list_n > 0 ? list_feed_find(r->told, backend) : NULL;
+    const backend_t *const listed = r->evacuations.list_n > 0 ? list_feed_find(r->published, backend) : NULL;
     return listed && evacuations_has(&r->evacuations, listed->dc);
 }
 
@@ -181,51 +182,51 @@
         if (is_over(r, &g_array_index(r->withdrawn, withdrawn_t, i), now))
             g_array_remove_index_fast(r->withdrawn, i);
     if (r->withdrawn->len != before)
-        tell_soon(r);
+        schedule_publish(r);
 }
 
-/* ===== Lists within their share of the link ===== */
+/* ===== Lists within the bandwidth budget ===== */
 
-/** News as far as they may be told now: a box that is told nothing asks again with its next report. A whole list that
- * is to be fetched costs its reader's pieces, from wherever. @param kept as list_budget_take */
-static list_news_t within_budget(replica_t *r, list_news_t news, double kept, tc_time_t now)
+/** The update, or none when the budget is spent: the box then asks again with its next report. Pieces of a full list
+ * are not charged here: the box fetches them itself, from any box. @param kept as list_budget_take */
+static list_news_t within_budget(replica_t *r, list_news_t update, double kept, tc_time_t now)
 {
-    const bool told = news.body_n <= SHORT_NEWS_BYTES || list_budget_take(&r->budget, news.body_n, kept, now);
-    return told ? news : (list_news_t){0};
+    const bool fits = update.body_n <= SMALL_UPDATE_BYTES || list_budget_take(&r->budget, update.body_n, kept, now);
+    return fits ? update : (list_news_t){0};
 }
 
 static void add_backends(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     if (r->backends_fetched == 0 || report->without_backends)
         return;
-    ack->backends = within_budget(r, list_feed_update_since(r->told, report->backends_hash), 0, now);
+    ack->backends = within_budget(r, list_feed_update_since(r->published, report->backends_hash), 0, now);
     ack->backends_age_ms = (uint64_t)(now - r->backends_fetched);
 }
 
 static void add_entries(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     list_feed_t *const list = roster_list(r->roster, now);
-    ack->entries = within_budget(r, list_feed_update_since(list, report->entries_hash), ENTRIES_KEPT, now);
+    ack->entries = within_budget(r, list_feed_update_since(list, report->entries_hash), ENTRIES_RESERVE, now);
 }
 
 /* ===== Answers to reports ===== */
 
 static roster_kind_t kind_of(void *arg, const char *id)
 {
-    const backend_t *const listed = list_feed_find(((const replica_t *)arg)->told, id);
+    const backend_t *const listed = list_feed_find(((const replica_t *)arg)->published, id);
     if (!listed || !listed->stage[0])
         return ROSTER_PLAIN;
     return strcmp(listed->stage, "prefill") == 0 ? ROSTER_PREFILL : ROSTER_DECODE;
 }
 
-/** What the other boxes have in flight, at engines now and then, as far as the budget goes. The list is to be freed
- * with free. */
+/** Add what the other boxes have in flight; loads of engines only periodically and within the budget. The list is to be
+ * freed with free. */
 static void add_loads(replica_t *r, const char *box, msg_report_ack_t *ack, tc_time_t now)
 {
-    const bool wanted = roster_engine_loads_due(r->roster, box, ENGINE_LOADS_MS, now);
+    const bool wanted = roster_engine_loads_due(r->roster, box, ENGINE_LOADS_PERIOD_MS, now);
     const roster_loads_t loads = roster_loads(r->roster, box, kind_of, r, wanted);
     const size_t bytes = (size_t)(loads.n - loads.plain_n) * LOAD_BYTES;
-    const bool engines = wanted && list_budget_take(&r->budget, bytes, LOADS_KEPT, now);
+    const bool engines = wanted && list_budget_take(&r->budget, bytes, LOADS_RESERVE, now);
     ack->loads_partial = !engines;
     ack->loads = loads.list;
     ack->loads_n = engines ? loads.n : loads.plain_n;
@@ -233,7 +234,7 @@
         roster_engine_loads_sent(r->roster, box, now);
 }
 
-/** Suspects are told anew whenever they differ from those that the box has: one back end that ends makes some ten. */
+/** Add the suspects when they differ from those that the box has. Each end of a back end adds about ten. */
 static void add_suspects(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     uint32_t n;
@@ -246,8 +247,9 @@
     ack->quarantine.suspects_n = n;
 }
 
-/** What only the leader knows, for boxes that take callers. The list of loads in @p ack is to be freed with free. */
-static void add_uses(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
+/** Add what only the leader knows, for boxes that take callers. The list of loads in @p ack is to be freed with free.
+ */
+static void add_usage(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
     roster_update(r->roster, report, now);
     add_loads(r, report->self.box, ack, now);
@@ -255,12 +257,12 @@
     leader_sched_handle_report(r->placing, report, ack, now);
 }
 
-/** What only the leader knows. The list of loads in @p ack is to be freed with free. */
-static void add_boxes(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t leader_since,
-                      tc_time_t now)
+/** Add what only the leader knows. The list of loads in @p ack is to be freed with free. */
+static void add_leader_data(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t leader_since,
+                            tc_time_t now)
 {
-    if (report->self.http_addr[0]) /* others only listen */
-        add_uses(r, report, ack, now);
+    if (report->self.http_addr[0]) /* the others take no callers */
+        add_usage(r, report, ack, now);
     if (now - leader_since > ROSTER_SETTLE_MS)
         add_entries(r, report, ack, now);
     ack->quarantine.term = raft_view(r->raft).term;
@@ -283,16 +285,17 @@
         ack.evacuations = r->evacuations; /* borrowed */
     codec_copy_string(ack.peer, sizeof(ack.peer), r->self.peer);
     if (ack.leads)
-        quarantine_apply_changes(r->quarantine, &report->quarantine, now, on_end,
-                                 r); /* may change the list told below, */
+        quarantine_apply_changes(r->quarantine, &report->quarantine, now, on_backend_end,
+                                 r); /* may change the list of back ends */
     if (ack.leads)
-        take_notices(r, report, now); /* as well */
+        take_notices(r, report, now); /* the same */
     add_backends(r, report, &ack, now);
     if (ack.leads)
-        add_boxes(r, report, &ack, raft_view(r->raft).leader_since, now);
+        add_leader_data(r, report, &ack, raft_view(r->raft).leader_since, now);
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.loads);
-    held_tick(r, now); /* what the box found out outlives it and this leader from now on */
+    replica_quarantine_tick(
+        r, now); /* from now on what the box has reported survives the loss of the box and of this leader */
     proposals_check(r, now);
 }
 
@@ -303,7 +306,7 @@
     peer_reply(r->net, call, MSG_PIECE, &message);
 }
 
-/* ===== News ===== */
+/* ===== Notifications ===== */
 
 static void publish_to(void *arg, const char *peer_addr)
 {
--- a/lib/cluster/replica_kept.c
+++ b/lib/cluster/replica_saved_list.c
@@ -1,4 +1,4 @@
-/* The list of back ends, as the data folder keeps it: after a restart of everything, boxes begin with it instead of
+/* Saves the list of back ends in the data folder: after a restart of everything, boxes start with it instead of
  * refusing all callers until the platform's list has been read. */
 
 #include <stdlib.h>
@@ -9,19 +9,20 @@
 /* ===== Constants ===== */
 
 enum {
-    KEEP_EVERY_MS = 5000, /* a write costs a sync of the disk, in the loop's thread */
-    /* A list that is kept counts as at least so old: whatever the time of day did meanwhile, each reading that was
-     * begun since the start is newer. */
-    OLD_MIN_MS = 3000,
-    OLD_MOST_MS = 60000 /* most back ends of an older one may be gone: callers are refused until there is a new one */
+    SAVE_PERIOD_MS = 5000, /* a write costs an fsync in the event loop's thread */
+    /* A saved list counts as at least so old, so that every reading begun since the start is newer, even when the wall
+     * clock was changed meanwhile. */
+    AGE_MIN_MS = 3000,
+    AGE_MAX_MS = 60000 /* an older list is discarded, since most of its back ends may be gone: callers are
+                            refused until there is a new one */
 };
 
-/** Of the data folder. */
+/** In the data folder. */
 static const char FILE_NAME[] = "backends";
 
 /* ===== Reading ===== */
 
-static void take(replica_t *r, const list_image_t *image, tc_time_t age)
+static void restore(replica_t *r, const list_image_t *image, tc_time_t age)
 {
     const tc_time_t as_of = MAX(tc_time_now() - age, 1); /* 0 stands for never */
     list_delta_t delta;
@@ -33,7 +34,7 @@
     (void)list_mirror_set(r->follow.backends_mirror, delta.changed, delta.changed_n, as_of);
     codec_free(list_of_backends.delta, &delta);
     uint32_t n;
-    const backend_t *const list = list_feed_list(r->told, &n);
+    const backend_t *const list = list_feed_list(r->published, &n);
     r->backends_fetched = as_of;
     leader_sched_set_backends(r->placing, list, n, as_of);
     log_line_t line;
@@ -43,7 +44,7 @@
     log_end(&line);
 }
 
-void kept_load(replica_t *r)
+void saved_list_load(replica_t *r)
 {
     tc_err_t err = {0};
     uint32_t size;
@@ -56,34 +57,35 @@
         free(data);
         return;
     }
-    const int64_t age = tc_time_wall() - image.wall_ms; /* below 0 when the time of day was set back */
-    if (age <= OLD_MOST_MS)
-        take(r, &image, MAX(age, OLD_MIN_MS));
+    const int64_t age = tc_time_wall() - image.wall_ms; /* below 0 when the wall clock was set back */
+    if (age <= AGE_MAX_MS)
+        restore(r, &image, MAX(age, AGE_MIN_MS));
     codec_free(&list_image_desc, &image);
     free(data);
 }
 
 /* ===== Writing ===== */
 
-static void keep(replica_t *r, tc_time_t now)
+static void save(replica_t *r, tc_time_t now)
 {
     list_image_t image = {.wall_ms = tc_time_wall() - (now - r->backends_fetched)};
     size_t packed, size;
-    image.body = (char *)(uintptr_t)list_feed_packed(r->told, &packed); /* borrowed */
+    image.body = (char *)(uintptr_t)list_feed_packed(r->published, &packed); /* borrowed */
     image.body_n = (uint32_t)packed;
     char *const data = codec_pack_bytes(&list_image_desc, &image, &size);
     tc_err_t err = {0};
     if (store_keep(r->store, FILE_NAME, data, (uint32_t)size, &err) < 0)
-        log_failure(LOG_WARN, "list_not_kept", &err); /* the one before it stays, or the list is read anew */
+        log_failure(LOG_WARN, "list_not_kept",
+                    &err); /* the previous file stays; else the list is read from the platform */
     free(data);
 }
 
-void kept_tick(replica_t *r, tc_time_t now)
+void saved_list_tick(replica_t *r, tc_time_t now)
 {
-    const bool due = now - r->kept_at >= KEEP_EVERY_MS && r->backends_fetched > r->kept_as_of;
+    const bool due = now - r->saved_at >= SAVE_PERIOD_MS && r->backends_fetched > r->saved_as_of;
     if (!due || log_writer_is_stalled(r->writer) || !log_writer_has_room(r->writer))
         return;
-    keep(r, now);
-    r->kept_at = now;
-    r->kept_as_of = r->backends_fetched;
+    save(r, now);
+    r->saved_at = now;
+    r->saved_as_of = r->backends_fetched;
 }
--- a/lib/cluster/replica_view.c
+++ b/lib/cluster/replica_view.c
@@ -1,14 +1,14 @@
-/* What a control box knows of the log and its leader. The other parts look here, and this calls none of them. */
+/* Queries of the state of the log and its leader. The other parts call these; this file calls none of them. */
 
 #include "cluster/replica_internal.h"
 
 /* ===== Constants ===== */
 
-/** A leader whose lease has just lapsed still leads for those who report and ask, for as long as no other box can have
- *  been elected: voters that have answered it vote for nobody within RAFT_ELECTION_MIN_MS of that. The 20 ms are for
- *  clocks that drift. Lapses of 25 to 50 ms were seen twice a second where links were full; each had 300 boxes place by
- *  themselves, and the scheduler begin anew. */
-enum { LEAD_KEPT_MS = RAFT_ELECTION_MIN_MS - 20 };
+/** A leader whose lease has just lapsed goes on answering reports and queries for as long as no other box can have been
+ *  elected: voters that have answered it vote for no other box within RAFT_ELECTION_MIN_MS of that. The 20 ms allow for
+ *  clock drift. On full links, lapses of 25 to 50 ms occurred twice a second; without the grace period, each made 300
+ *  boxes place requests by themselves, and the scheduler start again. */
+enum { LEADERSHIP_GRACE_MS = RAFT_ELECTION_MIN_MS - 20 };
 
 /* ===== Public functions ===== */
 
@@ -20,14 +20,14 @@
 bool replica_retains_leadership(const replica_t *r)
 {
     const bool acts = !log_writer_is_stalled(r->writer);
-    /* A leader that has just been elected leads once it holds the lease for the first time. */
-    return acts && raft_quorum_age(r->raft, tc_time_now()) < (r->led ? LEAD_KEPT_MS : RAFT_LEASE_MS);
+    /* A new leader acts only once it has held the lease. */
+    return acts && raft_quorum_age(r->raft, tc_time_now()) < (r->was_leader ? LEADERSHIP_GRACE_MS : RAFT_LEASE_MS);
 }
 
 const document_t *replica_read(const replica_t *r)
 {
-    /* Promise: a read is certain. With the lease no other box can have accepted anything newer, and everything
-     * committed before this box led has been applied. */
+    /* Guarantee: reads are linearizable. While this box holds the lease, no other box can have accepted anything newer,
+     * and everything committed before its term has been applied. */
     if (!replica_is_leader(r) || raft_view(r->raft).applied < raft_view(r->raft).commit)
         return NULL;
     return &r->document;
--- a/lib/cluster/reporter.c
+++ b/lib/cluster/reporter.c
@@ -1,4 +1,4 @@
-/* Whom to ask, and when. */
+/* Which box to ask, and when. */
 
 #include "cluster/reporter.h"
 
@@ -18,35 +18,35 @@
 
 enum {
     TICK_MS = 50,
-    EVERY_MS = 300,      /* between reports: a fifth of the time after which a box that says nothing is left out */
-    AGAIN_MS = 100,      /* to the next control box, when one did not lead */
-    LIMIT_MS = 450,      /* for one report: an answer in reach takes a few ms */
-    ALONE_MS = 1000,     /* without any control box for so long, other boxes are asked too */
-    LEARN_MS = 50,       /* between questions to all control boxes at once while no document is known: until then every
-                             request is refused. */
-    LEARN_MOST_MS = 800, /* The pause doubles up to this: hundreds of boxes that start at once, before there is any
-                            document, would ask control 20,000 times a second */
-    AROUND_MS = 500, /* between questions to other boxes: what one knows is known to 300 after some ten such rounds */
-    FAILED_MAX = 2   /* reports that a leader may leave unanswered before another box is asked */
+    REPORT_PERIOD_MS = 300,    /* between reports: a fifth of ROSTER_TIMEOUT_MS */
+    RETRY_MS = 100,            /* before the next control box is tried, when one was not the leader */
+    REPORT_TIMEOUT_MS = 450,   /* for one report: an answer within reach takes a few ms */
+    CONTROL_TIMEOUT_MS = 1000, /* without an answer of any control box; then other boxes are asked too */
+    DISCOVERY_MS = 50,      /* first pause between queries to all control boxes while no document is known: short, since
+                            every request is refused until then */
+    DISCOVERY_MAX_MS = 800, /* limit of the doubling pause: without it, hundreds of boxes that start at once before
+                            there is any document would send 20,000 queries per second to the control boxes */
+    NEIGHBOUR_POLL_MS = 500, /* between queries to other boxes: about ten rounds spread an update to 300 boxes */
+    FAILURES_MAX = 2         /* consecutive reports without an answer of the leader, after which another box is asked */
 };
 
 /* ===== Types ===== */
 
-/** One question to another box: a report, or one beside the reports. Freed by its end. */
+/** Context of a query to another box, a report or a side query. Freed when it ends. */
 typedef struct {
     reporter_t *reporter;
     tc_time_t asked;
-    bool brings; /* the answer may have the list of back ends */
-} question_t;
+    bool wants_list; /* the answer may contain the list of back ends */
+} query_t;
 
-/* ===== Whom to ask ===== */
+/* ===== Choice of the target ===== */
 
 static uint32_t count_strings(char **list)
 {
     return list ? g_strv_length(list) : 0;
 }
 
-/** Control boxes that are known: members, then seeds. */
+/** Number of known control boxes: members, then seeds. */
 static uint32_t count_controls(const reporter_t *r)
 {
     return r->members_n + count_strings(r->controls);
@@ -57,11 +57,11 @@
     return at < r->members_n ? r->members[at].peer : r->controls[at - r->members_n];
 }
 
-/** The next one who may know, in turn: members and seeds, and other boxes when control is out of reach. */
+/** Choose the next target in turn: members and seeds, and other boxes when no control box answers. */
 static void next_target(reporter_t *r, tc_time_t now)
 {
     const uint32_t controls = count_controls(r);
-    const uint32_t all = controls + (now - r->heard > ALONE_MS ? count_strings(r->neighbours) : 0);
+    const uint32_t all = controls + (now - r->control_contact > CONTROL_TIMEOUT_MS ? count_strings(r->neighbours) : 0);
     r->failed = 0;
     for (uint32_t tries = 0; tries < all; tries++) {
         const uint32_t at = r->turn++ % all;
@@ -86,51 +86,51 @@
     log_end(&line);
 }
 
-/* ===== Questions ===== */
+/* ===== Queries ===== */
 
 static void fill_report(const reporter_t *r, msg_report_t *report)
 {
-    *report = (msg_report_t){.self = *r->self, .without_backends = r->list_asked};
+    *report = (msg_report_t){.self = *r->self, .without_backends = r->list_requested};
     lists_fill_report(r, report);
 }
 
-static void ask(reporter_t *r, const char *addr, const msg_report_t *report, peer_reply_t fn)
+static void send_query(reporter_t *r, const char *addr, const msg_report_t *report, peer_reply_t fn)
 {
-    question_t *const question = g_new(question_t, 1);
-    *question = (question_t){.reporter = r, .asked = tc_time_now(), .brings = !report->without_backends};
-    r->list_asked = true;
+    query_t *const query = g_new(query_t, 1);
+    *query = (query_t){.reporter = r, .asked = tc_time_now(), .wants_list = !report->without_backends};
+    r->list_requested = true;
     counter_add(&c_reports, 1);
-    peer_call(r->net, addr, MSG_REPORT, report, LIMIT_MS, fn, question);
+    peer_call(r->net, addr, MSG_REPORT, report, REPORT_TIMEOUT_MS, fn, query);
 }
 
-/** @param arg the question, which is freed */
-static question_t end_question(void *arg)
+/** @param arg the query, freed here */
+static query_t end_query(void *arg)
 {
-    const question_t question = *(question_t *)arg;
+    const query_t query = *(query_t *)arg;
     g_free(arg);
-    if (question.brings)
-        question.reporter->list_asked = false;
-    return question;
+    if (query.wants_list)
+        query.reporter->list_requested = false;
+    return query;
 }
 
 /* ===== Reports ===== */
 
-/** The report under way has no answer. */
+/** The current report has failed. */
 static void report_failed(reporter_t *r, tc_time_t now)
 {
     counter_add(&c_failed, 1);
-    if (r->connected && ++r->failed < FAILED_MAX)
-        return; /* one answer may be lost */
+    if (r->connected && ++r->failed < FAILURES_MAX)
+        return; /* a single answer may be lost */
     set_connected(r, false);
     r->leader[0] = '\0';
     next_target(r, now);
 }
 
-/** Whom to report to next, and when, after an answer. */
-static void follow(reporter_t *r, const msg_report_ack_t *ack, tc_time_t now)
+/** Choose the target and time of the next report, after an answer. */
+static void choose_next_report(reporter_t *r, const msg_report_ack_t *ack, tc_time_t now)
 {
     if (ack->leads) {
-        r->next_at = now + EVERY_MS;
+        r->next_at = now + REPORT_PERIOD_MS;
     } else if (ack->leader[0] && strcmp(ack->leader, r->target) != 0) {
         codec_copy_string(r->target, sizeof(r->target), ack->leader);
         r->next_at = now;
@@ -141,35 +141,35 @@
 
 static void on_answer(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    const question_t question = end_question(arg);
-    reporter_t *const r = question.reporter;
+    const query_t query = end_query(arg);
+    reporter_t *const r = query.reporter;
     const tc_time_t now = tc_time_now();
-    (void)err; /* counted; a lasting loss is logged once */
+    (void)err; /* counted; a loss of connection is logged once */
     r->waiting = false;
-    r->next_at = now + AGAIN_MS;
+    r->next_at = now + RETRY_MS;
     if (rc != TC_OK || type != MSG_REPORT_ACK) {
         report_failed(r, now);
         return;
     }
     const msg_report_ack_t *const ack = message;
     r->failed = 0;
-    lists_take_ack(r, ack, question.asked);
+    lists_take_ack(r, ack, query.asked);
     if (ack->leads && r->quarantine && quarantine_confirm_report(r->quarantine, ack->quarantine.term))
-        r->hurry = true;
+        r->report_due = true;
     if (ack->leads && r->caps && cap_shares_apply_reply(r->caps, ack->quarantine.term, ack->caps, ack->caps_n, now))
-        r->hurry = true;
+        r->report_due = true;
     if (ack->leads && r->events.take_limits && r->events.take_limits(r->events.arg, ack))
-        r->hurry = true;
+        r->report_due = true;
     if (ack->leads && r->events.on_loads)
         r->events.on_loads(r->events.arg, ack->loads, ack->loads_n, ack->loads_partial);
     codec_copy_string(r->leader, sizeof(r->leader), ack->leads ? r->target : ack->leader);
     if (ack->leads || ack->members_hash != 0)
-        r->heard = now;
+        r->control_contact = now;
     set_connected(r, ack->leads);
     if (ack->leads)
-        r->leader_heard = now;
-    follow(r, ack, now);
-    if (r->hurry)
+        r->leader_contact = now;
+    choose_next_report(r, ack, now);
+    if (r->report_due)
         r->next_at = now;
 }
 
@@ -186,8 +186,8 @@
     if (r->events.fill_report)
         r->events.fill_report(r->events.arg, &report);
     r->waiting = true;
-    r->hurry = false;
-    ask(r, r->target, &report, on_answer);
+    r->report_due = false;
+    send_query(r, r->target, &report, on_answer);
     codec_free(&quarantine_news_desc, &report.quarantine);
     free(report.loads);
     free(report.used);
@@ -197,14 +197,14 @@
     free(report.notices);
 }
 
-/** Else it goes out when the answer to the one under way is here, or there is somebody to report to. */
-static void report_if_hurried(reporter_t *r)
+/** Send a report that is due. Otherwise it is sent after the answer to the current one, or once there is a target. */
+static void report_if_due(reporter_t *r)
 {
-    if (r->hurry && !r->waiting && r->target[0])
+    if (r->report_due && !r->waiting && r->target[0])
         send_report(r);
 }
 
-/* ===== Learning ===== */
+/* ===== Discovery ===== */
 
 static bool is_member(const reporter_t *r, const char *addr)
 {
@@ -214,47 +214,47 @@
     return false;
 }
 
-/** What a box that was asked beside the reports knows. Whether it leads is for the next report to find out. */
-static void on_hearsay(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
+/** Answer to a side query. Whether that box is the leader is left to the next report. */
+static void on_side_answer(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    const question_t question = end_question(arg);
+    const query_t query = end_query(arg);
     if (rc == TC_OK && type == MSG_REPORT_ACK) {
-        lists_take_ack(question.reporter, message, question.asked);
-        report_if_hurried(question.reporter);
+        lists_take_ack(query.reporter, message, query.asked);
+        report_if_due(query.reporter);
         return;
     }
-    (void)err; /* a box that is down or knows nothing: the others are asked as well */
+    (void)err; /* a box that is down or has no data: the others are asked as well */
     counter_add(&c_failed, 1);
 }
 
-/** Ask a box beside the reports. */
-static void ask_beside(reporter_t *r, const char *addr)
+/** Send a side query: what another box knows, outside the sequence of reports. */
+static void query_box(reporter_t *r, const char *addr)
 {
     msg_report_t report;
     fill_report(r, &report);
-    ask(r, addr, &report, on_hearsay);
+    send_query(r, addr, &report, on_side_answer);
 }
 
-/** A box that has just started is of no use before it knows a document and the back ends: it does not wait for one box
- *  after the other. */
-static void ask_all(reporter_t *r, tc_time_t now)
+/** Ask all control boxes at once: a box that has just started serves nothing until it has a document and the back ends,
+ *  so that it does not try one box after the other. */
+static void query_all_controls(reporter_t *r, tc_time_t now)
 {
-    r->learn_pause = r->learn_pause ? MIN(2 * r->learn_pause, LEARN_MOST_MS) : LEARN_MS;
-    r->learn_at = now + r->learn_pause;
+    r->discover_pause = r->discover_pause ? MIN(2 * r->discover_pause, DISCOVERY_MAX_MS) : DISCOVERY_MS;
+    r->discover_at = now + r->discover_pause;
     const uint32_t controls = count_controls(r);
-    const uint32_t first = g_random_int(); /* the one that is asked for the back ends too */
+    const uint32_t first = g_random_int(); /* this one is also asked for the back ends */
     for (uint32_t n = 0; n < controls; n++) {
         const uint32_t i = (first % controls + n) % controls;
         const char *const addr = control_at(r, i);
         const bool asked = i >= r->members_n && is_member(r, addr);
         if (asked || strcmp(addr, r->self->peer_addr) == 0)
             continue; /* a seed that is a member too, or this box */
-        ask_beside(r, addr);
+        query_box(r, addr);
     }
 }
 
-/** Whether this box has just started: until it has a document and knows back ends, it refuses every request. */
-static bool lacks_something(const reporter_t *r)
+/** Whether the document or the back ends are missing, without which this box refuses every request. */
+static bool lacks_data(const reporter_t *r)
 {
     const bool fetching = r->document.body_n == 0 && fetch_is_busy(r->fetch);
     return !fetching && (r->document.body_n == 0 || (r->events.on_backends && reporter_backends_time(r) == 0));
@@ -262,9 +262,9 @@
 
 void reporter_poll_neighbours(reporter_t *r, tc_time_t now)
 {
-    if (now < r->around_at)
+    if (now < r->poll_at)
         return;
-    r->around_at = now + AROUND_MS;
+    r->poll_at = now + NEIGHBOUR_POLL_MS;
     if (r->connected) {
         reporter_report_now(r);
         return;
@@ -274,17 +274,17 @@
     const entry_box_t *const other = n > 0 ? &entries[g_random_int() % n] : NULL;
     if (!other || strcmp(other->peer_addr, r->self->peer_addr) == 0)
         return;
-    ask_beside(r, other->peer_addr);
+    query_box(r, other->peer_addr);
 }
 
-/* ===== Time ===== */
+/* ===== Timer ===== */
 
 static void on_tick(void *arg)
 {
     reporter_t *const r = arg;
     const tc_time_t now = tc_time_now();
-    if (lacks_something(r) && now >= r->learn_at)
-        ask_all(r, now);
+    if (lacks_data(r) && now >= r->discover_at)
+        query_all_controls(r, now);
     fetch_tick(r->fetch, now);
     lists_fetch(r, now);
     if (r->waiting || now < r->next_at)
@@ -297,7 +297,7 @@
 
 /* ===== Answering other boxes ===== */
 
-/** A control box that knows nobody asks: this box can't take it in, but knows who can. */
+/** A control box without members asks to join: this box is no member, but knows the members. */
 static void answer_join(reporter_t *r, peer_call_t call)
 {
     const msg_join_ack_t ack = {.members = r->members, .members_n = r->members_n};
@@ -309,26 +309,26 @@
     reporter_t *const r = arg;
     switch (type) {
     case MSG_PUBLISH:
-        lists_hear_head(r, &((const msg_publish_t *)message)->head, from);
+        lists_receive_head(r, &((const msg_publish_t *)message)->head, from);
         lists_take_evacuations(r, &((const msg_publish_t *)message)->evacuations);
-        report_if_hurried(r);
+        report_if_due(r);
         break;
     case MSG_FETCH_PIECE: lists_answer_piece(r, call, message); break;
     case MSG_FETCH_LIST: lists_answer_list(r, call, message); break;
     case MSG_REPORT: lists_answer(r, call, message); break;
     case MSG_JOIN: answer_join(r, call); break;
-    case MSG_JOIN_ACK: /* unasked: a control box tells who the members are */
+    case MSG_JOIN_ACK: /* unsolicited: a control box announces the members */
         lists_take_members(r, ((const msg_join_ack_t *)message)->members, ((const msg_join_ack_t *)message)->members_n);
         break;
-    default: break; /* of a newer version of this program */
+    default: break; /* sent by a newer version of this program */
     }
 }
 
-/* ===== To the leader ===== */
+/* ===== Calls to the leader ===== */
 
 tc_time_t reporter_leader_contact_time(const reporter_t *r)
 {
-    return r->leader_heard;
+    return r->leader_contact;
 }
 
 bool reporter_call_leader(reporter_t *r, uint32_t type, const void *message, tc_time_t limit, peer_reply_t callback,
@@ -354,21 +354,21 @@
     return "";
 }
 
-/* ===== Reporting at once ===== */
+/* ===== Immediate reports ===== */
 
 void reporter_report_now(reporter_t *r)
 {
-    r->hurry = true;
-    report_if_hurried(r);
+    r->report_due = true;
+    report_if_due(r);
 }
 
 void reporter_document_applied(reporter_t *r)
 {
     lists_document_applied(r);
-    report_if_hurried(r);
+    report_if_due(r);
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 void reporter_set_seeds(reporter_t *r, const char *const *controls, const char *const *neighbours)
 {
@@ -389,7 +389,7 @@
     r->caps = options->caps;
     r->turn = g_random_int();
     r->missing = missing_create();
-    r->heard = tc_time_now();
+    r->control_contact = tc_time_now();
     reporter_set_seeds(r, options->controls, options->neighbours);
     const peer_options_t peer_options = {.box = self->box,
                                          .incarnation = self->incarnation,
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -1,4 +1,4 @@
-/* What a box holds: the document, the back ends, the boxes, the control boxes. */
+/* Data of a box: the document, the back ends, the entry boxes, the control boxes. */
 
 #include <assert.h>
 #include <glib.h>
@@ -12,22 +12,22 @@
 
 COUNTER_DEFINE(c_version, "gauge", "trackcove_report_document_version", "Version of the document this box acts on")
 
-/** Older states from which other boxes, who seldom ask, are told differences. */
-enum { STATES_TOLD = 4 };
+/** Older states kept for deltas to other boxes, which ask seldom. */
+enum { STATES_KEPT = 4 };
 
-/* ===== What is heard ===== */
+/* ===== Documents ===== */
 
-/** Have the program act on a newer document. */
+/** Pass a newer document to the program. */
 static void adopt(reporter_t *r, document_t *offered)
 {
-    /* Promise: a box never goes back to an older configuration. */
+    /* Guarantee: a box never goes back to an older configuration. */
     if (document_apply(&r->document, offered) != DOCUMENT_NEWER)
         return;
     if (!r->events.on_document || r->events.on_document(r->events.arg, &r->document))
         reporter_document_applied(r);
 }
 
-/** A newer document is here whole. */
+/** A newer document has arrived completely. */
 static void on_complete(void *arg, document_t *offered, const char *from)
 {
     reporter_t *const r = arg;
@@ -38,23 +38,23 @@
     log_str(&line, "from", from);
     log_end(&line);
     if (r->in_force < r->document.version)
-        (void)document_apply(&r->later, offered);
+        (void)document_apply(&r->pending, offered);
     else
         adopt(r, offered);
 }
 
 void lists_document_applied(reporter_t *r)
 {
-    assert(r->in_force < r->document.version); /* told and not in force yet */
+    assert(r->in_force < r->document.version); /* passed on and not in force yet */
     r->in_force = r->document.version;
     counter_set(&c_version, (int64_t)r->in_force);
-    r->hurry = true; /* the leader waits to hear it */
-    if (r->later.version == 0)
+    r->report_due = true; /* the leader waits for the report of it */
+    if (r->pending.version == 0)
         return;
-    document_t later = r->later;
-    r->later = (document_t){0};
-    adopt(r, &later);
-    codec_free(&document_desc, &later);
+    document_t pending = r->pending;
+    r->pending = (document_t){0};
+    adopt(r, &pending);
+    codec_free(&document_desc, &pending);
 }
 
 static uint32_t sources(void *arg, const raft_member_t **list)
@@ -64,16 +64,16 @@
     return r->members_n;
 }
 
-void lists_hear_head(reporter_t *r, const document_head_t *head, const char *from)
+void lists_receive_head(reporter_t *r, const document_head_t *head, const char *from)
 {
     r->newest = MAX(r->newest, head->version);
-    fetch_announce(r->fetch, head, from, MAX(r->document.version, r->later.version));
+    fetch_announce(r->fetch, head, from, MAX(r->document.version, r->pending.version));
 }
 
 /* ===== Lists ===== */
 
-/** Act on a list of back ends that has changed. */
-static void note_backends(const reporter_t *r)
+/** Pass on a changed list of back ends. */
+static void apply_backends(const reporter_t *r)
 {
     uint32_t n;
     const backend_t *const list = list_feed_list(r->backends, &n);
@@ -86,8 +86,8 @@
         r->events.on_backends(r->events.arg, list, n);
 }
 
-/** The same of entry boxes. @param before as they were */
-static void note_entries(const reporter_t *r, const entry_box_t *before, uint32_t before_n)
+/** Update the missing boxes from a changed list of entry boxes. @param before the list before */
+static void apply_entries(const reporter_t *r, const entry_box_t *before, uint32_t before_n)
 {
     uint32_t n;
     const entry_box_t *const list = list_feed_list(r->entries, &n);
@@ -101,56 +101,56 @@
 void reporter_set_backends(reporter_t *r, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
     if (list_mirror_set(r->backends_mirror, list, n, fetched))
-        note_backends(r);
+        apply_backends(r);
 }
 
-/** @param asked when the question was sent: the list is as old as it says since then, at most. Counted from when it
- * came, one that was long on its way would replace a list that was read after it */
+/** @param asked when the query was sent. The age in the answer is subtracted from this time: if it were subtracted from
+ *  the time of arrival, a delayed answer would replace a list that was read after it */
 static void take_backends(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
     if (list_mirror_receive(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
-        note_backends(r);
+        apply_backends(r);
 }
 
-/** A mirror may take over another list of entry boxes by @p fn. */
+/** Call @p fn, which may change the list of entry boxes, and apply the change. */
 static void change_entries(reporter_t *r, bool (*fn)(list_mirror_t *m, const void *arg), const void *arg)
 {
     uint32_t n;
     const entry_box_t *const list = list_feed_list(r->entries, &n);
     entry_box_t *const before = list_copy(list, n * sizeof(*list));
     if (fn(r->entries_mirror, arg))
-        note_entries(r, before, n);
+        apply_entries(r, before, n);
     free(before);
 }
 
-/** An answer that tells of entry boxes. */
+/** Argument of receive_entries. */
 typedef struct {
     const msg_report_ack_t *ack;
     tc_time_t asked;
-} told_t;
+} entries_update_t;
 
-static bool hear_entries(list_mirror_t *m, const void *arg)
+static bool receive_entries(list_mirror_t *m, const void *arg)
 {
-    const told_t *const told = arg;
-    return list_mirror_receive(m, &told->ack->entries, told->ack->peer, told->asked);
+    const entries_update_t *const update = arg;
+    return list_mirror_receive(m, &update->ack->entries, update->ack->peer, update->asked);
 }
 
 static void take_entries(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
-    const told_t told = {.ack = ack, .asked = asked};
+    const entries_update_t update = {.ack = ack, .asked = asked};
     if (ack->entries.hash != 0 && ack->entries.hash != list_feed_hash(r->entries))
-        change_entries(r, hear_entries, &told);
+        change_entries(r, receive_entries, &update);
 }
 
 /* ===== Pieces of lists ===== */
 
-enum { PIECE_LIMIT_MS = 1000 /* forty times what a piece takes on the narrowest link, which may be busy */ };
+enum { PIECE_TIMEOUT_MS = 1000 /* forty times what a piece takes on the slowest link, which may be busy */ };
 
-/** A question for a piece. Freed by its answer. */
+/** Context of a request for a piece. Freed by its answer. */
 typedef struct {
     reporter_t *reporter;
     list_name_t list;
-} piece_ask_t;
+} piece_request_t;
 
 static bool take_piece(list_mirror_t *m, const void *arg)
 {
@@ -159,15 +159,15 @@
 
 static void on_piece(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    const piece_ask_t ask = *(piece_ask_t *)arg;
+    const piece_request_t ask = *(piece_request_t *)arg;
     reporter_t *const r = ask.reporter;
     const void *const piece = rc == TC_OK && type == MSG_LIST_PIECE ? message : NULL;
     g_free(arg);
-    (void)err; /* counted; the next box is asked */
+    (void)err; /* counted; the next box is tried */
     switch (ask.list) {
     case LIST_NAME_BACKENDS:
         if (take_piece(r->backends_mirror, piece))
-            note_backends(r);
+            apply_backends(r);
         break;
     case LIST_NAME_ENTRIES: change_entries(r, take_piece, piece); break;
     default: break;
@@ -177,13 +177,13 @@
 
 static void fetch_list(reporter_t *r, list_mirror_t *m, tc_time_t now)
 {
-    const list_sources_t sources = {.list = r->members, .n = r->members_n, .but = r->leader};
+    const list_sources_t sources = {.list = r->members, .n = r->members_n, .except = r->leader};
     list_request_t ask;
     if (r->is_stopped || !list_mirror_next_request(m, &sources, now, &ask))
         return;
-    piece_ask_t *const question = g_new(piece_ask_t, 1);
-    *question = (piece_ask_t){.reporter = r, .list = ask.message.list};
-    peer_call(r->net, ask.addr, MSG_FETCH_LIST, &ask.message, PIECE_LIMIT_MS, on_piece, question);
+    piece_request_t *const query = g_new(piece_request_t, 1);
+    *query = (piece_request_t){.reporter = r, .list = ask.message.list};
+    peer_call(r->net, ask.addr, MSG_FETCH_LIST, &ask.message, PIECE_TIMEOUT_MS, on_piece, query);
 }
 
 void lists_fetch(reporter_t *r, tc_time_t now)
@@ -194,19 +194,19 @@
 
 /* ===== Control boxes and evacuations ===== */
 
-void lists_take_evacuations(reporter_t *r, const evacuations_t *told)
+void lists_take_evacuations(reporter_t *r, const evacuations_t *received)
 {
-    if (!evacuations_update(&r->evacuations, told))
+    if (!evacuations_update(&r->evacuations, received))
         return;
     log_line_t line;
     log_begin(&line, LOG_INFO, "evacuations");
-    log_int(&line, "version", (int64_t)told->version);
-    log_int(&line, "count", told->list_n);
-    log_str(&line, "first", told->list_n > 0 ? told->list[0].dc : "");
+    log_int(&line, "version", (int64_t)received->version);
+    log_int(&line, "count", received->list_n);
+    log_str(&line, "first", received->list_n > 0 ? received->list[0].dc : "");
     log_end(&line);
     if (r->events.on_evacuations)
         r->events.on_evacuations(r->events.arg, &r->evacuations);
-    r->hurry = true;
+    r->report_due = true;
 }
 
 void lists_take_members(reporter_t *r, const raft_member_t *members, uint32_t n)
@@ -219,7 +219,7 @@
     r->members_hash = known_members_hash(members, n);
 }
 
-/** A leader's list of suspects replaces the one before; of others what they hold back is taken. */
+/** Replace the suspects by a leader's list; from other boxes take only the requests that they quarantine. */
 static void take_suspects(reporter_t *r, const msg_report_ack_t *ack)
 {
     const tc_time_t now = tc_time_now();
@@ -240,15 +240,15 @@
 {
     take_suspects(r, ack);
     lists_take_members(r, ack->members, ack->members_n);
-    lists_hear_head(r, &ack->head, ack->peer);
+    lists_receive_head(r, &ack->head, ack->peer);
     lists_take_evacuations(r, &ack->evacuations);
     take_backends(r, ack, asked);
     if (ack->leads || list_feed_hash(r->entries) == 0)
-        take_entries(r, ack, asked); /* another box's list may be older than this box's */
+        take_entries(r, ack, asked); /* the list of a box that is not the leader may be older than this one */
     lists_fetch(r, tc_time_now());
 }
 
-/* ===== What others are told ===== */
+/* ===== Reports and answers ===== */
 
 void lists_fill_report(const reporter_t *r, msg_report_t *report)
 {
@@ -260,17 +260,17 @@
     report->suspects_hash = r->quarantine ? quarantine_suspects_hash(r->quarantine) : 0;
 }
 
-/** In place of the hash of a leader's list, which no other box's list replaces. */
-enum { ALL_HELD = 1 };
+/** Sent instead of the hash of a leader's list: a list of another box never replaces that one. */
+enum { HELD_HASH = 1 };
 
-/** Tell another box what this one holds back. The list in @p ack is to be freed with free. */
+/** Add the requests that this box quarantines. The list in @p ack is to be freed with free. */
 static void add_held(const reporter_t *r, msg_report_ack_t *ack)
 {
     if (!r->quarantine)
         return;
     uint32_t n;
     request_age_t *const held = quarantine_list_held(r->quarantine, &n, tc_time_now());
-    ack->quarantine.hash = ALL_HELD;
+    ack->quarantine.hash = HELD_HASH;
     ack->quarantine.suspects = calloc(n + 1, sizeof(*ack->quarantine.suspects));
     if (!ack->quarantine.suspects)
         abort();
@@ -315,7 +315,7 @@
     peer_reply(r->net, call, MSG_LIST_PIECE, &piece);
 }
 
-/* ===== Looking ===== */
+/* ===== Queries ===== */
 
 uint64_t reporter_version(const reporter_t *r)
 {
@@ -324,7 +324,7 @@
 
 bool reporter_is_current(const reporter_t *r, tc_time_t age)
 {
-    const bool in_touch = r->leader_heard > 0 && tc_time_now() - r->leader_heard <= age;
+    const bool in_touch = r->leader_contact > 0 && tc_time_now() - r->leader_contact <= age;
     return in_touch && r->in_force > 0 && r->in_force >= r->newest;
 }
 
@@ -343,7 +343,7 @@
     return list_mirror_time(r->backends_mirror);
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 void lists_start(reporter_t *r)
 {
@@ -351,8 +351,8 @@
     r->fetch = fetch_create(r->net, r->self->peer_addr, &events);
     r->backends = list_feed_create(&list_of_backends);
     r->entries = list_feed_create(&list_of_entries);
-    list_feed_keep_states(r->backends, STATES_TOLD);
-    list_feed_keep_states(r->entries, STATES_TOLD);
+    list_feed_keep_states(r->backends, STATES_KEPT);
+    list_feed_keep_states(r->entries, STATES_KEPT);
     r->backends_mirror = list_mirror_create(r->backends, r->self->peer_addr);
     r->entries_mirror = list_mirror_create(r->entries, r->self->peer_addr);
 }
@@ -376,6 +376,6 @@
     free(r->members);
     missing_destroy(r->missing);
     codec_free(&document_desc, &r->document);
-    codec_free(&document_desc, &r->later);
+    codec_free(&document_desc, &r->pending);
     codec_free(&evacuations_desc, &r->evacuations);
 }
--- a/lib/cluster/roster.c
+++ b/lib/cluster/roster.c
@@ -9,42 +9,42 @@
 /* ===== Types ===== */
 
 typedef struct {
-    struct cds_list_head node; /* by name */
+    struct cds_list_head node; /* sorted by name */
     entry_box_t box;
-    tc_time_t heard;
-    tc_time_t engines_told;            /* when it was last told the loads of all back ends */
+    tc_time_t reported_at;             /* last report */
+    tc_time_t engines_sent_at;         /* when the loads of engines were last sent to it; 0: never */
     uint64_t version[ROSTER_SUBJECTS]; /* that it acts on */
     backend_load_t *loads;
     uint32_t loads_n;
 } reported_t;
 
-/** The kind of a back end that has not been asked for yet. */
+/** Kind of a back end for which kind_of has not been called yet. */
 enum { KIND_UNKNOWN = ROSTER_KINDS, KINDS };
 
-/** Requests at a decode engine from which on its load is told. */
-enum { DECODE_TOLD_MIN = 2 };
+/** Least number of requests at a decode engine for its load to be sent. */
+enum { DECODE_RUNNING_MIN = 2 };
 
-/** What boxes have in flight at one back end. */
+/** Total of what boxes have in flight at one back end. */
 typedef struct {
-    struct cds_list_head node; /* among those of its kind */
+    struct cds_list_head node; /* in the list of its kind */
     int kind;                  /* roster_kind_t, or KIND_UNKNOWN */
     backend_load_t load;
-    uint32_t parts; /* loads that were added up */
+    uint32_t parts; /* number of loads in the sum */
 } sum_t;
 
 struct roster {
     struct cds_list_head members;
     GHashTable *by_name; /* box -> reported_t */
-    GHashTable *sums;    /* back end -> sum_t of all boxes together, kept as they report; owned */
+    GHashTable *sums;    /* back end -> sum_t over all boxes, updated with each report; owned */
     struct cds_list_head kinds[KINDS];
     uint32_t sums_n[KINDS];
     uint32_t n;
-    list_feed_t *list; /* the boxes as others are told */
+    list_feed_t *list; /* published list of boxes */
     bool is_listed;    /* list is up to date */
     tc_time_t listed_at;
 };
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 roster_t *roster_create(void)
 {
@@ -85,10 +85,10 @@
     sum->parts++;
 }
 
-static void sum_take(roster_t *r, const backend_load_t *load)
+static void sum_subtract(roster_t *r, const backend_load_t *load)
 {
     sum_t *const sum = g_hash_table_lookup(r->sums, load->id);
-    assert(sum && sum->parts > 0); /* it was added before */
+    assert(sum && sum->parts > 0); /* each load was added before */
     sum->load.running -= load->running;
     sum->load.tokens -= load->tokens;
     if (--sum->parts > 0)
@@ -101,7 +101,7 @@
 static void set_loads(roster_t *r, reported_t *m, const backend_load_t *loads, uint32_t n)
 {
     for (uint32_t i = 0; i < m->loads_n; i++)
-        sum_take(r, &m->loads[i]);
+        sum_subtract(r, &m->loads[i]);
     g_free(m->loads);
     m->loads = g_memdup2(loads, n * sizeof(*loads));
     m->loads_n = n;
@@ -109,7 +109,7 @@
         sum_add(r, &m->loads[i]);
 }
 
-/** What all boxes but one have in flight there. @param self that one, or NULL */
+/** What all boxes but @p self have in flight at a back end. @param self or NULL */
 static backend_load_t load_of_others(const sum_t *sum, const reported_t *self)
 {
     backend_load_t load = sum->load;
@@ -122,7 +122,7 @@
     return load;
 }
 
-/** Add those of one kind with at least so many requests. */
+/** Add the loads of one kind with at least @p least requests. */
 static void add_loads(const roster_t *r, roster_loads_t *loads, const reported_t *self, roster_kind_t kind,
                       uint32_t least)
 {
@@ -146,7 +146,7 @@
     loads.plain_n = loads.n;
     if (engines) {
         add_loads(r, &loads, self, ROSTER_PREFILL, 1);
-        add_loads(r, &loads, self, ROSTER_DECODE, DECODE_TOLD_MIN);
+        add_loads(r, &loads, self, ROSTER_DECODE, DECODE_RUNNING_MIN);
     }
     return loads;
 }
@@ -154,14 +154,14 @@
 bool roster_engine_loads_due(const roster_t *r, const char *box, tc_time_t every, tc_time_t now)
 {
     const reported_t *const m = g_hash_table_lookup(r->by_name, box);
-    return m && (m->engines_told == 0 || now - m->engines_told >= every);
+    return m && (m->engines_sent_at == 0 || now - m->engines_sent_at >= every);
 }
 
 void roster_engine_loads_sent(const roster_t *r, const char *box, tc_time_t now)
 {
     reported_t *const m = g_hash_table_lookup(r->by_name, box);
     if (m)
-        m->engines_told = now;
+        m->engines_sent_at = now;
 }
 
 /* ===== Members ===== */
@@ -188,7 +188,7 @@
     g_free(r);
 }
 
-/* ===== Hearing ===== */
+/* ===== Reports ===== */
 
 static reported_t *member_of(roster_t *r, const char *box)
 {
@@ -210,7 +210,7 @@
     return fresh;
 }
 
-/** Whether two records of a box are told alike. */
+/** Whether two records of a box are published alike. */
 static bool is_same_box(const entry_box_t *a, const entry_box_t *b)
 {
     return a->incarnation == b->incarnation && a->ready == b->ready && a->leaving == b->leaving &&
@@ -222,11 +222,11 @@
 {
     reported_t *const m = member_of(r, report->self.box);
     if (m->box.incarnation > report->self.incarnation)
-        return; /* of an earlier start, late */
+        return; /* a delayed report of an earlier start */
     if (!is_same_box(&m->box, &report->self))
         r->is_listed = false;
     m->box = report->self;
-    m->heard = now;
+    m->reported_at = now;
     m->version[ROSTER_DOCUMENT] = report->version;
     m->version[ROSTER_EVACUATIONS] = report->evacuations_version;
     set_loads(r, m, report->loads, report->loads_n);
@@ -236,11 +236,11 @@
 {
     reported_t *m, *next;
     cds_list_for_each_entry_safe(m, next, &r->members, node)
-        if (now - m->heard > ROSTER_TIMEOUT_MS)
+        if (now - m->reported_at > ROSTER_TIMEOUT_MS)
             member_drop(r, m);
 }
 
-/* ===== Telling ===== */
+/* ===== Queries ===== */
 
 bool roster_is_behind(const roster_t *r, roster_subject_t subject, uint64_t version)
 {
@@ -256,13 +256,13 @@
     return r->n;
 }
 
-/** Between two lists, for each box that is there: of 1,000 that start or stop, one list tells the changes of 0.2 s.
- */
-static const double LIST_EVERY_MS = 0.2;
+/** Minimum interval between two lists, per live box: with 1,000 boxes that start or stop, a list collects the changes
+ * of 0.2 s. */
+static const double LIST_MS_PER_BOX = 0.2;
 
 list_feed_t *roster_list(roster_t *r, tc_time_t now)
 {
-    if (r->is_listed || (double)(now - r->listed_at) < LIST_EVERY_MS * r->n)
+    if (r->is_listed || (double)(now - r->listed_at) < LIST_MS_PER_BOX * r->n)
         return r->list;
     entry_box_t *const boxes = g_new0(entry_box_t, r->n + 1);
     uint32_t n = 0;
--- a/lib/lists/list.c
+++ b/lib/lists/list.c
@@ -16,7 +16,7 @@
      offsetof(type, changed_n) == offsetof(list_delta_t, changed_n) &&                                                 \
      offsetof(type, gone) == offsetof(list_delta_t, gone) && offsetof(type, gone_n) == offsetof(list_delta_t, gone_n))
 
-static_assert(IS_DELTA(backend_delta_t) && IS_DELTA(entry_delta_t), "generated deltas are read as list_delta_t");
+static_assert(IS_DELTA(backend_delta_t) && IS_DELTA(entry_delta_t), "generated deltas have the layout of list_delta_t");
 static_assert(offsetof(backend_t, id) == 0 && offsetof(entry_box_t, box) == 0, "a record begins with its name");
 
 const list_kind_t list_of_backends = {
@@ -77,7 +77,8 @@
 
 /* ===== Deltas ===== */
 
-/** Whether the record is gone. @param at place in the names of those that are, which goes on with records in order */
+/** Whether the delta removes the record. @param at cursor in the sorted names of removed records, which moves forward
+ *  as the records are passed in order */
 static bool is_gone(const list_delta_t *delta, const char *name, uint32_t *at)
 {
     while (*at < delta->gone_n && strcmp(delta->gone[*at].name, name) < 0)
@@ -121,7 +122,7 @@
     return bytes->len <= LIST_BYTES_MAX;
 }
 
-/** Whether records can be merged with others. */
+/** Whether the records and names are sorted, as list_apply needs them. */
 static bool is_in_order(const list_kind_t *kind, const list_delta_t *delta)
 {
     return is_sorted(delta->changed, delta->changed_n, kind->record) &&
@@ -139,5 +140,5 @@
     if (is_in_order(kind, delta))
         return TC_OK;
     codec_free(kind->delta, delta);
-    return tc_err_set(err, TC_E_CORRUPT, "unpack list", NULL, "its records are out of order");
+    return tc_err_set(err, TC_E_CORRUPT, "unpack list", NULL, "records are not sorted by name");
 }
--- a/lib/lists/list_budget.h
+++ b/lib/lists/list_budget.h
@@ -1,5 +1,6 @@
 /** @file list_budget.h
- * How much of its link a box gives to telling lists: whoever is told nothing now asks again soon. Pure.
+ * Token bucket for the bandwidth that a box spends on sending lists. A box that is refused an update asks again with
+ * its next report. Pure.
  */
 #ifndef TRACKCOVE_LISTS_LIST_BUDGET_H
 #define TRACKCOVE_LISTS_LIST_BUDGET_H
@@ -13,18 +14,18 @@
 
 /* ===== Types ===== */
 
-/** Zeroed but for the rate before its first use. */
+/** Before its first use everything but the rate is zero. */
 typedef struct {
-    double rate;  /**< bytes a second */
-    double level; /**< bytes that may be told now */
-    tc_time_t at; /**< of the level */
+    double rate;  /**< bytes per second */
+    double level; /**< bytes that may be sent now; below 0 after a message larger than the level */
+    tc_time_t at; /**< time of the level */
 } list_budget_t;
 
 /* ===== Public functions ===== */
 
-/** Whether so many bytes may be told now; then they are taken. At most half a second's worth adds up. What is larger
- *  than that passes when the budget is full.
- *  @param kept part of what may add up that is left for more urgent news, 0 to 1 */
+/** Take @p bytes from the budget, if they may be sent now. The bucket holds half a second's worth; a message passes
+ *  whatever its size once the level is above the reserve, so that one larger than the bucket is not blocked forever.
+ *  @param kept part of the bucket that is reserved for more urgent updates, 0 to 1 @return whether they may be sent */
 bool list_budget_take(list_budget_t *budget, size_t bytes, double kept, tc_time_t now);
 
 #endif
--- a/lib/lists/list_feed.c
+++ b/lib/lists/list_feed.c
@@ -8,12 +8,14 @@
 /* ===== Constants ===== */
 
 enum {
-    STATES_MOST = 32, /* that differences lead from: boxes report every 300 ms, and lists change a few times
-                         a second while boxes are stopped one after the other */
-    TOUCHED_MIN = 64, /* a state that differs by more than this, */
-    TOUCHED_PART = 4, /* and by more than one record in so many, is forgotten: the whole is hardly longer */
-    WHOLES_KEPT = 3,  /* packed whole lists: a box that fetches one that has changed since goes on with it */
-    WHOLE_TOLD_BYTES = LIST_PIECE_BYTES / 2 /* a whole list up to this is told at once, a longer one is to be fetched */
+    STATES_MAX = 32, /* for deltas: boxes report every 300 ms, and lists change a few times a second while
+                        boxes are stopped one after another */
+    /* A state is dropped when it differs from the current one by more than CHANGES_MIN records and by more than one
+     * record in CHANGES_PART: the full list is hardly longer then. */
+    CHANGES_MIN = 64,
+    CHANGES_PART = 4,
+    FULL_LISTS_KEPT = 3, /* packed full lists: a box that is fetching an older one can finish it */
+    INLINE_FULL_BYTES_MAX = LIST_PIECE_BYTES / 2 /* a longer full list has to be fetched in pieces */
 };
 
 /* ===== Types ===== */
@@ -21,49 +23,49 @@
 /** An older state. */
 typedef struct {
     uint64_t hash;   /* 0: none */
-    GArray *touched; /* record_name_t in order: whose records may differ in the present state */
-    char *body;      /* what leads from it to that, packed; NULL until it is asked for */
+    GArray *changed; /* record_name_t, sorted: records that may differ in the current state */
+    char *body;      /* packed delta to the current state; NULL until it is needed */
     size_t size;
 } state_t;
 
-/** A whole list, packed. */
+/** A packed full list. */
 typedef struct {
     uint64_t hash; /* 0: none */
     char *body;
     size_t size;
-} whole_t;
+} full_list_t;
 
 struct list_feed {
     const list_kind_t *kind;
     char *list;
     uint32_t n;
     uint64_t hash;
-    state_t states[STATES_MOST]; /* the last one first, */
-    unsigned states_kept;        /* so many of them */
-    whole_t wholes[WHOLES_KEPT]; /* the same */
+    state_t states[STATES_MAX];              /* newest first */
+    unsigned states_kept;                    /* number of states in use */
+    full_list_t full_lists[FULL_LISTS_KEPT]; /* newest first */
 };
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 list_feed_t *list_feed_create(const list_kind_t *kind)
 {
     list_feed_t *const f = g_new0(list_feed_t, 1);
     f->kind = kind;
     f->list = list_copy(NULL, 0);
-    f->states_kept = STATES_MOST;
+    f->states_kept = STATES_MAX;
     return f;
 }
 
 void list_feed_keep_states(list_feed_t *f, unsigned states)
 {
-    assert(states > 0 && states <= STATES_MOST && f->hash == 0); /* chosen once, before there is any */
+    assert(states > 0 && states <= STATES_MAX && f->hash == 0); /* called before the first state */
     f->states_kept = states;
 }
 
-static void forget_state(state_t *state)
+static void drop_state(state_t *state)
 {
-    if (state->touched)
-        g_array_free(state->touched, TRUE);
+    if (state->changed)
+        g_array_free(state->changed, TRUE);
     free(state->body);
     *state = (state_t){0};
 }
@@ -71,9 +73,9 @@
 void list_feed_destroy(list_feed_t *f)
 {
     for (unsigned i = 0; i < f->states_kept; i++)
-        forget_state(&f->states[i]);
-    for (int i = 0; i < WHOLES_KEPT; i++)
-        free(f->wholes[i].body);
+        drop_state(&f->states[i]);
+    for (int i = 0; i < FULL_LISTS_KEPT; i++)
+        free(f->full_lists[i].body);
     free(f->list);
     g_free(f);
 }
@@ -110,7 +112,7 @@
     return names;
 }
 
-/** Both in order. @return those of either */
+/** Union of two sorted lists of names. */
 static GArray *merge(const GArray *a, const GArray *b)
 {
     GArray *const names = g_array_new(FALSE, TRUE, sizeof(record_name_t));
@@ -126,30 +128,30 @@
     return names;
 }
 
-static bool is_worth_keeping(const list_feed_t *f, const GArray *touched)
+static bool is_worth_keeping(const list_feed_t *f, const GArray *changed)
 {
-    return touched->len <= TOUCHED_MIN || touched->len <= f->n / TOUCHED_PART;
+    return changed->len <= CHANGES_MIN || changed->len <= f->n / CHANGES_PART;
 }
 
-/** The list has changed by these records. @param step taken over */
+/** Record that the list has changed by these records. @param step now owned by the feed */
 static void age_states(list_feed_t *f, GArray *step)
 {
-    forget_state(&f->states[f->states_kept - 1]);
+    drop_state(&f->states[f->states_kept - 1]);
     memmove(&f->states[1], &f->states[0], (f->states_kept - 1) * sizeof(f->states[0]));
     for (unsigned i = 1; i < f->states_kept; i++) {
         state_t *const state = &f->states[i];
         if (state->hash == 0)
             continue;
-        GArray *const touched = merge(state->touched, step);
+        GArray *const changed = merge(state->changed, step);
         const uint64_t hash = state->hash;
-        forget_state(state);
-        *state = (state_t){.hash = hash, .touched = touched};
-        if (!is_worth_keeping(f, touched))
-            forget_state(state);
+        drop_state(state);
+        *state = (state_t){.hash = hash, .changed = changed};
+        if (!is_worth_keeping(f, changed))
+            drop_state(state);
     }
-    f->states[0] = (state_t){.hash = f->hash, .touched = step};
+    f->states[0] = (state_t){.hash = f->hash, .changed = step};
     if (f->hash == 0 || !is_worth_keeping(f, step))
-        forget_state(&f->states[0]);
+        drop_state(&f->states[0]);
 }
 
 void list_feed_replace(list_feed_t *f, void *list, uint32_t n, uint64_t hash)
@@ -191,16 +193,16 @@
     return f->hash;
 }
 
-/* ===== What is told ===== */
+/* ===== Updates ===== */
 
-/** Pack what leads from an older state to the present one: all records that may differ, as they are. */
+/** Pack the delta from an older state to the current one: the current value of each record that may differ. */
 static void pack_state(const list_feed_t *f, state_t *state)
 {
     const size_t record = f->kind->record;
     GByteArray *const changed = g_byte_array_new();
     GArray *const gone = g_array_new(FALSE, TRUE, sizeof(record_name_t));
-    for (guint i = 0; i < state->touched->len; i++) {
-        const record_name_t *const name = &g_array_index(state->touched, record_name_t, i);
+    for (guint i = 0; i < state->changed->len; i++) {
+        const record_name_t *const name = &g_array_index(state->changed, record_name_t, i);
         const void *const now = list_feed_find(f, name->name);
         if (now)
             g_byte_array_append(changed, now, (guint)record);
@@ -216,21 +218,21 @@
     g_array_free(gone, TRUE);
 }
 
-/** The present list, packed. */
-static const whole_t *pack_whole(list_feed_t *f)
+/** The current list, packed. */
+static const full_list_t *pack_full(list_feed_t *f)
 {
-    whole_t *const first = &f->wholes[0];
+    full_list_t *const first = &f->full_lists[0];
     if (first->hash == f->hash)
         return first;
-    free(f->wholes[WHOLES_KEPT - 1].body);
-    memmove(&f->wholes[1], &f->wholes[0], (WHOLES_KEPT - 1) * sizeof(f->wholes[0]));
+    free(f->full_lists[FULL_LISTS_KEPT - 1].body);
+    memmove(&f->full_lists[1], &f->full_lists[0], (FULL_LISTS_KEPT - 1) * sizeof(f->full_lists[0]));
     const list_delta_t delta = {.changed = f->list, .changed_n = f->n};
-    *first = (whole_t){.hash = f->hash};
+    *first = (full_list_t){.hash = f->hash};
     first->body = list_pack(f->kind, &delta, &first->size);
     return first;
 }
 
-static list_news_t news_of(const list_feed_t *f, uint64_t base, char *body, size_t size)
+static list_news_t make_update(const list_feed_t *f, uint64_t base, char *body, size_t size)
 {
     return (list_news_t){.hash = f->hash, .base = base, .body = body, .body_n = (uint32_t)size};
 }
@@ -240,45 +242,45 @@
     if (f->hash == 0)
         return (list_news_t){0};
     if (known == f->hash)
-        return news_of(f, known, NULL, 0);
+        return make_update(f, known, NULL, 0);
     for (unsigned i = 0; known != 0 && i < f->states_kept; i++) {
         state_t *const state = &f->states[i];
         if (state->hash != known)
             continue;
         if (!state->body)
             pack_state(f, state);
-        return news_of(f, known, state->body, state->size);
+        return make_update(f, known, state->body, state->size);
     }
-    const whole_t *const whole = pack_whole(f);
-    if (whole->size <= WHOLE_TOLD_BYTES)
-        return news_of(f, 0, whole->body, whole->size);
-    return (list_news_t){.hash = f->hash, .whole = whole->size};
+    const full_list_t *const full = pack_full(f);
+    if (full->size <= INLINE_FULL_BYTES_MAX)
+        return make_update(f, 0, full->body, full->size);
+    return (list_news_t){.hash = f->hash, .whole = full->size};
 }
 
 const char *list_feed_packed(list_feed_t *f, size_t *size)
 {
-    const whole_t *const whole = pack_whole(f);
-    *size = whole->size;
-    return whole->body;
+    const full_list_t *const full = pack_full(f);
+    *size = full->size;
+    return full->body;
 }
 
-static const whole_t *find_whole(list_feed_t *f, uint64_t hash)
+static const full_list_t *find_full(list_feed_t *f, uint64_t hash)
 {
     if (hash != 0 && hash == f->hash)
-        return pack_whole(f);
-    for (int i = 0; hash != 0 && i < WHOLES_KEPT; i++)
-        if (f->wholes[i].hash == hash)
-            return &f->wholes[i];
+        return pack_full(f);
+    for (int i = 0; hash != 0 && i < FULL_LISTS_KEPT; i++)
+        if (f->full_lists[i].hash == hash)
+            return &f->full_lists[i];
     return NULL;
 }
 
 msg_list_piece_t list_feed_piece(list_feed_t *f, uint64_t hash, uint64_t offset)
 {
-    const whole_t *const whole = find_whole(f, hash);
-    msg_list_piece_t piece = {.hash = hash, .offset = offset, .whole = whole ? whole->size : 0};
-    if (!whole || offset >= whole->size)
+    const full_list_t *const full = find_full(f, hash);
+    msg_list_piece_t piece = {.hash = hash, .offset = offset, .whole = full ? full->size : 0};
+    if (!full || offset >= full->size)
         return piece;
-    piece.data = whole->body + offset;
-    piece.data_n = (uint32_t)MIN(whole->size - offset, LIST_PIECE_BYTES);
+    piece.data = full->body + offset;
+    piece.data_n = (uint32_t)MIN(full->size - offset, LIST_PIECE_BYTES);
     return piece;
 }
--- a/lib/lists/list_mirror.c
+++ b/lib/lists/list_mirror.c
@@ -20,35 +20,35 @@
 /* ===== Constants ===== */
 
 enum {
-    AGAIN_MS = 50,    /* after a piece that did not come: the next box is asked */
-    TELLER_EVERY = 4, /* one in so many questions in vain goes to whoever told of the list */
-    TURNS_MAX = 24,   /* questions in vain for one list: by then it has changed, and news tell of another */
-    PACKED_MAX = 16 * 1024 * 1024
+    RETRY_MS = 50,       /* after a piece has failed to arrive, before the next box is tried */
+    ANNOUNCER_EVERY = 4, /* one in so many tries goes to the box that announced the list */
+    TRIES_MAX = 24,      /* failed requests for one list: by then the list has changed, and another one is announced */
+    PACKED_BYTES_MAX = 16 * 1024 * 1024
 };
 
 /* ===== Types ===== */
 
-/** A whole list on its way. */
+/** A full list that is being fetched. */
 typedef struct {
     uint64_t hash; /* 0: none */
-    uint64_t size; /* of it packed */
+    uint64_t size; /* packed, in bytes */
     tc_time_t as_of;
-    char told_by[CODEC_STR_SIZE];
-    GByteArray *bytes; /* that have arrived */
-    unsigned turn;     /* through the boxes that may have it */
-} fetch_t;
+    char announcer[CODEC_STR_SIZE];
+    GByteArray *bytes; /* received so far */
+    unsigned turn;     /* position in the sources; counts failed requests */
+} list_fetch_t;
 
 struct list_mirror {
     list_feed_t *feed;
     char self[CODEC_STR_SIZE];
     tc_time_t as_of;
-    fetch_t fetch;
-    bool waiting;       /* for the answer to a question, */
-    uint64_t asked;     /* which was for that list */
-    tc_time_t again_at; /* not before then */
+    list_fetch_t fetch;
+    bool waiting;       /* a request is in flight */
+    uint64_t asked;     /* hash of the list that it is for */
+    tc_time_t retry_at; /* no request before then */
 };
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 list_mirror_t *list_mirror_create(list_feed_t *feed, const char *self)
 {
@@ -75,7 +75,7 @@
     return m->fetch.hash != 0;
 }
 
-/* ===== What is held ===== */
+/* ===== Current copy ===== */
 
 static void end_fetch(list_mirror_t *m)
 {
@@ -83,8 +83,8 @@
     g_byte_array_set_size(m->fetch.bytes, 0);
 }
 
-/** The list is what has @p hash, as of then. */
-static void note_state(list_mirror_t *m, tc_time_t as_of)
+/** The copy is up to date as of @p as_of. Ends the fetch of an older list. */
+static void set_state_time(list_mirror_t *m, tc_time_t as_of)
 {
     m->as_of = as_of;
     if (m->fetch.hash != 0 && m->fetch.as_of <= as_of)
@@ -95,11 +95,11 @@
 {
     if (as_of <= m->as_of)
         return false;
-    note_state(m, as_of);
+    set_state_time(m, as_of);
     return list_feed_set(m->feed, list, n);
 }
 
-static void note_damage(const list_mirror_t *m, const char *from, const char *why)
+static void report_damage(const list_mirror_t *m, const char *from, const char *why)
 {
     counter_add(&c_damaged, 1);
     log_line_t line;
@@ -110,14 +110,14 @@
     log_end(&line);
 }
 
-/** Take over what a packed delta leads to, when that is what has @p hash. @param whole it begins with nothing */
+/** Apply a packed delta, if the result has @p hash. @param whole the delta starts from an empty list */
 static bool apply(list_mirror_t *m, const char *packed, size_t size, bool whole, uint64_t hash, const char *from)
 {
     const list_kind_t *const kind = list_feed_kind(m->feed);
     list_delta_t delta;
     tc_err_t err = {0};
     if (list_unpack(kind, packed, size, &delta, &err) < 0) {
-        note_damage(m, from, err.detail);
+        report_damage(m, from, err.detail);
         return false;
     }
     uint32_t n = 0, applied_n;
@@ -125,7 +125,7 @@
     void *const applied = list_apply(list, whole ? 0 : n, &delta, kind->record, &applied_n);
     codec_free(kind->delta, &delta);
     if (list_hash(applied, applied_n * kind->record) != hash) {
-        note_damage(m, from, "it is another list");
+        report_damage(m, from, "list does not match its announced hash");
         free(applied);
         return false;
     }
@@ -134,72 +134,73 @@
     return true;
 }
 
-/* ===== News ===== */
+/* ===== Updates ===== */
 
-/** The whole list is to be fetched. One that is on its way is fetched to its end first: where lists change faster than
- *  they arrive, each box still moves on, by what leads on from it. */
-static void want_whole(list_mirror_t *m, const list_news_t *news, const char *from, tc_time_t as_of)
+/** Start to fetch the full list. A fetch in progress is finished first: a box still makes progress when lists change
+ *  faster than they arrive, by the deltas from that list. */
+static void start_fetch(list_mirror_t *m, const list_news_t *update, const char *from, tc_time_t as_of)
 {
-    fetch_t *const f = &m->fetch;
-    if (f->hash == news->hash) {
+    list_fetch_t *const f = &m->fetch;
+    if (f->hash == update->hash) {
         f->as_of = as_of;
-        codec_copy_string(f->told_by, sizeof(f->told_by), from); /* the newest to have it is there most likely */
+        codec_copy_string(f->announcer, sizeof(f->announcer),
+                          from); /* the latest box to announce it is the most likely to be up */
         return;
     }
-    if (f->hash != 0 || news->whole > PACKED_MAX)
+    if (f->hash != 0 || update->whole > PACKED_BYTES_MAX)
         return;
-    f->hash = news->hash;
-    f->size = news->whole;
+    f->hash = update->hash;
+    f->size = update->whole;
     f->as_of = as_of;
     f->turn = 0;
-    m->again_at = 0;
-    codec_copy_string(f->told_by, sizeof(f->told_by), from);
+    m->retry_at = 0;
+    codec_copy_string(f->announcer, sizeof(f->announcer), from);
 }
 
-bool list_mirror_receive(list_mirror_t *m, const list_news_t *news, const char *from, tc_time_t as_of)
+bool list_mirror_receive(list_mirror_t *m, const list_news_t *update, const char *from, tc_time_t as_of)
 {
     const uint64_t held = list_feed_hash(m->feed);
-    if (news->hash == 0 || as_of < m->as_of)
+    if (update->hash == 0 || as_of < m->as_of)
         return false;
-    if (news->hash == held) {
-        note_state(m, as_of);
+    if (update->hash == held) {
+        set_state_time(m, as_of);
         return false;
     }
-    if (news->body_n == 0) {
-        if (news->whole > 0)
-            want_whole(m, news, from, as_of);
+    if (update->body_n == 0) {
+        if (update->whole > 0)
+            start_fetch(m, update, from, as_of);
         return false;
     }
-    if (news->base != 0 && news->base != held)
-        return false; /* told to an older question: the next report says what is here */
-    if (!apply(m, news->body, news->body_n, news->base == 0, news->hash, from))
+    if (update->base != 0 && update->base != held)
+        return false; /* answer to an older query: the next report states the current hash */
+    if (!apply(m, update->body, update->body_n, update->base == 0, update->hash, from))
         return false;
-    note_state(m, as_of);
+    set_state_time(m, as_of);
     return true;
 }
 
 /* ===== Fetching ===== */
 
-/** The box to ask, by turns: those that serve lists, from one by this box's hash on, and now and then whoever told of
- * the list. A new list is there first, but all boxes hear of it from there. */
+/** Choose the box to ask, in turn: those that serve lists, starting at the hash of this box, and periodically the
+ *  announcer. A new list is at the announcer first, but all boxes learn of it from there, and would all ask it. */
 static const char *choose_source(const list_mirror_t *m, const list_sources_t *sources)
 {
-    const fetch_t *const f = &m->fetch;
+    const list_fetch_t *const f = &m->fetch;
     const uint32_t first = XXH32(m->self, strlen(m->self), 0);
-    if (f->turn % TELLER_EVERY == TELLER_EVERY - 1)
-        return f->told_by;
+    if (f->turn % ANNOUNCER_EVERY == ANNOUNCER_EVERY - 1)
+        return f->announcer;
     for (uint32_t i = 0; i < sources->n; i++) {
         const char *const addr = sources->list[(first % sources->n + f->turn + i) % sources->n].peer;
-        if (strcmp(addr, m->self) != 0 && strcmp(addr, sources->but) != 0)
+        if (strcmp(addr, m->self) != 0 && strcmp(addr, sources->except) != 0)
             return addr;
     }
-    return f->told_by;
+    return f->announcer;
 }
 
 bool list_mirror_next_request(list_mirror_t *m, const list_sources_t *sources, tc_time_t now, list_request_t *ask)
 {
-    const fetch_t *const f = &m->fetch;
-    if (f->hash == 0 || m->waiting || now < m->again_at)
+    const list_fetch_t *const f = &m->fetch;
+    if (f->hash == 0 || m->waiting || now < m->retry_at)
         return false;
     *ask =
         (list_request_t){.message = {.list = list_feed_kind(m->feed)->name, .hash = f->hash, .offset = f->bytes->len}};
@@ -209,40 +210,40 @@
     return true;
 }
 
-/** This box had no piece: the next one is asked. */
-static void try_elsewhere(list_mirror_t *m, tc_time_t now)
+/** The box had no piece: try the next one. */
+static void try_next_source(list_mirror_t *m, tc_time_t now)
 {
     counter_add(&c_missed, 1);
-    m->again_at = now + AGAIN_MS;
-    if (++m->fetch.turn >= TURNS_MAX)
+    m->retry_at = now + RETRY_MS;
+    if (++m->fetch.turn >= TRIES_MAX)
         end_fetch(m);
 }
 
-static bool end_whole(list_mirror_t *m)
+static bool finish_fetch(list_mirror_t *m)
 {
-    const fetch_t *const f = &m->fetch;
+    const list_fetch_t *const f = &m->fetch;
     const tc_time_t as_of = f->as_of;
-    const bool sound = apply(m, (const char *)f->bytes->data, f->bytes->len, true, f->hash, f->told_by);
+    const bool sound = apply(m, (const char *)f->bytes->data, f->bytes->len, true, f->hash, f->announcer);
     end_fetch(m);
     if (sound)
-        note_state(m, as_of);
+        set_state_time(m, as_of);
     return sound;
 }
 
 bool list_mirror_add_piece(list_mirror_t *m, const msg_list_piece_t *piece, tc_time_t now)
 {
-    fetch_t *const f = &m->fetch;
-    assert(m->waiting); /* it answers a question */
+    list_fetch_t *const f = &m->fetch;
+    assert(m->waiting); /* the piece answers a request */
     m->waiting = false;
     if (f->hash == 0 || m->asked != f->hash)
-        return false; /* the list has come otherwise meanwhile */
+        return false; /* the list has been replaced meanwhile */
     const bool fits = piece && piece->hash == f->hash && piece->offset == f->bytes->len && piece->whole == f->size &&
                       piece->data_n > 0 && piece->data_n <= f->size - f->bytes->len;
     if (!fits) {
-        try_elsewhere(m, now);
+        try_next_source(m, now);
         return false;
     }
     counter_add(&c_pieces, 1);
     g_byte_array_append(f->bytes, (const guint8 *)piece->data, piece->data_n);
-    return f->bytes->len == f->size && end_whole(m);
+    return f->bytes->len == f->size && finish_fetch(m);
 }
--- a/tests/random/test_lists_random.c
+++ b/tests/random/test_lists_random.c
@@ -195,7 +195,7 @@
 {
     list_request_t ask;
     const list_sources_t sources = {
-        .list = w->members, .n = is_server(w, n) ? 0 : SERVERS, .but = w->servers[w->leader].self.peer};
+        .list = w->members, .n = is_server(w, n) ? 0 : SERVERS, .except = w->servers[w->leader].self.peer};
     while (n->mirror && list_mirror_next_request(n->mirror, &sources, w->now, &ask)) {
         node_t *const from = find_node(w, ask.addr);
         const msg_list_piece_t piece = list_feed_piece(from->feed, ask.message.hash, ask.message.offset);
--- a/tests/unit/test_kept_list.c
+++ b/tests/unit/test_saved_list.c
@@ -27,7 +27,7 @@
 {
     const fixture_t *const f = arg;
     for (int i = 0; i < SEEDS; i++)
-        if (f->replica[i]->kept_as_of == 0)
+        if (f->replica[i]->saved_as_of == 0)
             return false;
     return true;
 }
@@ -35,7 +35,7 @@
 static uint32_t count_listed(const replica_t *r)
 {
     uint32_t n = 0;
-    (void)list_feed_list(r->told, &n);
+    (void)list_feed_list(r->published, &n);
     return n;
 }
 
@@ -136,8 +136,8 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add("/kept-list/begin-with-it", fixture_t, NULL, set_up, test_begin_with_it, tear_down);
-    g_test_add("/kept-list/replaced", fixture_t, NULL, set_up, test_replaced, tear_down);
-    g_test_add("/kept-list/damaged", fixture_t, NULL, set_up, test_damaged, tear_down);
+    g_test_add("/saved-list/begin-with-it", fixture_t, NULL, set_up, test_begin_with_it, tear_down);
+    g_test_add("/saved-list/replaced", fixture_t, NULL, set_up, test_replaced, tear_down);
+    g_test_add("/saved-list/damaged", fixture_t, NULL, set_up, test_damaged, tear_down);
     return g_test_run();
 }
