--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -26,17 +26,17 @@
     char addr[BOXES][32], http[BOXES][32], dir[BOXES][64];
     replica_t *replica[BOXES];
     const char *seeds[SEEDS + 1];
-    bool offered;
-    int offer_rc;
+    bool proposal_done;
+    int proposal_rc;
     uint64_t want; /* awaited version, or number of snapshots */
     int who;       /* awaited box */
     reporter_t *reporter;
-    entry_box_t self;        /* what the reporter sends */
-    uint64_t heard;          /* version that the reporter has received */
-    bool slow;               /* the box does not act on a document at once */
-    bool leaving;            /* state of the back end in the last list */
-    bool told;               /* a list of back ends has arrived; in a probe, the scheduler has answered */
-    unsigned lent, answered; /* granted and answered requests for a retry */
+    entry_box_t self;           /* what the reporter sends */
+    uint64_t received;          /* version that the reporter has received */
+    bool slow;                  /* the box does not act on a document at once */
+    bool leaving;               /* state of the back end in the last list */
+    bool told;                  /* a list of back ends has arrived; in a probe, the scheduler has answered */
+    unsigned retries, answered; /* granted retries and answered requests for one */
 } fixture_t;
 
 /* ===== Boxes ===== */
@@ -114,21 +114,21 @@
     return leader(arg) >= 0;
 }
 
-static void on_offered(void *arg, int rc)
+static void on_proposal_done(void *arg, int rc)
 {
     fixture_t *const f = arg;
-    f->offered = true;
-    f->offer_rc = rc;
+    f->proposal_done = true;
+    f->proposal_rc = rc;
 }
 
 /** Propose a version with that text to box @p at, once. */
-static void offer_text(fixture_t *f, int at, uint64_t version, const char *text)
+static void propose_text(fixture_t *f, int at, uint64_t version, const char *text)
 {
     document_t document = {0};
     document_make(&document, version, text, strlen(text));
-    f->offered = false;
-    replica_propose(f->replica[at], &document, on_offered, f);
-    lab_run_until_true(f->loop, &f->offered);
+    f->proposal_done = false;
+    replica_propose(f->replica[at], &document, on_proposal_done, f);
+    lab_run_until_true(f->loop, &f->proposal_done);
     codec_free(&document_desc, &document);
 }
 
@@ -137,9 +137,9 @@
 {
     do {
         lab_run_until(f->loop, has_leader, f);
-        offer_text(f, leader(f), version, text);
-    } while (f->offer_rc == TC_E_NOT_LEADER || f->offer_rc == TC_E_BROKEN || f->offer_rc == TC_E_TIMEOUT);
-    g_assert_cmpint(f->offer_rc, ==, TC_OK);
+        propose_text(f, leader(f), version, text);
+    } while (f->proposal_rc == TC_E_NOT_LEADER || f->proposal_rc == TC_E_BROKEN || f->proposal_rc == TC_E_TIMEOUT);
+    g_assert_cmpint(f->proposal_rc, ==, TC_OK);
 }
 
 static __attribute__((unused)) void put(fixture_t *f, uint64_t version)
@@ -149,7 +149,7 @@
     put_text(f, version, text);
 }
 
-static bool reads_wanted(void *arg)
+static bool reads_awaited(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -161,13 +161,13 @@
 static __attribute__((unused)) void expect_read(fixture_t *f, uint64_t version)
 {
     f->want = version;
-    lab_run_until(f->loop, reads_wanted, f);
+    lab_run_until(f->loop, reads_awaited, f);
 }
 
 /* ===== Members ===== */
 
 /** Whether the members are three, one of which is box f->who as a voter. */
-static __attribute__((unused)) bool three_with_who(void *arg)
+static __attribute__((unused)) bool three_with_awaited(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -181,7 +181,7 @@
 }
 
 /** Whether there is a fourth member, without a vote. */
-static __attribute__((unused)) bool fourth_waits(void *arg)
+static __attribute__((unused)) bool has_fourth_nonvoter(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -192,12 +192,12 @@
     return members && members->list_n == 4 && voters == 3;
 }
 
-static __attribute__((unused)) bool snapshots_wanted(void *arg)
+static __attribute__((unused)) bool snapshots_awaited(void *arg)
 {
     return counter_read("trackcove_cluster_snapshots_total") >= (int64_t)((fixture_t *)arg)->want;
 }
 
-static __attribute__((unused)) bool who_leads(void *arg)
+static __attribute__((unused)) bool awaited_leads(void *arg)
 {
     const fixture_t *const f = arg;
     return f->replica[f->who] && replica_is_leader(f->replica[f->who]);
--- a/tests/unit/test_cluster.c
+++ b/tests/unit/test_cluster.c
@@ -19,8 +19,8 @@
     put(f, 7);
     put(f, 7); /* the same version again is acknowledged again */
     expect_read(f, 7);
-    offer_text(f, leader(f), 7, "other");
-    g_assert_cmpint(f->offer_rc, ==, TC_E_CONFLICT);
+    propose_text(f, leader(f), 7, "other");
+    g_assert_cmpint(f->proposal_rc, ==, TC_E_CONFLICT);
     put(f, 5); /* an older version is acknowledged, and changes nothing */
     expect_read(f, 7);
 }
@@ -72,8 +72,8 @@
         start_box(f, i, false);
     expect_read(f, 4);
     put(f, 4); /* the same text is acknowledged again */
-    offer_text(f, leader(f), 4, "other");
-    g_assert_cmpint(f->offer_rc, ==, TC_E_CONFLICT);
+    propose_text(f, leader(f), 4, "other");
+    g_assert_cmpint(f->proposal_rc, ==, TC_E_CONFLICT);
     put(f, 5);
 }
 
@@ -95,8 +95,8 @@
     const struct rlimit none = {.rlim_cur = 0, .rlim_max = old.rlim_max};
     signal(SIGXFSZ, SIG_IGN);
     g_assert_cmpint(setrlimit(RLIMIT_FSIZE, &none), ==, 0);
-    offer_text(f, leader(f), 5, "never accepted");
-    g_assert_cmpint(f->offer_rc, !=, TC_OK);
+    propose_text(f, leader(f), 5, "never accepted");
+    g_assert_cmpint(f->proposal_rc, !=, TC_OK);
     lab_run_until(f->loop, has_no_leader, f);
     g_assert_cmpint(setrlimit(RLIMIT_FSIZE, &old), ==, 0);
     put(f, 6);
@@ -133,8 +133,8 @@
     for (int i = 0; i < SEEDS; i++)
         if (i != at)
             stop_box(f, i);
-    offer_text(f, at, 9, "x");
-    g_assert_cmpint(f->offer_rc, <, 0);          /* not acknowledged */
+    propose_text(f, at, 9, "x");
+    g_assert_cmpint(f->proposal_rc, <, 0);       /* not acknowledged */
     g_assert_null(replica_read(f->replica[at])); /* and reads are refused */
 }
 
@@ -150,7 +150,7 @@
     start_box(f, wiped, false);
     put(f, 5);
     f->who = wiped;
-    lab_run_until(f->loop, three_with_who, f);
+    lab_run_until(f->loop, three_with_awaited, f);
     stop_box(f, other); /* the majority needs the new member now */
     put(f, 6);
     expect_read(f, 6);
@@ -183,7 +183,7 @@
     start_box(f, wiped, false);
     put_text(f, 5, second);
     f->who = wiped;
-    lab_run_until(f->loop, three_with_who, f);
+    lab_run_until(f->loop, three_with_awaited, f);
     stop_box(f, other); /* the majority needs the new member now */
     put_text(f, 6, first);
     expect_read(f, 6);
@@ -208,7 +208,7 @@
     start_box(f, 3, false); /* an empty box joins just after the election: both become voters */
     put(f, 5);
     f->who = 3;
-    lab_run_until(f->loop, three_with_who, f); /* the stopped voter is removed */
+    lab_run_until(f->loop, three_with_awaited, f); /* the stopped voter is removed */
     const int wiped = (gone + 1) % SEEDS;
     stop_box(f, wiped);
     folder_empty(f->dir[wiped]);
@@ -223,13 +223,13 @@
     for (int i = 0; i < BOXES; i++)
         start_box(f, i, true); /* the fourth is no seed: it joins */
     put(f, 4);
-    lab_run_until(f->loop, fourth_waits, f);
+    lab_run_until(f->loop, has_fourth_nonvoter, f);
     put(f, 5);
-    lab_run_until(f->loop, fourth_waits, f);
+    lab_run_until(f->loop, has_fourth_nonvoter, f);
     const int gone = leader(f);
     stop_box(f, gone);
     f->who = 3;
-    lab_run_until(f->loop, three_with_who, f); /* it replaces the stopped voter */
+    lab_run_until(f->loop, three_with_awaited, f); /* it replaces the stopped voter */
     put(f, 6);
     expect_read(f, 6);
 }
--- a/tests/unit/test_cluster_evacuations.c
+++ b/tests/unit/test_cluster_evacuations.c
@@ -8,9 +8,9 @@
 
 static void evacuate_at(fixture_t *f, int at, const char *dc, bool on)
 {
-    f->offered = false;
-    replica_evacuate(f->replica[at], dc, on, on_offered, f);
-    lab_run_until_true(f->loop, &f->offered);
+    f->proposal_done = false;
+    replica_evacuate(f->replica[at], dc, on, on_proposal_done, f);
+    lab_run_until_true(f->loop, &f->proposal_done);
 }
 
 /** As an operator does: until it is taken. */
@@ -19,8 +19,8 @@
     do {
         lab_run_until(f->loop, has_leader, f);
         evacuate_at(f, leader(f), dc, on);
-    } while (f->offer_rc == TC_E_NOT_LEADER || f->offer_rc == TC_E_BROKEN || f->offer_rc == TC_E_TIMEOUT);
-    g_assert_cmpint(f->offer_rc, ==, TC_OK);
+    } while (f->proposal_rc == TC_E_NOT_LEADER || f->proposal_rc == TC_E_BROKEN || f->proposal_rc == TC_E_TIMEOUT);
+    g_assert_cmpint(f->proposal_rc, ==, TC_OK);
 }
 
 static bool reads_any(void *arg)
@@ -71,12 +71,12 @@
     evacuate(f, "a", true);
     f->want = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
     put(f, 4);
-    lab_run_until(f->loop, snapshots_wanted, f);
+    lab_run_until(f->loop, snapshots_awaited, f);
     const int gone = leader(f);
     stop_box(f, gone);
     start_box(f, 3, false); /* elsewhere, empty */
     f->who = 3;
-    lab_run_until(f->loop, three_with_who, f);
+    lab_run_until(f->loop, three_with_awaited, f);
     for (int i = 0; i < SEEDS; i++)
         if (i != gone && i != leader(f))
             stop_box(f, i);
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -13,8 +13,8 @@
 static bool on_document(void *arg, const document_t *document)
 {
     fixture_t *const f = arg;
-    g_assert_cmpuint(document->version, >, f->heard); /* never an older one */
-    f->heard = document->version;
+    g_assert_cmpuint(document->version, >, f->received); /* never an older one */
+    f->received = document->version;
     return !f->slow;
 }
 
@@ -26,10 +26,10 @@
     f->leaving = list[0].draining;
 }
 
-static bool has_received_wanted(void *arg)
+static bool has_received_awaited(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->heard == f->want;
+    return f->received == f->want;
 }
 
 static void start_reporter_with(fixture_t *f, const char *const *controls)
@@ -81,17 +81,17 @@
     put(f, 4);
     start_reporter(f, f->addr[0]);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
     stop_box(f, leader(f));
     put(f, 8);
     f->want = 8;
-    lab_run_until(f->loop, has_received_wanted, f); /* from the next leader, or from another control box */
+    lab_run_until(f->loop, has_received_awaited, f); /* from the next leader, or from another control box */
     lab_run_until(f->loop, names_leader, f);
 }
 
 static bool one_proposal_ended(void *arg)
 {
-    return ((fixture_t *)arg)->offered;
+    return ((fixture_t *)arg)->proposal_done;
 }
 
 /** Guarantee: an acknowledged document is in force on every live box. While a box is applying one version it gets no
@@ -104,31 +104,31 @@
     put(f, 4);
     start_reporter(f, f->addr[leader(f)]);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
     lab_run_until(f->loop, reports_to_leader, f);
     f->slow = true;
     const int64_t unspread = counter_read("trackcove_cluster_unspread_total");
     document_t document = {0};
     document_make(&document, 5, "content 5", 9);
-    f->offered = false;
-    replica_propose(f->replica[leader(f)], &document, on_offered, f);
+    f->proposal_done = false;
+    replica_propose(f->replica[leader(f)], &document, on_proposal_done, f);
     codec_free(&document_desc, &document);
     f->want = 5;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
     /* Not acknowledged, unless the limit for boxes that do not get there has passed. */
-    g_assert_true(!f->offered || counter_read("trackcove_cluster_unspread_total") > unspread);
+    g_assert_true(!f->proposal_done || counter_read("trackcove_cluster_unspread_total") > unspread);
     g_assert_cmpuint(reporter_version(f->reporter), ==, 4);
     document_make(&document, 6, "content 6", 9);
     replica_propose(f->replica[leader(f)], &document, ignore_proposed, f);
     codec_free(&document_desc, &document);
     lab_run_for(f->loop, 200);
-    g_assert_cmpuint(f->heard, ==, 5);
+    g_assert_cmpuint(f->received, ==, 5);
     f->slow = false;
     reporter_document_applied(f->reporter);
     lab_run_until(f->loop, one_proposal_ended, f);
-    g_assert_cmpint(f->offer_rc, ==, TC_OK);
+    g_assert_cmpint(f->proposal_rc, ==, TC_OK);
     f->want = 6;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
 }
 
 static void test_document_without_a_leader(fixture_t *f, gconstpointer data)
@@ -139,14 +139,14 @@
     f->want = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
     put(f, 4);
     f->who = leader(f);
-    lab_run_until(f->loop, snapshots_wanted, f); /* an idle log is compacted soon */
+    lab_run_until(f->loop, snapshots_awaited, f); /* an idle log is compacted soon */
     for (int i = 0; i < SEEDS; i++)
         stop_box(f, i);
     start_box(f, f->who, false); /* alone it cannot become the leader */
     start_reporter(f, f->addr[f->who]);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
-    g_assert_false(who_leads(f));
+    lab_run_until(f->loop, has_received_awaited, f);
+    g_assert_false(awaited_leads(f));
 }
 
 static void test_seeds_that_are_no_members_get_them(fixture_t *f, gconstpointer data)
@@ -162,7 +162,7 @@
     for (int i = 0; i < SEEDS; i++)
         replica_set_seeds(f->replica[i], seeds);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
 }
 
 /** An engine that changes its role is published as leaving, so that no box gives it work. */
@@ -212,7 +212,7 @@
     g_assert_cmpint(rc, ==, TC_OK);
     g_assert_cmpuint(type, ==, MSG_RETRY_ACK);
     f->answered++;
-    f->lent += ((const msg_retry_ack_t *)message)->granted;
+    f->retries += ((const msg_retry_ack_t *)message)->granted;
 }
 
 static void ignore_placed(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
@@ -258,7 +258,7 @@
     put(f, 4);
     start_reporter(f, f->addr[leader(f)]);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
     const msg_retry_t retry = {.service = "lm"};
     wait_for_scheduler(f, &retry);
     f->answered = 0;
@@ -266,8 +266,8 @@
     for (int i = 0; i < 10; i++)
         g_assert_true(reporter_call_leader(f->reporter, MSG_RETRY, &retry, 5000, on_retry, f));
     lab_run_until(f->loop, all_answered, f);
-    g_assert_cmpuint(f->lent, >=, 2);
-    g_assert_cmpuint(f->lent, <=, 5); /* half a retry for each request */
+    g_assert_cmpuint(f->retries, >=, 2);
+    g_assert_cmpuint(f->retries, <=, 5); /* half a retry for each request */
 }
 
 /* ===== A stalled leader ===== */
@@ -372,7 +372,7 @@
     controls[SILENT] = f->addr[leader(f)];
     start_reporter_with(f, controls);
     f->want = 4;
-    lab_run_until(f->loop, has_received_wanted, f);
+    lab_run_until(f->loop, has_received_awaited, f);
     for (int i = 0; i < SILENT; i++) {
         g_assert_true(was_connected(fds[i]));
         close(fds[i]);
