--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -128,12 +128,12 @@
 }
 
 /** Add the next piece of a document. A leader appends all pieces of a document in a row, so that a piece at offset 0
- *  starts a new document. @return whether the document is complete, and moved to @p whole */
-static bool add_piece(replica_t *r, const log_entry_t *entry, document_t *whole)
+ *  starts a new document. @return whether the document is complete; it is then moved to @p complete */
+static bool add_piece(replica_t *r, const log_entry_t *entry, document_t *complete)
 {
     document_piece_t piece;
     if (codec_unpack_bytes(&document_piece_desc, &piece, entry->data, entry->data_n, NULL) < 0) {
-        *whole = read_document(entry->data, entry->data_n);
+        *complete = read_document(entry->data, entry->data_n);
         return true;
     }
     if (piece.offset == 0) {
@@ -146,13 +146,13 @@
     codec_free(&document_piece_desc, &piece);
     if (!document_download_is_complete(&r->arrival))
         return false;
-    document_download_take(&r->arrival, whole);
+    document_download_take(&r->arrival, complete);
     return true;
 }
 
 static void apply(replica_t *r, const log_entry_t *entry)
 {
-    document_t whole = {0};
+    document_t complete = {0};
     evacuation_t order;
     r->applied = entry->index;
     r->since_snapshot += entry->data_n;
@@ -163,11 +163,11 @@
         apply_evacuation(r, entry, &order);
         return;
     }
-    if (!add_piece(r, entry, &whole))
+    if (!add_piece(r, entry, &complete))
         return;
-    const uint64_t version = whole.version;
-    const document_relation_t relation = accept_document(r, &whole);
-    codec_free(&document_desc, &whole);
+    const uint64_t version = complete.version;
+    const document_relation_t relation = accept_document(r, &complete);
+    codec_free(&document_desc, &complete);
     proposals_applied(r, entry, version, relation != DOCUMENT_CONFLICTS, r->applied_at);
 }
 
--- a/lib/cluster/replica_quarantine.c
+++ b/lib/cluster/replica_quarantine.c
@@ -76,14 +76,14 @@
 
 /** Fill in the changes since the last message, or, when there are none, some entries in turn, so that a member that was
  *  away receives all of them. */
-static void fill_ends(replica_t *r, quarantine_news_t *news, tc_time_t now)
+static void fill_ends(replica_t *r, quarantine_news_t *changes, tc_time_t now)
 {
     const uint64_t seq = quarantine_seq(r->quarantine);
     if (r->ends_sent < seq) {
-        r->ends_sent = quarantine_fill_changes(r->quarantine, r->ends_sent, news, now);
+        r->ends_sent = quarantine_fill_changes(r->quarantine, r->ends_sent, changes, now);
         return;
     }
-    const uint64_t turn = quarantine_fill_changes(r->quarantine, r->ends_resent, news, now);
+    const uint64_t turn = quarantine_fill_changes(r->quarantine, r->ends_resent, changes, now);
     r->ends_resent = turn < seq ? turn : 0;
 }
 
--- a/lib/lists/list_mirror.c
+++ b/lib/lists/list_mirror.c
@@ -110,8 +110,8 @@
     log_end(&line);
 }
 
-/** Apply a packed delta, if the result has @p hash. @param whole the delta starts from an empty list */
-static bool apply(list_mirror_t *m, const char *packed, size_t size, bool whole, uint64_t hash, const char *from)
+/** Apply a packed delta, if the result has @p hash. @param is_full the delta starts from an empty list */
+static bool apply(list_mirror_t *m, const char *packed, size_t size, bool is_full, uint64_t hash, const char *from)
 {
     const list_kind_t *const kind = list_feed_kind(m->feed);
     list_delta_t delta;
@@ -122,14 +122,14 @@
     }
     uint32_t n = 0, applied_n;
     const void *const list = list_feed_list(m->feed, &n);
-    void *const applied = list_apply(list, whole ? 0 : n, &delta, kind->record, &applied_n);
+    void *const applied = list_apply(list, is_full ? 0 : n, &delta, kind->record, &applied_n);
     codec_free(kind->delta, &delta);
     if (list_hash(applied, applied_n * kind->record) != hash) {
         report_damage(m, from, "list does not match its announced hash");
         free(applied);
         return false;
     }
-    counter_add(whole ? &c_wholes : &c_deltas, 1);
+    counter_add(is_full ? &c_wholes : &c_deltas, 1);
     list_feed_replace(m->feed, applied, applied_n, hash);
     return true;
 }
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -28,14 +28,14 @@
     const char *seeds[SEEDS + 1];
     bool proposal_done;
     int proposal_rc;
-    uint64_t want; /* awaited version, or number of snapshots */
-    int who;       /* awaited box */
+    uint64_t awaited; /* version, or number of snapshots */
+    int awaited_box;
     reporter_t *reporter;
     entry_box_t self;           /* what the reporter sends */
     uint64_t received;          /* version that the reporter has received */
     bool slow;                  /* the box does not act on a document at once */
     bool leaving;               /* state of the back end in the last list */
-    bool told;                  /* a list of back ends has arrived; in a probe, the scheduler has answered */
+    bool signalled;             /* a list of back ends has arrived; in a probe, the scheduler has answered */
     unsigned retries, answered; /* granted retries and answered requests for one */
 } fixture_t;
 
@@ -154,19 +154,19 @@
     const fixture_t *const f = arg;
     const int at = leader(f);
     const document_t *const document = at >= 0 ? replica_read(f->replica[at]) : NULL;
-    return document && document->version == f->want;
+    return document && document->version == f->awaited;
 }
 
 /** Wait until a read at the leader returns that version. */
 static __attribute__((unused)) void expect_read(fixture_t *f, uint64_t version)
 {
-    f->want = version;
+    f->awaited = version;
     lab_run_until(f->loop, reads_awaited, f);
 }
 
 /* ===== Members ===== */
 
-/** Whether the members are three, one of which is box f->who as a voter. */
+/** Whether the members are three, one of which is box f->awaited_box as a voter. */
 static __attribute__((unused)) bool three_with_awaited(void *arg)
 {
     const fixture_t *const f = arg;
@@ -176,7 +176,7 @@
     const raft_members_t *const members = replica_members(f->replica[at]);
     bool with_who = false;
     for (uint32_t i = 0; i < members->list_n; i++)
-        with_who = with_who || (members->list[i].voter && strcmp(members->list[i].peer, f->addr[f->who]) == 0);
+        with_who = with_who || (members->list[i].voter && strcmp(members->list[i].peer, f->addr[f->awaited_box]) == 0);
     return with_who && members->list_n == 3;
 }
 
@@ -194,13 +194,13 @@
 
 static __attribute__((unused)) bool snapshots_awaited(void *arg)
 {
-    return counter_read("trackcove_cluster_snapshots_total") >= (int64_t)((fixture_t *)arg)->want;
+    return counter_read("trackcove_cluster_snapshots_total") >= (int64_t)((fixture_t *)arg)->awaited;
 }
 
 static __attribute__((unused)) bool awaited_leads(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->replica[f->who] && replica_is_leader(f->replica[f->who]);
+    return f->replica[f->awaited_box] && replica_is_leader(f->replica[f->awaited_box]);
 }
 
 #endif
--- a/tests/unit/test_cluster.c
+++ b/tests/unit/test_cluster.c
@@ -149,7 +149,7 @@
     folder_empty(f->dir[wiped]);
     start_box(f, wiped, false);
     put(f, 5);
-    f->who = wiped;
+    f->awaited_box = wiped;
     lab_run_until(f->loop, three_with_awaited, f);
     stop_box(f, other); /* the majority needs the new member now */
     put(f, 6);
@@ -182,7 +182,7 @@
     folder_empty(f->dir[wiped]);
     start_box(f, wiped, false);
     put_text(f, 5, second);
-    f->who = wiped;
+    f->awaited_box = wiped;
     lab_run_until(f->loop, three_with_awaited, f);
     stop_box(f, other); /* the majority needs the new member now */
     put_text(f, 6, first);
@@ -207,7 +207,7 @@
     lab_run_until(f->loop, has_leader, f);
     start_box(f, 3, false); /* an empty box joins just after the election: both become voters */
     put(f, 5);
-    f->who = 3;
+    f->awaited_box = 3;
     lab_run_until(f->loop, three_with_awaited, f); /* the stopped voter is removed */
     const int wiped = (gone + 1) % SEEDS;
     stop_box(f, wiped);
@@ -228,7 +228,7 @@
     lab_run_until(f->loop, has_fourth_nonvoter, f);
     const int gone = leader(f);
     stop_box(f, gone);
-    f->who = 3;
+    f->awaited_box = 3;
     lab_run_until(f->loop, three_with_awaited, f); /* it replaces the stopped voter */
     put(f, 6);
     expect_read(f, 6);
--- a/tests/unit/test_cluster_evacuations.c
+++ b/tests/unit/test_cluster_evacuations.c
@@ -69,13 +69,13 @@
     (void)data;
     start_all(f, true);
     evacuate(f, "a", true);
-    f->want = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
+    f->awaited = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
     put(f, 4);
     lab_run_until(f->loop, snapshots_awaited, f);
     const int gone = leader(f);
     stop_box(f, gone);
     start_box(f, 3, false); /* elsewhere, empty */
-    f->who = 3;
+    f->awaited_box = 3;
     lab_run_until(f->loop, three_with_awaited, f);
     for (int i = 0; i < SEEDS; i++)
         if (i != gone && i != leader(f))
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -22,26 +22,26 @@
 {
     fixture_t *const f = arg;
     g_assert_cmpuint(n, ==, 1);
-    f->told = true;
+    f->signalled = true;
     f->leaving = list[0].draining;
 }
 
 static bool has_received_awaited(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->received == f->want;
+    return f->received == f->awaited;
 }
 
 static void start_reporter_with(fixture_t *f, const char *const *controls)
 {
-    const char *const nobody[] = {NULL};
+    const char *const no_neighbours[] = {NULL};
     char own[32];
     lab_free_addr(own);
     codec_copy_string(f->self.box, sizeof(f->self.box), "entry");
     codec_copy_string(f->self.http_addr, sizeof(f->self.http_addr), "127.0.0.1:1");
     codec_copy_string(f->self.peer_addr, sizeof(f->self.peer_addr), own);
     f->self.incarnation = 1;
-    const reporter_options_t options = {.peer_listen = own, .controls = controls, .neighbours = nobody};
+    const reporter_options_t options = {.peer_listen = own, .controls = controls, .neighbours = no_neighbours};
     const reporter_events_t events = {.on_document = on_document, .on_backends = on_backends, .arg = f};
     tc_err_t err = {0};
     f->reporter = reporter_create(f->loop, &f->self, &options, &events, &err);
@@ -80,11 +80,11 @@
         start_box(f, i, true);
     put(f, 4);
     start_reporter(f, f->addr[0]);
-    f->want = 4;
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
     stop_box(f, leader(f));
     put(f, 8);
-    f->want = 8;
+    f->awaited = 8;
     lab_run_until(f->loop, has_received_awaited, f); /* from the next leader, or from another control box */
     lab_run_until(f->loop, names_leader, f);
 }
@@ -103,7 +103,7 @@
         start_box(f, i, true);
     put(f, 4);
     start_reporter(f, f->addr[leader(f)]);
-    f->want = 4;
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
     lab_run_until(f->loop, reports_to_leader, f);
     f->slow = true;
@@ -113,7 +113,7 @@
     f->proposal_done = false;
     replica_propose(f->replica[leader(f)], &document, on_proposal_done, f);
     codec_free(&document_desc, &document);
-    f->want = 5;
+    f->awaited = 5;
     lab_run_until(f->loop, has_received_awaited, f);
     /* Not acknowledged, unless the limit for boxes that do not get there has passed. */
     g_assert_true(!f->proposal_done || counter_read("trackcove_cluster_unspread_total") > unspread);
@@ -127,7 +127,7 @@
     reporter_document_applied(f->reporter);
     lab_run_until(f->loop, one_proposal_ended, f);
     g_assert_cmpint(f->proposal_rc, ==, TC_OK);
-    f->want = 6;
+    f->awaited = 6;
     lab_run_until(f->loop, has_received_awaited, f);
 }
 
@@ -136,15 +136,15 @@
     (void)data;
     for (int i = 0; i < SEEDS; i++)
         start_box(f, i, true);
-    f->want = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
+    f->awaited = (uint64_t)counter_read("trackcove_cluster_snapshots_total") + SEEDS;
     put(f, 4);
-    f->who = leader(f);
+    f->awaited_box = leader(f);
     lab_run_until(f->loop, snapshots_awaited, f); /* an idle log is compacted soon */
     for (int i = 0; i < SEEDS; i++)
         stop_box(f, i);
-    start_box(f, f->who, false); /* alone it cannot become the leader */
-    start_reporter(f, f->addr[f->who]);
-    f->want = 4;
+    start_box(f, f->awaited_box, false); /* alone it cannot become the leader */
+    start_reporter(f, f->addr[f->awaited_box]);
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
     g_assert_false(awaited_leads(f));
 }
@@ -156,12 +156,12 @@
         start_box(f, i, true);
     put(f, 4);
     /* An entry box, which knows only an unreachable control box, is the seed now. */
-    const char *const nobody = "127.0.0.1:1";
-    start_reporter(f, nobody);
+    const char *const unreachable = "127.0.0.1:1";
+    start_reporter(f, unreachable);
     const char *const seeds[] = {f->self.peer_addr, NULL};
     for (int i = 0; i < SEEDS; i++)
         replica_set_seeds(f->replica[i], seeds);
-    f->want = 4;
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
 }
 
@@ -176,7 +176,7 @@
     backend_t engine = {.id = "e1", .service = "lm", .addr = "127.0.0.1:1", .stage = "prefill"};
     replica_set_backends(r, &engine, 1, tc_time_now());
     start_reporter(f, f->addr[leader(f)]);
-    lab_run_until_true(f->loop, &f->told);
+    lab_run_until_true(f->loop, &f->signalled);
     g_assert_false(f->leaving);
     const leaving_cfg_t moving = {.name = "e1"};
     replica_set_role_changes(r, &moving, 1);
@@ -184,8 +184,8 @@
     lab_run_until_true(f->loop, &f->leaving);
     replica_set_role_changes(r, NULL, 0);
     replica_set_backends(r, &engine, 1, tc_time_now());
-    f->told = false;
-    lab_run_until_true(f->loop, &f->told);
+    f->signalled = false;
+    lab_run_until_true(f->loop, &f->signalled);
     g_assert_false(f->leaving);
 }
 
@@ -197,7 +197,7 @@
     fixture_t *const f = arg;
     (void)type, (void)message, (void)err;
     f->answered = 1;
-    f->told = rc == TC_OK;
+    f->signalled = rc == TC_OK;
 }
 
 static bool one_answered(void *arg)
@@ -228,7 +228,7 @@
 /** Wait until the scheduler on the leader answers. */
 static void wait_for_scheduler(fixture_t *f, const msg_retry_t *retry)
 {
-    while (!f->told) {
+    while (!f->signalled) {
         f->answered = 0;
         if (reporter_call_leader(f->reporter, MSG_RETRY, retry, 5000, on_probe, f))
             lab_run_until(f->loop, one_answered, f);
@@ -257,7 +257,7 @@
         start_box(f, i, true);
     put(f, 4);
     start_reporter(f, f->addr[leader(f)]);
-    f->want = 4;
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
     const msg_retry_t retry = {.service = "lm"};
     wait_for_scheduler(f, &retry);
@@ -332,11 +332,11 @@
     do {
         client_send(&client, led);
         client_wait(&client);
-    } while (!f->told); /* the scheduler starts a moment after its box has become the leader */
+    } while (!f->signalled); /* the scheduler starts a moment after its box has become the leader */
     client_send(&client, led);
     g_usleep((gulong)(RAFT_ELECTION_MIN_MS + 100) * 1000);
     client_wait(&client);
-    g_assert_false(f->told);
+    g_assert_false(f->signalled);
     client_destroy(&client);
 }
 
@@ -371,7 +371,7 @@
     }
     controls[SILENT] = f->addr[leader(f)];
     start_reporter_with(f, controls);
-    f->want = 4;
+    f->awaited = 4;
     lab_run_until(f->loop, has_received_awaited, f);
     for (int i = 0; i < SILENT; i++) {
         g_assert_true(was_connected(fds[i]));
--- a/tests/unit/test_fetch.c
+++ b/tests/unit/test_fetch.c
@@ -292,16 +292,16 @@
 {
     (void)data;
     char *const text = make_text(7);
-    document_t gone = {0};
-    document_make(&gone, 7, "gone", 4);
+    document_t replaced = {0};
+    document_make(&replaced, 7, "gone", 4);
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 8, text);
-    const document_head_t head = document_head(&gone);
+    const document_head_t head = document_head(&replaced);
     fetch_announce(f->fetch, &head, f->boxes[1].addr, 0);
     expect(f, 8, text);
     fetch_announce(f->fetch, &head, f->boxes[1].addr, 8);
     g_assert_false(fetch_is_busy(f->fetch)); /* an older version is never fetched */
-    codec_free(&document_desc, &gone);
+    codec_free(&document_desc, &replaced);
     g_free(text);
 }
 
@@ -310,17 +310,17 @@
 {
     (void)data;
     char *const text = make_text(9);
-    document_t gone = {0}, between = {0};
-    document_make(&gone, 7, "gone", 4);
+    document_t replaced = {0}, between = {0};
+    document_make(&replaced, 7, "gone", 4);
     document_make(&between, 8, "between", 7);
     for (int i = 0; i < BOXES; i++)
         give(&f->boxes[i], 9, text);
-    const document_head_t first = document_head(&gone), second = document_head(&between);
+    const document_head_t first = document_head(&replaced), second = document_head(&between);
     fetch_announce(f->fetch, &first, f->boxes[1].addr, 0);
     fetch_announce(f->fetch, &second, f->boxes[2].addr, 0);
     expect(f, 9, text);
     g_assert_cmpuint(f->arrived->len, ==, 1);
-    codec_free(&document_desc, &gone);
+    codec_free(&document_desc, &replaced);
     codec_free(&document_desc, &between);
     g_free(text);
 }
--- a/tests/unit/test_list_feed.c
+++ b/tests/unit/test_list_feed.c
@@ -37,8 +37,8 @@
 
 static void update_copy(const copy_t *copy, list_feed_t *f, tc_time_t now)
 {
-    const list_news_t news = list_feed_update_since(f, list_feed_hash(copy->feed));
-    (void)list_mirror_receive(copy->mirror, &news, "feed", now);
+    const list_news_t update = list_feed_update_since(f, list_feed_hash(copy->feed));
+    (void)list_mirror_receive(copy->mirror, &update, "feed", now);
     g_assert_cmpuint(list_feed_hash(copy->feed), ==, list_feed_hash(f));
 }
 
@@ -88,12 +88,12 @@
     const uint64_t known = list_feed_hash(h);
     list[7] = box(7, 2);
     g_assert_true(list_feed_set(h, list, BOXES - 1)); /* and the last one is removed */
-    const list_news_t news = list_feed_update_since(h, known);
+    const list_news_t update = list_feed_update_since(h, known);
     list_delta_t delta;
     tc_err_t err = {0};
-    g_assert_cmpuint(news.base, ==, known);
-    g_assert_cmpuint(news.body_n, <, 300);
-    g_assert_cmpint(list_unpack(&list_of_entries, news.body, news.body_n, &delta, &err), ==, TC_OK);
+    g_assert_cmpuint(update.base, ==, known);
+    g_assert_cmpuint(update.body_n, <, 300);
+    g_assert_cmpint(list_unpack(&list_of_entries, update.body, update.body_n, &delta, &err), ==, TC_OK);
     g_assert_cmpuint(delta.changed_n, ==, 1);
     g_assert_cmpuint(delta.gone_n, ==, 1);
     g_assert_cmpstr(delta.gone[0].name, ==, "box-299");
@@ -101,9 +101,9 @@
     const list_news_t none = list_feed_update_since(h, list_feed_hash(h));
     g_assert_cmpuint(none.body_n, ==, 0);
     g_assert_cmpuint(none.whole, ==, 0);
-    const list_news_t whole = list_feed_update_since(h, 12345);
-    g_assert_cmpuint(whole.base, ==, 0);
-    g_assert_cmpint(list_unpack(&list_of_entries, whole.body, whole.body_n, &delta, &err), ==, TC_OK);
+    const list_news_t full = list_feed_update_since(h, 12345);
+    g_assert_cmpuint(full.base, ==, 0);
+    g_assert_cmpint(list_unpack(&list_of_entries, full.body, full.body_n, &delta, &err), ==, TC_OK);
     g_assert_cmpuint(delta.changed_n, ==, BOXES - 1);
     codec_free(list_of_entries.delta, &delta);
     list_feed_destroy(h);
@@ -122,16 +122,16 @@
     const list_news_t sound = list_feed_update_since(h, 0);
     GRand *const random = g_rand_new_with_seed(3);
     for (uint32_t round = 0; round < 500; round++) {
-        list_news_t news = sound;
+        list_news_t update = sound;
         char *const body = g_memdup2(sound.body, sound.body_n);
-        news.body = body;
-        news.body_n = (uint32_t)g_rand_int_range(random, 1, (gint32)sound.body_n + 1);
-        const bool cut = news.body_n < sound.body_n;
-        const gint32 at = g_rand_int_range(random, 0, (gint32)news.body_n);
+        update.body = body;
+        update.body_n = (uint32_t)g_rand_int_range(random, 1, (gint32)sound.body_n + 1);
+        const bool cut = update.body_n < sound.body_n;
+        const gint32 at = g_rand_int_range(random, 0, (gint32)update.body_n);
         const bool corrupted = round % 2 == 0;
         body[at] = (char)(body[at] ^ (corrupted ? 1 + (int)(round % 255) : 0));
-        news.hash += round % 5 == 0 ? 2 : 0;
-        const bool applied = list_mirror_receive(copy.mirror, &news, "feed", round + 1);
+        update.hash += round % 5 == 0 ? 2 : 0;
+        const bool applied = list_mirror_receive(copy.mirror, &update, "feed", round + 1);
         g_assert_true(applied ? list_feed_hash(copy.feed) == sound.hash : list_feed_hash(copy.feed) == 0);
         g_assert_false(applied && (cut || round % 5 == 0));
         if (applied) {
@@ -143,8 +143,8 @@
     const list_delta_t backwards = {.changed = (entry_box_t[]){list[1], list[0]}, .changed_n = 2};
     size_t size;
     char *const packed = list_pack(&list_of_entries, &backwards, &size);
-    const list_news_t news = {.hash = sound.hash, .body = packed, .body_n = (uint32_t)size};
-    g_assert_false(list_mirror_receive(copy.mirror, &news, "feed", 1000));
+    const list_news_t update = {.hash = sound.hash, .body = packed, .body_n = (uint32_t)size};
+    g_assert_false(list_mirror_receive(copy.mirror, &update, "feed", 1000));
     free(packed);
     g_rand_free(random);
     copy_free(&copy);
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -51,7 +51,7 @@
 static void set_up(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    const char *const nobody[] = {NULL}, *const controls[] = {f->addr, NULL};
+    const char *const no_neighbours[] = {NULL}, *const controls[] = {f->addr, NULL};
     tc_err_t err = {0};
     f->loop = loop_create();
     lab_free_addr(f->addr);
@@ -63,7 +63,8 @@
     codec_copy_string(f->self.box, sizeof(f->self.box), "entry");
     codec_copy_string(f->self.http_addr, sizeof(f->self.http_addr), "127.0.0.1:1");
     f->self.incarnation = 1;
-    const reporter_options_t options = {.peer_listen = f->self.peer_addr, .controls = controls, .neighbours = nobody};
+    const reporter_options_t options = {
+        .peer_listen = f->self.peer_addr, .controls = controls, .neighbours = no_neighbours};
     const reporter_events_t events = {.on_backends = on_backends, .arg = f};
     f->reporter = reporter_create(f->loop, &f->self, &options, &events, &err);
     g_assert_nonnull(f->reporter);
--- a/tests/unit/test_saved_list.c
+++ b/tests/unit/test_saved_list.c
@@ -63,7 +63,7 @@
 static void on_backends(void *arg, const backend_t *list, uint32_t n)
 {
     (void)list;
-    ((fixture_t *)arg)->told = n == BACKENDS;
+    ((fixture_t *)arg)->signalled = n == BACKENDS;
 }
 
 static void test_start_with_saved_list(fixture_t *f, gconstpointer data)
@@ -80,7 +80,7 @@
     tc_err_t err = {0};
     f->reporter = reporter_create(f->loop, &f->self, &options, &events, &err);
     g_assert_nonnull(f->reporter);
-    lab_run_until_true(f->loop, &f->told);
+    lab_run_until_true(f->loop, &f->signalled);
     g_assert_cmpint(reporter_backends_time(f->reporter), <=, tc_time_now() - 3000); /* any new reading is newer */
 }
 
