--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -1,6 +1,6 @@
 /** @file cluster_lab.h
- * The world of test_cluster.c, test_cluster_reports.c, test_quarantine_spread.c and test_limits.c, which alone include
- * it: replicas with real data folders in one loop over loopback, and an operator who offers documents.
+ * Fixture of the tests with a cluster: replicas with real data folders in one event loop over loopback, and an operator
+ * that proposes documents.
  */
 #ifndef TRACKCOVE_TESTS_CLUSTER_LAB_H
 #define TRACKCOVE_TESTS_CLUSTER_LAB_H
@@ -26,30 +26,30 @@
     char addr[BOXES][32], http[BOXES][32], dir[BOXES][64];
     replica_t *replica[BOXES];
     const char *seeds[SEEDS + 1];
-    bool offered;
-    int offer_rc;
-    uint64_t want; /* version that a wait is for */
-    int who;       /* box that a wait is for */
+    bool proposal_done;
+    int proposal_rc;
+    uint64_t awaited; /* version, or number of snapshots */
+    int awaited_box;
     reporter_t *reporter;
-    entry_box_t self;        /* what the reporter reports */
-    uint64_t heard;          /* version that the reporter has */
-    bool slow;               /* what it hears is not in force at once */
-    bool leaving;            /* the back end that was told last is */
-    bool told;               /* a list of back ends came; in a probe, the scheduler answered */
-    unsigned lent, answered; /* questions for one more arrival that were granted, and all */
+    entry_box_t self;           /* what the reporter sends */
+    uint64_t received;          /* version that the reporter has received */
+    bool slow;                  /* the box does not act on a document at once */
+    bool leaving;               /* state of the back end in the last list */
+    bool signalled;             /* a list of back ends has arrived; in a probe, the scheduler has answered */
+    unsigned retries, answered; /* granted retries and answered requests for one */
 } fixture_t;
 
 /* ===== Boxes ===== */
 
-/** @param found first start of the whole system */
-static void start_box(fixture_t *f, int i, bool found)
+/** @param bootstrap first start of the whole system */
+static void start_box(fixture_t *f, int i, bool bootstrap)
 {
     const replica_options_t options = {
         .peer_listen = f->addr[i],
         .http_addr = f->http[i],
         .data_dir = f->dir[i],
         .voters_wanted = 3,
-        .bootstrap = found,
+        .bootstrap = bootstrap,
         .seeds = f->seeds,
         .list_bytes_s = 6e6,
         .retries = {.ratio = 1, .allowance = 0, .window = 600000},
@@ -69,7 +69,7 @@
     f->replica[i] = NULL;
 }
 
-/* ===== Life ===== */
+/* ===== Setup ===== */
 
 static void set_up(fixture_t *f, gconstpointer data)
 {
@@ -100,7 +100,7 @@
 
 /* ===== Leader and document ===== */
 
-/** The box that leads, -1 while none does. */
+/** The box that is the leader, -1 while none is. */
 static int leader(const fixture_t *f)
 {
     for (int i = 0; i < BOXES; i++)
@@ -114,32 +114,32 @@
     return leader(arg) >= 0;
 }
 
-static void on_offered(void *arg, int rc)
+static void on_proposal_done(void *arg, int rc)
 {
     fixture_t *const f = arg;
-    f->offered = true;
-    f->offer_rc = rc;
+    f->proposal_done = true;
+    f->proposal_rc = rc;
 }
 
-/** Offer a version with that text to box @p at, once. */
-static void offer_text(fixture_t *f, int at, uint64_t version, const char *text)
+/** Propose a version with that text to box @p at, once. */
+static void propose_text(fixture_t *f, int at, uint64_t version, const char *text)
 {
     document_t document = {0};
     document_make(&document, version, text, strlen(text));
-    f->offered = false;
-    replica_propose(f->replica[at], &document, on_offered, f);
-    lab_run_until_true(f->loop, &f->offered);
+    f->proposal_done = false;
+    replica_propose(f->replica[at], &document, on_proposal_done, f);
+    lab_run_until_true(f->loop, &f->proposal_done);
     codec_free(&document_desc, &document);
 }
 
-/** Offer a version to the leader, whoever that is, until it is taken: as an operator does. */
+/** Propose a version to the current leader until it is accepted, as an operator does. */
 static __attribute__((unused)) void put_text(fixture_t *f, uint64_t version, const char *text)
 {
     do {
         lab_run_until(f->loop, has_leader, f);
-        offer_text(f, leader(f), version, text);
-    } while (f->offer_rc == TC_E_NOT_LEADER || f->offer_rc == TC_E_BROKEN || f->offer_rc == TC_E_TIMEOUT);
-    g_assert_cmpint(f->offer_rc, ==, TC_OK);
+        propose_text(f, leader(f), version, text);
+    } while (f->proposal_rc == TC_E_NOT_LEADER || f->proposal_rc == TC_E_BROKEN || f->proposal_rc == TC_E_TIMEOUT);
+    g_assert_cmpint(f->proposal_rc, ==, TC_OK);
 }
 
 static __attribute__((unused)) void put(fixture_t *f, uint64_t version)
@@ -149,25 +149,25 @@
     put_text(f, version, text);
 }
 
-static bool reads_wanted(void *arg)
+static bool reads_awaited(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
     const document_t *const document = at >= 0 ? replica_read(f->replica[at]) : NULL;
-    return document && document->version == f->want;
+    return document && document->version == f->awaited;
 }
 
-/** Wait until the leader reads that version. */
+/** Wait until a read at the leader returns that version. */
 static __attribute__((unused)) void expect_read(fixture_t *f, uint64_t version)
 {
-    f->want = version;
-    lab_run_until(f->loop, reads_wanted, f);
+    f->awaited = version;
+    lab_run_until(f->loop, reads_awaited, f);
 }
 
 /* ===== Members ===== */
 
-/** Whether the members are three voters, box f->who among them. */
-static __attribute__((unused)) bool three_with_who(void *arg)
+/** Whether the members are three, one of which is box f->awaited_box as a voter. */
+static __attribute__((unused)) bool three_with_awaited(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -176,12 +176,12 @@
     const raft_members_t *const members = replica_members(f->replica[at]);
     bool with_who = false;
     for (uint32_t i = 0; i < members->list_n; i++)
-        with_who = with_who || (members->list[i].voter && strcmp(members->list[i].peer, f->addr[f->who]) == 0);
+        with_who = with_who || (members->list[i].voter && strcmp(members->list[i].peer, f->addr[f->awaited_box]) == 0);
     return with_who && members->list_n == 3;
 }
 
-/** Whether a fourth member has the log and no vote. */
-static __attribute__((unused)) bool fourth_waits(void *arg)
+/** Whether there is a fourth member, without a vote. */
+static __attribute__((unused)) bool has_fourth_nonvoter(void *arg)
 {
     const fixture_t *const f = arg;
     const int at = leader(f);
@@ -192,15 +192,15 @@
     return members && members->list_n == 4 && voters == 3;
 }
 
-static __attribute__((unused)) bool snapshots_wanted(void *arg)
+static __attribute__((unused)) bool snapshots_awaited(void *arg)
 {
-    return counter_read("trackcove_cluster_snapshots_total") >= (int64_t)((fixture_t *)arg)->want;
+    return counter_read("trackcove_cluster_snapshots_total") >= (int64_t)((fixture_t *)arg)->awaited;
 }
 
-static __attribute__((unused)) bool who_leads(void *arg)
+static __attribute__((unused)) bool awaited_leads(void *arg)
 {
     const fixture_t *const f = arg;
-    return f->replica[f->who] && replica_is_leader(f->replica[f->who]);
+    return f->replica[f->awaited_box] && replica_is_leader(f->replica[f->awaited_box]);
 }
 
 #endif
