--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -103,11 +103,11 @@
     g_hash_table_iter_init(&iter, m->boxes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         box_t *const b = value;
-        if (b->live && now - b->heard >= MEMBERS_DEAD_MS) {
+        if (b->live && now - b->heard >= MEMBERS_HEARTBEAT_TIMEOUT_MS) {
             b->live = false;
             b->changed = ++m->version;
         }
-        if (now - b->heard >= MEMBERS_FORGET_MS)
+        if (now - b->heard >= MEMBERS_RETENTION_MS)
             g_hash_table_iter_remove(&iter);
     }
 }
@@ -162,7 +162,7 @@
 
 bool members_holder_gone(const members_t *m, const char *box, uint64_t incarnation, tc_time_t now)
 {
-    const tc_time_t lease = MEMBERS_CELL_LEASE_MS + MEMBERS_MARGIN_MS;
+    const tc_time_t lease = MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS;
     const box_t *const b = g_hash_table_lookup(m->boxes, box);
     if (!b)
         return now >= m->lead_since + lease;
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -21,16 +21,16 @@
 /* ===== Constants ===== */
 
 /** Entry boxes beat this often. */
-#define MEMBERS_BEAT_MS 250
+#define MEMBERS_HEARTBEAT_MS 250
 /** A box not heard for this long gets no new callers and no cells: five beats in a row were lost. */
-#define MEMBERS_DEAD_MS 1250
+#define MEMBERS_HEARTBEAT_TIMEOUT_MS 1250
 /** A scheduler acts on its cell until this long after the sending of a beat that was answered. Short, since a cell
  *  whose box died stands still for as long; a holder that misses it only suspends, and goes on when it is heard. */
 #define MEMBERS_CELL_LEASE_MS 1000
 /** Beyond the cell's lease, before another box is given it: clocks that drift, and a tick. */
-#define MEMBERS_MARGIN_MS 100
+#define MEMBERS_CELL_LEASE_MARGIN_MS 100
 /** A box is forgotten after this. */
-#define MEMBERS_FORGET_MS 60000
+#define MEMBERS_RETENTION_MS 60000
 
 /* ===== Types ===== */
 
--- a/lib/request/control_client.c
+++ b/lib/request/control_client.c
@@ -227,7 +227,7 @@
     const tc_time_t now = tc_time_now();
     if (c->beating || now < c->next_beat)
         return;
-    c->next_beat = now + MEMBERS_BEAT_MS;
+    c->next_beat = now + MEMBERS_HEARTBEAT_MS;
     c->beating = true;
     c->sent_at = now;
     const entry_settings_t *const s = e->settings;
--- a/lib/request/entry.c
+++ b/lib/request/entry.c
@@ -195,7 +195,7 @@
         log_end(&line);
     }
     /* Callers may still come with an answer of /v1/entries they keep: serve as long as that, and a beat. */
-    const tc_time_t kept = drain.begin + e->settings->answer_keep_ms + 2 * MEMBERS_BEAT_MS;
+    const tc_time_t kept = drain.begin + e->settings->answer_keep_ms + 2 * MEMBERS_HEARTBEAT_MS;
     if (now < kept)
         return;
     if (!drain.closing) {
@@ -212,7 +212,7 @@
         control_client_release(e->control); /* the next beat lets another box take our cells at once */
         return;
     }
-    if (drain.released && now >= drain.released_at + 2 * MEMBERS_BEAT_MS)
+    if (drain.released && now >= drain.released_at + 2 * MEMBERS_HEARTBEAT_MS)
         loop_stop(e->loop);
 }
 
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -173,13 +173,13 @@
     g_assert_cmpstr(lag, ==, "a");
     g_assert_true(members_in_force(m, 2, 4000, lag, 7900)); /* a's lease has run out: it cannot act on version 1 */
     g_assert_false(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS));
-    g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_MARGIN_MS));
+    g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS));
     beat(m, "a", 5, 2, false, 7950, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 4, 7951)); /* the lease was its former self's */
     g_assert_false(members_holder_gone(m, "a", 5, 7951));
     beat(m, "a", 5, 2, true, 8000, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 5, 8001)); /* given up */
-    members_tick(m, 8000 + MEMBERS_DEAD_MS);
+    members_tick(m, 8000 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     member_t *list;
     bool all;
     g_assert_cmpuint(members_news(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
@@ -190,7 +190,7 @@
     g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 0);
     g_assert_false(all);
     free(list);
-    members_tick(m, 9600 + MEMBERS_DEAD_MS);
+    members_tick(m, 9600 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 1);
     g_assert_true(list[0].gone);
     free(list);
