--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -164,14 +164,14 @@
     const double heap = heap_bytes();
     for (unsigned i = 0; i < boxes; i++) {
         const msg_beat_t beat = make_beat(i);
-        members_beat(m, &beat, 10);
+        members_on_heartbeat(m, &beat, 10);
     }
     put("members_bytes_a_box", boxes, (heap_bytes() - heap) / boxes);
     const double begin = cpu_us();
     for (int r = 0; r < ROUNDS; r++)
         for (unsigned i = 0; i < boxes; i++) {
             const msg_beat_t beat = make_beat(i);
-            members_beat(m, &beat, 20 + r);
+            members_on_heartbeat(m, &beat, 20 + r);
         }
     put("members_us_a_beat", boxes, (cpu_us() - begin) / ROUNDS / boxes);
     member_t *list;
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -44,7 +44,7 @@
         return;
     }
     tc_err_t err = {0};
-    if (members_beat(c->members, beat, now) < 0) {
+    if (members_on_heartbeat(c->members, beat, now) < 0) {
         tc_err_set(&err, TC_E_FENCED, "beat", beat->self.box, "a newer start of this box was seen");
         peer_reply_error(c->net, call, &err);
         return;
--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -72,7 +72,7 @@
     return now - b->room_told_at >= ROOM_NEWS_MS && change * ROOM_NEWS_PART > b->room_told;
 }
 
-int members_beat(members_t *m, const msg_beat_t *beat, tc_time_t now)
+int members_on_heartbeat(members_t *m, const msg_beat_t *beat, tc_time_t now)
 {
     box_t *b = g_hash_table_lookup(m->boxes, beat->self.box);
     if (b && beat->self.incarnation < b->self.incarnation)
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -53,7 +53,7 @@
 void members_lead(members_t *members, tc_time_t now);
 
 /** A beat came. @return 0, or TC_E_FENCED: a newer start of that box was seen */
-int members_beat(members_t *members, const msg_beat_t *beat, tc_time_t now);
+int members_on_heartbeat(members_t *members, const msg_beat_t *beat, tc_time_t now);
 
 /** Let time pass: forget and notice who fell silent. */
 void members_tick(members_t *members, tc_time_t now);
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -155,7 +155,7 @@
     msg_beat_t message = {.version = version, .released = released};
     message.self.incarnation = incarnation;
     codec_copy_string(message.self.box, CODEC_STR_SIZE, box);
-    g_assert_cmpint(members_beat(m, &message, now), ==, wanted);
+    g_assert_cmpint(members_on_heartbeat(m, &message, now), ==, wanted);
 }
 
 static void test_members(void)
