--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -160,7 +160,7 @@
 {
     enum { ROUNDS = 200 };
     members_t *const m = members_create();
-    members_lead(m, 0);
+    members_start_term(m, 0);
     const double heap = heap_bytes();
     for (unsigned i = 0; i < boxes; i++) {
         const msg_beat_t beat = make_beat(i);
--- a/lib/control/control_lead.c
+++ b/lib/control/control_lead.c
@@ -197,7 +197,7 @@
 {
     const bool leads = control_leads(c, now);
     if (leads && !c->led) {
-        members_lead(c->members, now);
+        members_start_term(c->members, now);
         planner_reset(c->planner, now);
         c->move_pending = false;
         c->in_force = 0;
--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -49,7 +49,7 @@
     g_free(m);
 }
 
-void members_lead(members_t *m, tc_time_t now)
+void members_start_term(members_t *m, tc_time_t now)
 {
     g_hash_table_remove_all(m->boxes);
     m->lead_since = now;
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -50,7 +50,7 @@
 void members_destroy(members_t *members);
 
 /** This box became leader: forget what was known, leases given by others may run. */
-void members_lead(members_t *members, tc_time_t now);
+void members_start_term(members_t *members, tc_time_t now);
 
 /** A beat came. @return 0, or TC_E_FENCED: a newer start of that box was seen */
 int members_on_heartbeat(members_t *members, const msg_beat_t *beat, tc_time_t now);
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -162,7 +162,7 @@
 {
     char lag[CODEC_STR_SIZE];
     members_t *const m = members_create();
-    members_lead(m, 0);
+    members_start_term(m, 0);
     beat(m, "a", 5, 1, false, 100, TC_OK);
     beat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* its former self */
     beat(m, "b", 1, 2, false, 100, TC_OK);
