--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -177,7 +177,7 @@
     member_t *list;
     bool all;
     msg_beat_ack_t ack = {0};
-    ack.members_n = members_news(m, 0, &list, &all);
+    ack.members_n = members_list_changes(m, 0, &list, &all);
     ack.members = list;
     put("members_bytes_whole_list", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
     ack.members_n = 1;
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -63,7 +63,7 @@
     if (beat->cells_version != ack.cells_version)
         fill_cells(c, &ack);
     if (beat->members_version != ack.members_version)
-        ack.members_n = members_news(c->members, beat->members_version, &ack.members, &ack.members_all);
+        ack.members_n = members_list_changes(c->members, beat->members_version, &ack.members, &ack.members_all);
     peer_reply(c->net, call, MSG_BEAT_ACK, &ack);
     codec_free(&msg_beat_ack_desc, &ack);
 }
--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -119,7 +119,7 @@
     return m->version;
 }
 
-uint32_t members_news(const members_t *m, uint64_t since, member_t **list, bool *all)
+uint32_t members_list_changes(const members_t *m, uint64_t since, member_t **list, bool *all)
 {
     *all = since < m->first_version || since > m->version;
     *list = calloc(g_hash_table_size(m->boxes) + 1, sizeof(**list));
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -63,7 +63,7 @@
 
 /** News since a version, into a heap array for free(): boxes that changed, and those that fell silent, marked gone.
  * @param all set when the version is not one of this leader's: the list is then every live box @return how many */
-uint32_t members_news(const members_t *members, uint64_t since, member_t **list, bool *all);
+uint32_t members_list_changes(const members_t *members, uint64_t since, member_t **list, bool *all);
 
 /** Whether no box can still act on a configuration older than @p version. @param lease_ms configuration lease
  * @param laggard filled with a box that may, when there is one */
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -182,16 +182,16 @@
     members_tick(m, 8000 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     member_t *list;
     bool all;
-    g_assert_cmpuint(members_news(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
+    g_assert_cmpuint(members_list_changes(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
     g_assert_true(all);
     free(list);
     beat(m, "c", 1, 2, false, 9600, TC_OK);
     const uint64_t seen = members_version(m);
-    g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 0);
+    g_assert_cmpuint(members_list_changes(m, seen, &list, &all), ==, 0);
     g_assert_false(all);
     free(list);
     members_tick(m, 9600 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
-    g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 1);
+    g_assert_cmpuint(members_list_changes(m, seen, &list, &all), ==, 1);
     g_assert_true(list[0].gone);
     free(list);
     members_destroy(m);
