--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -53,7 +53,7 @@
     if (beat->released)
         c->cells_at = now; /* its cells are handed on at once */
     for (uint32_t i = 0; i < beat->loads_n; i++)
-        planner_hear(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
+        planner_update_load(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
     msg_beat_ack_t ack = {.term = raft_view(c->raft).term,
                           .version = state_version(c->state),
                           .lease_ms = state_config(c->state)->targets.config_lease_ms,
--- a/lib/control/planner.c
+++ b/lib/control/planner.c
@@ -44,7 +44,7 @@
         *since = now;
 }
 
-void planner_hear(planner_t *p, const cell_load_t *load, const planner_cfg_t *cfg, tc_time_t now)
+void planner_update_load(planner_t *p, const cell_load_t *load, const planner_cfg_t *cfg, tc_time_t now)
 {
     cell_t *const cell = cell_get(p, load->cell);
     if (load->epoch < cell->load.epoch)
--- a/lib/control/planner.h
+++ b/lib/control/planner.h
@@ -33,7 +33,7 @@
 void planner_reset(planner_t *planner, tc_time_t now);
 
 /** A cell's scheduler reports. Reports of an older epoch are dropped. */
-void planner_hear(planner_t *planner, const cell_load_t *load, const planner_cfg_t *cfg, tc_time_t now);
+void planner_update_load(planner_t *planner, const cell_load_t *load, const planner_cfg_t *cfg, tc_time_t now);
 
 /** Decide. @return whether there is a move; it then counts as made */
 bool planner_decide(planner_t *planner, const config_t *config, planner_move_t *move, tc_time_t now);
--- a/tests/unit/test_planner.c
+++ b/tests/unit/test_planner.c
@@ -26,7 +26,7 @@
 {
     cell_load_t load = {.epoch = epoch, .prefill_busy = prefill, .decode_busy = decode};
     codec_copy_string(load.cell, sizeof(load.cell), "main");
-    planner_hear(p, &load, &config->planner, now);
+    planner_update_load(p, &load, &config->planner, now);
 }
 
 /** Report the same load for a while. @return when a move came, or -1 */
