--- a/lib/cluster/replica_kept.c
+++ b/lib/cluster/replica_kept.c
@@ -47,7 +47,7 @@
 {
     tc_err_t err = {0};
     uint32_t size;
-    char *const data = store_kept(r->store, FILE_NAME, &size, &err);
+    char *const data = store_load_blob(r->store, FILE_NAME, &size, &err);
     if (!data && err.code == TC_E_NOT_FOUND)
         return; /* the first start */
     list_image_t image = {0};
@@ -73,7 +73,7 @@
     image.body_n = (uint32_t)packed;
     char *const data = codec_pack_bytes(&list_image_desc, &image, &size);
     tc_err_t err = {0};
-    if (store_keep(r->store, FILE_NAME, data, (uint32_t)size, &err) < 0)
+    if (store_save_blob(r->store, FILE_NAME, data, (uint32_t)size, &err) < 0)
         log_failure(LOG_WARN, "list_not_kept", &err); /* the one before it stays, or the list is read anew */
     free(data);
 }
--- a/lib/cluster/replica_quarantine.c
+++ b/lib/cluster/replica_quarantine.c
@@ -25,7 +25,7 @@
 {
     tc_err_t err = {0};
     uint32_t size;
-    char *const data = store_kept(r->store, FILE_NAME, &size, &err);
+    char *const data = store_load_blob(r->store, FILE_NAME, &size, &err);
     quarantine_image_t image = {0};
     const tc_time_t now = tc_time_now();
     const int64_t wall = tc_time_wall();
@@ -61,7 +61,7 @@
     size_t size;
     char *const data = codec_pack_bytes(&quarantine_image_desc, &image, &size);
     tc_err_t err = {0};
-    if (store_keep(r->store, FILE_NAME, data, (uint32_t)size, &err) == TC_OK)
+    if (store_save_blob(r->store, FILE_NAME, data, (uint32_t)size, &err) == TC_OK)
         r->held_kept = version;
     else
         log_failure(LOG_ERROR, "quarantine_not_kept", &err); /* the others keep it as well */
--- a/lib/control/store.h
+++ b/lib/control/store.h
@@ -5,7 +5,7 @@
  *   meta                term and vote, with a checksum
  *   log-INDEX           records from INDEX on: length, checksum, log_entry
  *   snapshot-INDEX      members and state up to INDEX, with a checksum
- *   quarantine, backends   what store_keep was given under that name, with a checksum
+ *   quarantine, backends   what store_save_blob was given under that name, with a checksum
  *
  * Whole files are replaced by writing a new one, syncing it, renaming it and
  * syncing the folder. A torn last record is cut off at start; any other record
@@ -53,9 +53,9 @@
 int store_snapshot(store_t *store, const raft_image_t *image, tc_err_t *err);
 
 /** Keep something beside the log under a name of its own, whole or not at all. Durable on return. */
-int store_keep(const store_t *store, const char *name, const void *data, uint32_t size, tc_err_t *err);
+int store_save_blob(const store_t *store, const char *name, const void *data, uint32_t size, tc_err_t *err);
 /** Read it. @return heap bytes, or NULL: with err->code TC_E_NOT_FOUND when there is none */
-char *store_kept(const store_t *store, const char *name, uint32_t *size, tc_err_t *err);
+char *store_load_blob(const store_t *store, const char *name, uint32_t *size, tc_err_t *err);
 
 /** Sync the log if anything was written since. */
 int store_sync(store_t *store, tc_err_t *err);
--- a/lib/control/store_file.c
+++ b/lib/control/store_file.c
@@ -110,12 +110,12 @@
     return data;
 }
 
-int store_keep(const store_t *s, const char *name, const void *data, uint32_t size, tc_err_t *err)
+int store_save_blob(const store_t *s, const char *name, const void *data, uint32_t size, tc_err_t *err)
 {
     return store_replace_file(s, name, data, size, err);
 }
 
-char *store_kept(const store_t *s, const char *name, uint32_t *size, tc_err_t *err)
+char *store_load_blob(const store_t *s, const char *name, uint32_t *size, tc_err_t *err)
 {
     char path[STORE_PATH_SIZE];
     snprintf(path, sizeof(path), "%s/%s", s->dir, name);
