--- a/lib/control/log_writer.c
+++ b/lib/control/log_writer.c
@@ -49,10 +49,10 @@
 static int write_part(store_t *store, const raft_action_t *action, tc_err_t *err)
 {
     switch (action->kind) {
-    case RAFT_ACT_META: return store_meta(store, action->term, action->vote, err);
+    case RAFT_ACT_META: return store_save_meta(store, action->term, action->vote, err);
     case RAFT_ACT_APPEND: return store_append(store, &action->entry, err);
     case RAFT_ACT_TRUNCATE: return store_truncate(store, action->index, err);
-    case RAFT_ACT_SNAPSHOT: return store_snapshot(store, &action->snapshot, err);
+    case RAFT_ACT_SNAPSHOT: return store_save_snapshot(store, &action->snapshot, err);
     case RAFT_ACT_SEND:
     case RAFT_ACT_APPLY: return store_sync(store, err); /* promise: nothing is told or applied before it is synced */
     case RAFT_ACT_LOST: return TC_OK;
--- a/lib/control/store.c
+++ b/lib/control/store.c
@@ -15,7 +15,7 @@
 
 /* ===== Term and vote ===== */
 
-int store_meta(store_t *s, uint64_t term, uint64_t vote, tc_err_t *err)
+int store_save_meta(store_t *s, uint64_t term, uint64_t vote, tc_err_t *err)
 {
     const meta_t meta = {.term = term, .vote = vote};
     return store_replace_file(s, "meta", &meta, sizeof(meta), err);
@@ -140,7 +140,7 @@
     return TC_OK;
 }
 
-int store_snapshot(store_t *s, const raft_image_t *image, tc_err_t *err)
+int store_save_snapshot(store_t *s, const raft_image_t *image, tc_err_t *err)
 {
     char name[64];
     size_t size;
--- a/lib/control/store.h
+++ b/lib/control/store.h
@@ -47,10 +47,10 @@
 int store_truncate(store_t *store, uint64_t from, tc_err_t *err);
 
 /** Durable on return. */
-int store_meta(store_t *store, uint64_t term, uint64_t vote, tc_err_t *err);
+int store_save_meta(store_t *store, uint64_t term, uint64_t vote, tc_err_t *err);
 
 /** Durable on return; the log before it is removed, entries behind it that were kept are in @p entries. */
-int store_snapshot(store_t *store, const raft_image_t *image, tc_err_t *err);
+int store_save_snapshot(store_t *store, const raft_image_t *image, tc_err_t *err);
 
 /** Keep something beside the log under a name of its own, whole or not at all. Durable on return. */
 int store_save_blob(const store_t *store, const char *name, const void *data, uint32_t size, tc_err_t *err);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -35,7 +35,7 @@
     g_assert_nonnull(store);
     g_assert_cmpuint(start.id, !=, 0);
     add_entries(store, 1, ENTRIES);
-    g_assert_cmpint(store_meta(store, 3, 9, NULL), ==, TC_OK);
+    g_assert_cmpint(store_save_meta(store, 3, 9, NULL), ==, TC_OK);
     store_start_free(&start);
     store_close(store);
 }
@@ -160,7 +160,7 @@
     store_t *store = store_open(dir, &start, NULL);
     store_start_free(&start);
     raft_image_t image = {.last_index = 3, .last_term = 1, .state = (char *)(uintptr_t) "state", .state_n = 5};
-    g_assert_cmpint(store_snapshot(store, &image, NULL), ==, TC_OK);
+    g_assert_cmpint(store_save_snapshot(store, &image, NULL), ==, TC_OK);
     add_entries(store, 6, 7);
     store_close(store);
     store = store_open(dir, &start, NULL);
@@ -223,10 +223,10 @@
     const struct rlimit old = fill_disk();
     g_assert_false(store_is_writable(dir));
     tc_err_t err;
-    g_assert_cmpint(store_snapshot(store, &image, &err), ==, TC_E_FULL);
+    g_assert_cmpint(store_save_snapshot(store, &image, &err), ==, TC_E_FULL);
     g_assert_cmpint(setrlimit(RLIMIT_FSIZE, &old), ==, 0);
     g_assert_true(store_is_writable(dir));
-    g_assert_cmpint(store_snapshot(store, &image, &err), ==, TC_OK);
+    g_assert_cmpint(store_save_snapshot(store, &image, &err), ==, TC_OK);
     store_close(store);
     g_assert_cmpuint(count_after_open(), ==, 3);
     remove_dir();
