--- a/lib/cluster/replica_members.c
+++ b/lib/cluster/replica_members.c
@@ -124,7 +124,7 @@
         return TC_OK; /* it joins */
     const raft_image_t image = {
         .last_index = FOUNDING_INDEX, .last_term = FOUNDING_TERM, .members = {.list = founders, .list_n = n}};
-    return store_found(options->data_dir, founder_id(options->peer_listen), &image, err);
+    return store_bootstrap(options->data_dir, founder_id(options->peer_listen), &image, err);
 }
 
 void replica_set_seeds(replica_t *r, const char *const *seeds)
--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -15,7 +15,7 @@
     const tc_time_t now = tc_time_now();
     if (!log_writer_is_stalled(c->writer)) {
         raft_tick(c->raft, now);
-        control_join_or_found(c, now);
+        control_join_or_bootstrap(c, now);
     }
     control_pump(c);
     control_lead(c, now);
--- a/lib/control/control_internal.h
+++ b/lib/control/control_internal.h
@@ -79,7 +79,7 @@
 /** What the orders' thread must know; called from that thread. */
 void control_look_for_orders(void *arg, orders_view_t *view);
 /** Ask to be a member until this box is a voter; found a cluster if it is to. */
-void control_join_or_found(control_t *c, tc_time_t now);
+void control_join_or_bootstrap(control_t *c, tc_time_t now);
 /** A message came in: the peer network's handler. */
 void control_on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message);
 
--- a/lib/control/control_join.c
+++ b/lib/control/control_join.c
@@ -25,7 +25,7 @@
     const raft_view_t view = raft_view(c->raft);
     /* A founder whose disk was lost must not found a second cluster: all others have to be empty. */
     if (c->founding_empty == c->settings->voters_n - 1 && view.last_index == 0) {
-        raft_found(c->raft, &c->self, tc_time_now());
+        raft_bootstrap(c->raft, &c->self, tc_time_now());
         control_pump(c);
     }
 }
@@ -43,7 +43,7 @@
             peer_call(c->net, c->settings->voters[i].peer, MSG_JOIN, &join, FOUND_CALL_MS, callback, c);
 }
 
-void control_join_or_found(control_t *c, tc_time_t now)
+void control_join_or_bootstrap(control_t *c, tc_time_t now)
 {
     const raft_view_t view = raft_view(c->raft);
     /* A box that was silent for long may have lost its place to another and not know it: it hears no leader then. */
--- a/lib/control/raft.c
+++ b/lib/control/raft.c
@@ -475,7 +475,7 @@
     raft_step_down(r, r->term, now); /* cut off: somebody else may lead */
 }
 
-void raft_found(raft_t *r, const raft_member_t *self, tc_time_t now)
+void raft_bootstrap(raft_t *r, const raft_member_t *self, tc_time_t now)
 {
     /* Founding is for those without any entry. A term may be there: from a founding cut short by a crash. */
     assert(log_last_index(r) == 0);
--- a/lib/control/raft.h
+++ b/lib/control/raft.h
@@ -93,7 +93,7 @@
 void raft_destroy(raft_t *raft);
 
 /** Found a cluster with this member alone. Only for a member without any log entry. */
-void raft_found(raft_t *raft, const raft_member_t *self, tc_time_t now);
+void raft_bootstrap(raft_t *raft, const raft_member_t *self, tc_time_t now);
 
 /** Let time pass; call at least every 50 ms. */
 void raft_tick(raft_t *raft, tc_time_t now);
--- a/lib/control/store.h
+++ b/lib/control/store.h
@@ -30,7 +30,7 @@
 
 /** Make an empty data folder that of a founding member: identity @p id, and @p image, which is the same at all of
  *  them, as what the log starts from. A folder that holds a state already stays as it is. Durable on return. */
-int store_found(const char *dir, uint64_t id, const raft_image_t *image, tc_err_t *err);
+int store_bootstrap(const char *dir, uint64_t id, const raft_image_t *image, tc_err_t *err);
 
 /** Open a data folder, make its identity if it has none, and read all it holds.
  * @param start filled; free with store_start_free
--- a/lib/control/store_open.c
+++ b/lib/control/store_open.c
@@ -154,7 +154,7 @@
     return leave_older_segment(s, start->snapshot.last_index, err);
 }
 
-int store_found(const char *dir, uint64_t id, const raft_image_t *image, tc_err_t *err)
+int store_bootstrap(const char *dir, uint64_t id, const raft_image_t *image, tc_err_t *err)
 {
     store_t s = {.lock_fd = -1, .log_fd = -1};
     codec_copy_string(s.dir, sizeof(s.dir), dir);
--- a/tests/harness/raft_world.c
+++ b/tests/harness/raft_world.c
@@ -460,14 +460,14 @@
         new_identity(w, n);
         start_node(w, n);
     }
-    raft_found(w->nodes[0].raft, &w->nodes[0].self, w->now);
+    raft_bootstrap(w->nodes[0].raft, &w->nodes[0].self, w->now);
     pump(w, &w->nodes[0]);
     w->healing = true; /* no faults until the cluster stands */
     for (unsigned i = 0; i < 2000 && !all_settled(w); i++) {
         step(w);
         node_t *const founder = &w->nodes[0];
         if (founder->raft && raft_view(founder->raft).last_index == 0) { /* it crashed before anything was synced */
-            raft_found(founder->raft, &founder->self, w->now);
+            raft_bootstrap(founder->raft, &founder->self, w->now);
             pump(w, founder);
         }
     }
--- a/tests/unit/test_cluster.c
+++ b/tests/unit/test_cluster.c
@@ -66,7 +66,7 @@
     image.state_n = (uint32_t)size;
     tc_err_t err = {0};
     for (int i = 0; i < SEEDS; i++)
-        g_assert_cmpint(store_found(f->dir[i], founders[i].id, &image, &err), ==, TC_OK);
+        g_assert_cmpint(store_bootstrap(f->dir[i], founders[i].id, &image, &err), ==, TC_OK);
     free(image.state);
     for (int i = 0; i < SEEDS; i++)
         start_box(f, i, false);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -250,7 +250,7 @@
     char *const other = g_dir_make_tmp("trackcove-store-XXXXXX", NULL);
     const raft_image_t image = {
         .last_index = INDEX, .last_term = 1, .state = (char *)(uintptr_t) "state", .state_n = 5};
-    g_assert_cmpint(store_found(other, 1, &image, NULL), ==, TC_OK);
+    g_assert_cmpint(store_bootstrap(other, 1, &image, NULL), ==, TC_OK);
     fresh_dir();
     raft_start_t start;
     store_t *store = store_open(dir, &start, NULL);
