--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -328,7 +328,7 @@
         compact(r);
         members_join(r, now);
         members_announce(r, now);
-        raft_trim(r->raft, r->options.voters_wanted, now);
+        raft_remove_silent_voter(r->raft, r->options.voters_wanted, now);
     }
     pump(r);
     roster_expire(r->roster, now);
@@ -407,7 +407,7 @@
 static void start_raft(replica_t *r, raft_start_t *start)
 {
     r->raft = raft_create(start, tc_time_now());
-    raft_want_voters(r->raft, r->options.voters_wanted);
+    raft_set_target_voters(r->raft, r->options.voters_wanted);
     if (start->snapshot.last_index > 0)
         load_image(r, &start->snapshot);
 }
--- a/lib/control/raft.h
+++ b/lib/control/raft.h
@@ -119,11 +119,11 @@
 
 /** No more than @p wanted voters, 0 for any number: others stay non-voters, which have the log and take a voter's place
  *  when it falls silent. An odd number has a majority on one side of every cut in two. */
-void raft_want_voters(raft_t *raft, uint32_t wanted);
+void raft_set_target_voters(raft_t *raft, uint32_t wanted);
 
 /** Drop a voter that has been silent for a while, as long as more than @p wanted are left: a dead voter beside a newer
  *  one that took its work over would only make majorities larger. It joins again when it is back. Call now and then. */
-void raft_trim(raft_t *raft, uint32_t wanted, tc_time_t now);
+void raft_remove_silent_voter(raft_t *raft, uint32_t wanted, tc_time_t now);
 
 /** The state up to @p index is in @p state: the log before it may go. */
 void raft_compact(raft_t *raft, uint64_t index, const char *state, size_t size);
--- a/lib/control/raft_leader.c
+++ b/lib/control/raft_leader.c
@@ -225,7 +225,7 @@
     return voters;
 }
 
-void raft_want_voters(raft_t *r, uint32_t wanted)
+void raft_set_target_voters(raft_t *r, uint32_t wanted)
 {
     r->voters_wanted = wanted;
 }
@@ -257,7 +257,7 @@
     change_member(r, &next, false, now);
 }
 
-void raft_trim(raft_t *r, uint32_t wanted, tc_time_t now)
+void raft_remove_silent_voter(raft_t *r, uint32_t wanted, tc_time_t now)
 {
     if (r->role != RAFT_LEADER || !members_settled(r))
         return;
