--- a/lib/control/raft.h
+++ b/lib/control/raft.h
@@ -35,9 +35,9 @@
 #define RAFT_LEASE_MS 450
 /** Bounds of one append message, and of one piece of a snapshot. 64 KB take 5 ms of a link of 100 Mbit/s: heartbeats
  * and leases wait no longer behind them. */
-#define RAFT_APPEND_ENTRIES 64
-#define RAFT_APPEND_BYTES (64 * 1024)
-#define RAFT_SNAPSHOT_PIECE (64 * 1024)
+#define RAFT_APPEND_MAX_ENTRIES 64
+#define RAFT_APPEND_MAX_BYTES (64 * 1024)
+#define RAFT_SNAPSHOT_PIECE_BYTES (64 * 1024)
 
 /* ===== Types ===== */
 
--- a/lib/control/raft_leader.c
+++ b/lib/control/raft_leader.c
@@ -73,7 +73,7 @@
     if (p->snapshot_offset > r->outgoing_size)
         p->snapshot_offset = 0;
     const uint64_t left = r->outgoing_size - p->snapshot_offset;
-    const size_t size = left < RAFT_SNAPSHOT_PIECE ? (size_t)left : RAFT_SNAPSHOT_PIECE;
+    const size_t size = left < RAFT_SNAPSHOT_PIECE_BYTES ? (size_t)left : RAFT_SNAPSHOT_PIECE_BYTES;
     msg_snapshot_t message = {.term = r->term,
                               .last_index = r->snapshot.last_index,
                               .last_term = r->snapshot.last_term,
@@ -94,7 +94,7 @@
     const uint64_t last = log_last_index(r);
     uint32_t n = 0;
     size_t bytes = 0;
-    for (uint64_t i = p->next; i <= last && n < RAFT_APPEND_ENTRIES && bytes < RAFT_APPEND_BYTES; i++, n++)
+    for (uint64_t i = p->next; i <= last && n < RAFT_APPEND_MAX_ENTRIES && bytes < RAFT_APPEND_MAX_BYTES; i++, n++)
         bytes += log_at(r, i)->data_n;
     msg_append_t message = {.term = r->term,
                             .prev_index = p->next - 1,
--- a/lib/control/state.c
+++ b/lib/control/state.c
@@ -166,10 +166,10 @@
 int state_check_size(const json_t *next, tc_err_t *err)
 {
     const size_t size = json_dumpb(next, NULL, 0, JSON_COMPACT);
-    if (size <= STATE_CONFIG_MAX)
+    if (size <= STATE_CONFIG_MAX_BYTES)
         return TC_OK;
     return tc_err_set(err, TC_E_INVALID, "check plan", "configuration", "would have %zu bytes, %d at most", size,
-                      STATE_CONFIG_MAX);
+                      STATE_CONFIG_MAX_BYTES);
 }
 
 /** Make a checked patch the next version. */
--- a/lib/control/state.h
+++ b/lib/control/state.h
@@ -28,7 +28,7 @@
 #define STATE_CHANGES_KEPT 2000
 /** Largest configuration that a plan may lead to, bytes of its text: a box that missed changes fetches it whole, in one
  *  frame between our processes (8 MB). */
-#define STATE_CONFIG_MAX (6 * 1024 * 1024)
+#define STATE_CONFIG_MAX_BYTES (6 * 1024 * 1024)
 /** Answers kept for resends. */
 #define STATE_ANSWERS_KEPT 5000
 /** A claim is kept this long after it was made; a caller must not use an id again within this time. */
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -200,11 +200,11 @@
 /** What no box could fetch is refused before it is planned. */
 static void test_size(void)
 {
-    char *const text = g_strnfill(STATE_CONFIG_MAX, 'x');
+    char *const text = g_strnfill(STATE_CONFIG_MAX_BYTES, 'x');
     json_t *const next = json_pack("{s:s}", "a", text);
     tc_err_t err = {0};
     g_assert_cmpint(state_check_size(next, &err), ==, TC_E_INVALID);
-    text[STATE_CONFIG_MAX - 64] = '\0';
+    text[STATE_CONFIG_MAX_BYTES - 64] = '\0';
     json_object_set_new(next, "a", json_string(text));
     g_assert_cmpint(state_check_size(next, &err), ==, TC_OK);
     json_decref(next);
