--- a/lib/control/operators.c
+++ b/lib/control/operators.c
@@ -138,7 +138,7 @@
                           (json_int_t)view->raft.last_index, "commit", (json_int_t)view->raft.commit, "accepted",
                           (json_int_t)state_version(view->state), "in_force", (json_int_t)view->in_force, "lags",
                           view->in_force < state_version(view->state) ? view->laggard : "", "leader", view->leader_http,
-                          "claims", (int)state_claims(view->state), "cells", cells, "control", control);
+                          "claims", (int)state_claim_count(view->state), "cells", cells, "control", control);
 }
 
 static void read_config(void *arg, const control_view_t *view)
--- a/lib/control/state.c
+++ b/lib/control/state.c
@@ -470,7 +470,7 @@
     return g_hash_table_lookup(s->claims, id);
 }
 
-uint32_t state_claims(const state_t *s)
+uint32_t state_claim_count(const state_t *s)
 {
     return g_hash_table_size(s->claims);
 }
--- a/lib/control/state.h
+++ b/lib/control/state.h
@@ -73,7 +73,7 @@
 const result_t *state_find_answer(const state_t *state, const char *request_id);
 
 const claim_record_t *state_find_claim(const state_t *state, const char *id);
-uint32_t state_claims(const state_t *state);
+uint32_t state_claim_count(const state_t *state);
 
 const cell_lease_t *state_find_cell(const state_t *state, const char *cell);
 /** Changes with every change of the leases of cells, and is the same on all control boxes. */
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -145,7 +145,7 @@
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM_END, "x", "entry-2", CLAIM_STATE_DONE, 1000), ==, TC_OK);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-3", 0, 1000), ==, TC_E_CONFLICT);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "y", "entry-3", 0, 1000 + STATE_CLAIM_KEEP_MS), ==, TC_OK);
-    g_assert_cmpuint(state_claims(s), ==, 1); /* the old one was forgotten after its time */
+    g_assert_cmpuint(state_claim_count(s), ==, 1); /* the old one was forgotten after its time */
     state_destroy(s);
 }
 
