--- a/Makefile
+++ b/Makefile
@@ -207,9 +207,9 @@
 
 FUZZ_SECONDS ?= 60
 FUZZ_FLAGS = -fsanitize=fuzzer,address -g -O1 -std=gnu11
-FUZZ_LIB = $(filter-out lib/gen/%,$(LIB_SRC)) lib/gen/schema.c platform/dialect.c tests/harness/raft_world.c tests/harness/sched_sim.c tests/harness/fake_disk.c
+FUZZ_LIB = $(filter-out lib/gen/%,$(LIB_SRC)) lib/gen/schema.c platform/dialect.c tests/harness/raft_sim.c tests/harness/sched_sim.c tests/harness/fake_disk.c
 
-$(BUILD)/fuzz/%: tests/fuzz/%.c $(LIB_SRC) tests/harness/raft_world.c tests/harness/sched_sim.c
+$(BUILD)/fuzz/%: tests/fuzz/%.c $(LIB_SRC) tests/harness/raft_sim.c tests/harness/sched_sim.c
 	@mkdir -p $(@D)
 	@echo "  fz  $@"
 	@clang $(FUZZ_FLAGS) $(CPPFLAGS) $< $(FUZZ_LIB) -o $@ $(LDLIBS)
--- a/tests/fuzz/fuzz_raft.c
+++ b/tests/fuzz/fuzz_raft.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "harness/raft_world.h"
+#include "harness/raft_sim.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
@@ -20,12 +20,12 @@
     if (operations == 0)
         atexit(print_counts);
     chooser_t chooser = {.bytes = data, .size = size};
-    const world_options_t options = {.nodes = size % 2 ? 3 : 5, .steps = 2000};
-    const world_result_t result = raft_world_run(&options, &chooser);
+    const raft_sim_options_t options = {.nodes = size % 2 ? 3 : 5, .steps = 2000};
+    const raft_sim_result_t result = raft_sim_run(&options, &chooser);
     operations += result.operations + 1;
     checks += result.checks;
-    if (result.broken) {
-        fprintf(stderr, "broken: %s\n", result.broken);
+    if (result.violation) {
+        fprintf(stderr, "broken: %s\n", result.violation);
         abort();
     }
     return 0;
--- a/tests/harness/raft_world.h
+++ b/tests/harness/raft_sim.h
@@ -1,4 +1,4 @@
-/** @file raft_world.h
+/** @file raft_sim.h
  * Three or five replicated logs in one process over a fake link and fake disks, with an oracle.
  *
  * The link loses, delays, reorders, doubles and partitions; boxes crash (writes
@@ -7,8 +7,8 @@
  * the same version; a resent request gets the same answer; at most one leader's
  * lease is valid.
  */
-#ifndef TRACKCOVE_TESTS_RAFT_WORLD_H
-#define TRACKCOVE_TESTS_RAFT_WORLD_H
+#ifndef TRACKCOVE_TESTS_RAFT_SIM_H
+#define TRACKCOVE_TESTS_RAFT_SIM_H
 
 #include "harness/chooser.h"
 
@@ -16,13 +16,13 @@
     unsigned nodes; /* 3 or 5 */
     unsigned steps; /* of 10 ms */
     bool skip_sync; /* sabotage, to show that the checks can fail */
-} world_options_t;
+} raft_sim_options_t;
 
 typedef struct {
     uint64_t operations, checks, accepted, crashes, lost_disks, elections;
-    const char *broken; /* the promise that was broken, or NULL */
-} world_result_t;
+    const char *violation; /* the promise that was broken, or NULL */
+} raft_sim_result_t;
 
-world_result_t raft_world_run(const world_options_t *options, chooser_t *chooser);
+raft_sim_result_t raft_sim_run(const raft_sim_options_t *options, chooser_t *chooser);
 
 #endif
--- a/tests/random/test_raft_random.c
+++ b/tests/random/test_raft_random.c
@@ -2,13 +2,13 @@
 
 #include <stdlib.h>
 
-#include "harness/raft_world.h"
+#include "harness/raft_sim.h"
 
-static world_result_t run(unsigned nodes, unsigned steps, guint32 seed, bool skip_sync)
+static raft_sim_result_t run(unsigned nodes, unsigned steps, guint32 seed, bool skip_sync)
 {
     chooser_t chooser = {.random = g_rand_new_with_seed(seed)};
-    const world_options_t options = {.nodes = nodes, .steps = steps, .skip_sync = skip_sync};
-    const world_result_t result = raft_world_run(&options, &chooser);
+    const raft_sim_options_t options = {.nodes = nodes, .steps = steps, .skip_sync = skip_sync};
+    const raft_sim_result_t result = raft_sim_run(&options, &chooser);
     g_rand_free(chooser.random);
     return result;
 }
@@ -17,9 +17,9 @@
 {
     uint64_t operations = 0, checks = 0, accepted = 0, crashes = 0, disks = 0;
     for (guint32 seed = from; seed < from + count; seed++) {
-        const world_result_t r = run(nodes, 3000, seed, false);
-        if (r.broken)
-            g_error("seed %u with %u boxes: %s", seed, nodes, r.broken);
+        const raft_sim_result_t r = run(nodes, 3000, seed, false);
+        if (r.violation)
+            g_error("seed %u with %u boxes: %s", seed, nodes, r.violation);
         operations += r.operations;
         checks += r.checks;
         accepted += r.accepted;
@@ -53,7 +53,7 @@
 /** Seed 68 crashed the founder between writing its term and its first entry: it could never found again. */
 static void test_crash_while_founding(void)
 {
-    g_assert_null(run(3, 3000, 68, false).broken);
+    g_assert_null(run(3, 3000, 68, false).violation);
 }
 
 /** The same run finds it when writes are answered before they are synced: the check can fail. */
@@ -61,7 +61,7 @@
 {
     bool found = false;
     for (guint32 seed = 1; seed < 20 && !found; seed++)
-        found = run(3, 3000, seed, true).broken != NULL;
+        found = run(3, 3000, seed, true).violation != NULL;
     g_assert_true(found);
 }
 
