--- a/tests/harness/fake_disk.c
+++ b/tests/harness/fake_disk.c
@@ -10,13 +10,13 @@
     codec_set_text(&to->data, &to->data_n, from->data, from->data_n);
 }
 
-void disk_cut(fake_disk_t *d, uint32_t n)
+void fake_disk_truncate(fake_disk_t *d, uint32_t n)
 {
     while (d->n > n)
         codec_free(&log_entry_desc, &d->entries[--d->n]);
 }
 
-void disk_add(fake_disk_t *d, const log_entry_t *entry)
+void fake_disk_append(fake_disk_t *d, const log_entry_t *entry)
 {
     if (d->n == d->room) {
         d->room = d->room ? d->room * 2 : 64;
@@ -41,31 +41,31 @@
     codec_set_text(&to->state, &to->state_n, from->state ? from->state : "", from->state_n);
 }
 
-void disk_copy(fake_disk_t *to, const fake_disk_t *from)
+void fake_disk_copy(fake_disk_t *to, const fake_disk_t *from)
 {
     /* Keep what is equal: entries are never changed in place. */
     uint32_t same = 0;
     while (to->snapshot.last_index == from->snapshot.last_index && same < to->n && same < from->n &&
            to->entries[same].index == from->entries[same].index && to->entries[same].term == from->entries[same].term)
         same++;
-    disk_cut(to, same);
+    fake_disk_truncate(to, same);
     for (uint32_t i = same; i < from->n; i++)
-        disk_add(to, &from->entries[i]);
+        fake_disk_append(to, &from->entries[i]);
     to->term = from->term;
     to->vote = from->vote;
     if (to->snapshot.last_index != from->snapshot.last_index)
         copy_image(&to->snapshot, &from->snapshot);
 }
 
-void disk_free(fake_disk_t *d)
+void fake_disk_free(fake_disk_t *d)
 {
-    disk_cut(d, 0);
+    fake_disk_truncate(d, 0);
     free(d->entries);
     codec_free(&raft_image_desc, &d->snapshot);
     memset(d, 0, sizeof(*d));
 }
 
-void disk_snapshot(fake_disk_t *d, const raft_image_t *image)
+void fake_disk_save_snapshot(fake_disk_t *d, const raft_image_t *image)
 {
     const uint64_t drop = image->last_index - d->snapshot.last_index;
     const uint32_t gone = drop < d->n ? (uint32_t)drop : d->n;
--- a/tests/harness/fake_disk.h
+++ b/tests/harness/fake_disk.h
@@ -14,14 +14,14 @@
 } fake_disk_t;
 
 /** Keep the first @p n entries. */
-void disk_cut(fake_disk_t *d, uint32_t n);
-void disk_add(fake_disk_t *d, const log_entry_t *entry);
+void fake_disk_truncate(fake_disk_t *d, uint32_t n);
+void fake_disk_append(fake_disk_t *d, const log_entry_t *entry);
 
 /** Make @p to hold what @p from holds. */
-void disk_copy(fake_disk_t *to, const fake_disk_t *from);
+void fake_disk_copy(fake_disk_t *to, const fake_disk_t *from);
 
 /** Write a snapshot and drop the entries it holds. */
-void disk_snapshot(fake_disk_t *d, const raft_image_t *image);
-void disk_free(fake_disk_t *d);
+void fake_disk_save_snapshot(fake_disk_t *d, const raft_image_t *image);
+void fake_disk_free(fake_disk_t *d);
 
 #endif
--- a/tests/harness/raft_sim.c
+++ b/tests/harness/raft_sim.c
@@ -75,7 +75,7 @@
 static void sync_node(raft_sim_t *sim, node_t *n)
 {
     if (n->dirty && !sim->options.skip_sync)
-        disk_copy(&n->synced, &n->written);
+        fake_disk_copy(&n->synced, &n->written);
     n->dirty = false;
 }
 
@@ -97,7 +97,7 @@
     if (n->state_index > 0)
         state_load(n->state, d->snapshot.state, d->snapshot.state_n);
     n->since_snapshot = 0;
-    disk_copy(&n->written, &n->synced);
+    fake_disk_copy(&n->written, &n->synced);
     n->dirty = false;
 }
 
@@ -232,15 +232,15 @@
         n->synced.vote = action->vote;
         break;
     case RAFT_ACT_APPEND:
-        disk_add(&n->written, &action->entry);
+        fake_disk_append(&n->written, &action->entry);
         n->dirty = true;
         break;
     case RAFT_ACT_TRUNCATE:
-        disk_cut(&n->written, (uint32_t)(action->index - n->written.snapshot.last_index - 1));
+        fake_disk_truncate(&n->written, (uint32_t)(action->index - n->written.snapshot.last_index - 1));
         n->dirty = true;
         break;
     case RAFT_ACT_SNAPSHOT:
-        disk_snapshot(&n->written, &action->snapshot);
+        fake_disk_save_snapshot(&n->written, &action->snapshot);
         n->dirty = true;
         sync_node(sim, n);
         n->since_snapshot = 0;
@@ -375,8 +375,8 @@
     if (!all_settled(sim))
         return;
     stop_node(sim, n);
-    disk_free(&n->synced);
-    disk_free(&n->written);
+    fake_disk_free(&n->synced);
+    fake_disk_free(&n->written);
     new_identity(sim, n);
     n->up_at = sim->now + choose(sim->chooser, 500);
     sim->result.lost_disks++;
@@ -557,8 +557,8 @@
     const raft_sim_result_t result = sim->result;
     for (unsigned i = 0; i < options->nodes; i++) {
         stop_node(sim, &sim->nodes[i]);
-        disk_free(&sim->nodes[i].synced);
-        disk_free(&sim->nodes[i].written);
+        fake_disk_free(&sim->nodes[i].synced);
+        fake_disk_free(&sim->nodes[i].written);
     }
     for (guint i = 0; i < sim->link->len; i++) {
         packet_t *const p = &g_array_index(sim->link, packet_t, i);
