--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -160,24 +160,24 @@
 {
     enum { ROUNDS = 200 };
     members_t *const m = members_create();
-    members_lead(m, 0);
+    members_start_term(m, 0);
     const double heap = heap_bytes();
     for (unsigned i = 0; i < boxes; i++) {
         const msg_beat_t beat = make_beat(i);
-        members_beat(m, &beat, 10);
+        members_on_heartbeat(m, &beat, 10);
     }
     put("members_bytes_a_box", boxes, (heap_bytes() - heap) / boxes);
     const double begin = cpu_us();
     for (int r = 0; r < ROUNDS; r++)
         for (unsigned i = 0; i < boxes; i++) {
             const msg_beat_t beat = make_beat(i);
-            members_beat(m, &beat, 20 + r);
+            members_on_heartbeat(m, &beat, 20 + r);
         }
     put("members_us_a_beat", boxes, (cpu_us() - begin) / ROUNDS / boxes);
     member_t *list;
     bool all;
     msg_beat_ack_t ack = {0};
-    ack.members_n = members_news(m, 0, &list, &all);
+    ack.members_n = members_list_changes(m, 0, &list, &all);
     ack.members = list;
     put("members_bytes_whole_list", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
     ack.members_n = 1;
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -222,7 +222,7 @@
         break;
     case RAFT_ACT_SEND: send_message(r, action); break;
     case RAFT_ACT_APPLY: apply(r, &action->entry); break;
-    case RAFT_ACT_LOST: proposals_fail(r, TC_E_BROKEN); break;
+    case RAFT_ACT_LEADERSHIP_LOST: proposals_fail(r, TC_E_BROKEN); break;
     }
 }
 
@@ -329,7 +329,7 @@
         compact(r);
         members_join(r, now);
         members_announce(r, now);
-        raft_trim(r->raft, r->options.voters_wanted, now);
+        raft_remove_silent_voter(r->raft, r->options.voters_wanted, now);
     }
     run_actions(r);
     roster_expire(r->roster, now);
@@ -408,7 +408,7 @@
 static void start_raft(replica_t *r, raft_start_t *start)
 {
     r->raft = raft_create(start, tc_time_now());
-    raft_want_voters(r->raft, r->options.voters_wanted);
+    raft_set_target_voters(r->raft, r->options.voters_wanted);
     if (start->snapshot.last_index > 0)
         load_image(r, &start->snapshot);
 }
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -44,7 +44,7 @@
         return;
     }
     tc_err_t err = {0};
-    if (members_beat(c->members, beat, now) < 0) {
+    if (members_on_heartbeat(c->members, beat, now) < 0) {
         tc_err_set(&err, TC_E_FENCED, "beat", beat->self.box, "a newer start of this box was seen");
         peer_reply_error(c->net, call, &err);
         return;
@@ -53,7 +53,7 @@
     if (beat->released)
         c->cells_at = now; /* its cells are handed on at once */
     for (uint32_t i = 0; i < beat->loads_n; i++)
-        planner_hear(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
+        planner_update_load(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
     msg_beat_ack_t ack = {.term = raft_view(c->raft).term,
                           .version = state_version(c->state),
                           .lease_ms = state_config(c->state)->targets.config_lease_ms,
@@ -63,7 +63,7 @@
     if (beat->cells_version != ack.cells_version)
         fill_cells(c, &ack);
     if (beat->members_version != ack.members_version)
-        ack.members_n = members_news(c->members, beat->members_version, &ack.members, &ack.members_all);
+        ack.members_n = members_list_changes(c->members, beat->members_version, &ack.members, &ack.members_all);
     peer_reply(c->net, call, MSG_BEAT_ACK, &ack);
     codec_free(&msg_beat_ack_desc, &ack);
 }
--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -49,7 +49,7 @@
     g_free(m);
 }
 
-void members_lead(members_t *m, tc_time_t now)
+void members_start_term(members_t *m, tc_time_t now)
 {
     g_hash_table_remove_all(m->boxes);
     m->lead_since = now;
@@ -72,7 +72,7 @@
     return now - b->room_told_at >= ROOM_NEWS_MS && change * ROOM_NEWS_PART > b->room_told;
 }
 
-int members_beat(members_t *m, const msg_beat_t *beat, tc_time_t now)
+int members_on_heartbeat(members_t *m, const msg_beat_t *beat, tc_time_t now)
 {
     box_t *b = g_hash_table_lookup(m->boxes, beat->self.box);
     if (b && beat->self.incarnation < b->self.incarnation)
@@ -103,11 +103,11 @@
     g_hash_table_iter_init(&iter, m->boxes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         box_t *const b = value;
-        if (b->live && now - b->heard >= MEMBERS_DEAD_MS) {
+        if (b->live && now - b->heard >= MEMBERS_HEARTBEAT_TIMEOUT_MS) {
             b->live = false;
             b->changed = ++m->version;
         }
-        if (now - b->heard >= MEMBERS_FORGET_MS)
+        if (now - b->heard >= MEMBERS_RETENTION_MS)
             g_hash_table_iter_remove(&iter);
     }
 }
@@ -119,7 +119,7 @@
     return m->version;
 }
 
-uint32_t members_news(const members_t *m, uint64_t since, member_t **list, bool *all)
+uint32_t members_list_changes(const members_t *m, uint64_t since, member_t **list, bool *all)
 {
     *all = since < m->first_version || since > m->version;
     *list = calloc(g_hash_table_size(m->boxes) + 1, sizeof(**list));
@@ -162,7 +162,7 @@
 
 bool members_holder_gone(const members_t *m, const char *box, uint64_t incarnation, tc_time_t now)
 {
-    const tc_time_t lease = MEMBERS_CELL_LEASE_MS + MEMBERS_MARGIN_MS;
+    const tc_time_t lease = MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS;
     const box_t *const b = g_hash_table_lookup(m->boxes, box);
     if (!b)
         return now >= m->lead_since + lease;
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -21,16 +21,16 @@
 /* ===== Constants ===== */
 
 /** Entry boxes beat this often. */
-#define MEMBERS_BEAT_MS 250
+#define MEMBERS_HEARTBEAT_MS 250
 /** A box not heard for this long gets no new callers and no cells: five beats in a row were lost. */
-#define MEMBERS_DEAD_MS 1250
+#define MEMBERS_HEARTBEAT_TIMEOUT_MS 1250
 /** A scheduler acts on its cell until this long after the sending of a beat that was answered. Short, since a cell
  *  whose box died stands still for as long; a holder that misses it only suspends, and goes on when it is heard. */
 #define MEMBERS_CELL_LEASE_MS 1000
 /** Beyond the cell's lease, before another box is given it: clocks that drift, and a tick. */
-#define MEMBERS_MARGIN_MS 100
+#define MEMBERS_CELL_LEASE_MARGIN_MS 100
 /** A box is forgotten after this. */
-#define MEMBERS_FORGET_MS 60000
+#define MEMBERS_RETENTION_MS 60000
 
 /* ===== Types ===== */
 
@@ -50,10 +50,10 @@
 void members_destroy(members_t *members);
 
 /** This box became leader: forget what was known, leases given by others may run. */
-void members_lead(members_t *members, tc_time_t now);
+void members_start_term(members_t *members, tc_time_t now);
 
 /** A beat came. @return 0, or TC_E_FENCED: a newer start of that box was seen */
-int members_beat(members_t *members, const msg_beat_t *beat, tc_time_t now);
+int members_on_heartbeat(members_t *members, const msg_beat_t *beat, tc_time_t now);
 
 /** Let time pass: forget and notice who fell silent. */
 void members_tick(members_t *members, tc_time_t now);
@@ -63,7 +63,7 @@
 
 /** News since a version, into a heap array for free(): boxes that changed, and those that fell silent, marked gone.
  * @param all set when the version is not one of this leader's: the list is then every live box @return how many */
-uint32_t members_news(const members_t *members, uint64_t since, member_t **list, bool *all);
+uint32_t members_list_changes(const members_t *members, uint64_t since, member_t **list, bool *all);
 
 /** Whether no box can still act on a configuration older than @p version. @param lease_ms configuration lease
  * @param laggard filled with a box that may, when there is one */
--- a/lib/control/raft.c
+++ b/lib/control/raft.c
@@ -99,7 +99,7 @@
 void raft_step_down(raft_t *r, uint64_t term, tc_time_t now)
 {
     if (r->role == RAFT_LEADER)
-        raft_add_action(r, RAFT_ACT_LOST);
+        raft_add_action(r, RAFT_ACT_LEADERSHIP_LOST);
     const bool new_term = term > r->term;
     if (new_term) {
         r->term = term;
@@ -475,7 +475,7 @@
     raft_step_down(r, r->term, now); /* cut off: somebody else may lead */
 }
 
-void raft_found(raft_t *r, const raft_member_t *self, tc_time_t now)
+void raft_bootstrap(raft_t *r, const raft_member_t *self, tc_time_t now)
 {
     /* Founding is for those without any entry. A term may be there: from a founding cut short by a crash. */
     assert(log_last_index(r) == 0);
--- a/lib/control/raft.h
+++ b/lib/control/raft.h
@@ -35,9 +35,9 @@
 #define RAFT_LEASE_MS 450
 /** Bounds of one append message, and of one piece of a snapshot. 64 KB take 5 ms of a link of 100 Mbit/s: heartbeats
  * and leases wait no longer behind them. */
-#define RAFT_APPEND_ENTRIES 64
-#define RAFT_APPEND_BYTES (64 * 1024)
-#define RAFT_SNAPSHOT_PIECE (64 * 1024)
+#define RAFT_APPEND_MAX_ENTRIES 64
+#define RAFT_APPEND_MAX_BYTES (64 * 1024)
+#define RAFT_SNAPSHOT_PIECE_BYTES (64 * 1024)
 
 /* ===== Types ===== */
 
@@ -59,13 +59,13 @@
 } raft_start_t;
 
 typedef enum {
-    RAFT_ACT_META,     /**< write term and vote */
-    RAFT_ACT_APPEND,   /**< append the entry to the log */
-    RAFT_ACT_TRUNCATE, /**< cut the log: entries from index on are gone */
-    RAFT_ACT_SNAPSHOT, /**< write the snapshot, start the log anew behind it, and load the state from it */
-    RAFT_ACT_SEND,     /**< send a message to a member */
-    RAFT_ACT_APPLY,    /**< apply a committed command to the state */
-    RAFT_ACT_LOST      /**< leadership ended: proposals not yet applied have an unknown outcome */
+    RAFT_ACT_META,           /**< write term and vote */
+    RAFT_ACT_APPEND,         /**< append the entry to the log */
+    RAFT_ACT_TRUNCATE,       /**< cut the log: entries from index on are gone */
+    RAFT_ACT_SNAPSHOT,       /**< write the snapshot, start the log anew behind it, and load the state from it */
+    RAFT_ACT_SEND,           /**< send a message to a member */
+    RAFT_ACT_APPLY,          /**< apply a committed command to the state */
+    RAFT_ACT_LEADERSHIP_LOST /**< leadership ended: proposals not yet applied have an unknown outcome */
 } raft_action_kind_t;
 
 typedef struct {
@@ -93,7 +93,7 @@
 void raft_destroy(raft_t *raft);
 
 /** Found a cluster with this member alone. Only for a member without any log entry. */
-void raft_found(raft_t *raft, const raft_member_t *self, tc_time_t now);
+void raft_bootstrap(raft_t *raft, const raft_member_t *self, tc_time_t now);
 
 /** Let time pass; call at least every 50 ms. */
 void raft_tick(raft_t *raft, tc_time_t now);
@@ -119,11 +119,11 @@
 
 /** No more than @p wanted voters, 0 for any number: others stay non-voters, which have the log and take a voter's place
  *  when it falls silent. An odd number has a majority on one side of every cut in two. */
-void raft_want_voters(raft_t *raft, uint32_t wanted);
+void raft_set_target_voters(raft_t *raft, uint32_t wanted);
 
 /** Drop a voter that has been silent for a while, as long as more than @p wanted are left: a dead voter beside a newer
  *  one that took its work over would only make majorities larger. It joins again when it is back. Call now and then. */
-void raft_trim(raft_t *raft, uint32_t wanted, tc_time_t now);
+void raft_remove_silent_voter(raft_t *raft, uint32_t wanted, tc_time_t now);
 
 /** The state up to @p index is in @p state: the log before it may go. */
 void raft_compact(raft_t *raft, uint64_t index, const char *state, size_t size);
--- a/lib/control/raft_leader.c
+++ b/lib/control/raft_leader.c
@@ -73,7 +73,7 @@
     if (p->snapshot_offset > r->outgoing_size)
         p->snapshot_offset = 0;
     const uint64_t left = r->outgoing_size - p->snapshot_offset;
-    const size_t size = left < RAFT_SNAPSHOT_PIECE ? (size_t)left : RAFT_SNAPSHOT_PIECE;
+    const size_t size = left < RAFT_SNAPSHOT_PIECE_BYTES ? (size_t)left : RAFT_SNAPSHOT_PIECE_BYTES;
     msg_snapshot_t message = {.term = r->term,
                               .last_index = r->snapshot.last_index,
                               .last_term = r->snapshot.last_term,
@@ -94,7 +94,7 @@
     const uint64_t last = log_last_index(r);
     uint32_t n = 0;
     size_t bytes = 0;
-    for (uint64_t i = p->next; i <= last && n < RAFT_APPEND_ENTRIES && bytes < RAFT_APPEND_BYTES; i++, n++)
+    for (uint64_t i = p->next; i <= last && n < RAFT_APPEND_MAX_ENTRIES && bytes < RAFT_APPEND_MAX_BYTES; i++, n++)
         bytes += log_at(r, i)->data_n;
     msg_append_t message = {.term = r->term,
                             .prev_index = p->next - 1,
@@ -225,7 +225,7 @@
     return voters;
 }
 
-void raft_want_voters(raft_t *r, uint32_t wanted)
+void raft_set_target_voters(raft_t *r, uint32_t wanted)
 {
     r->voters_wanted = wanted;
 }
@@ -257,7 +257,7 @@
     change_member(r, &next, false, now);
 }
 
-void raft_trim(raft_t *r, uint32_t wanted, tc_time_t now)
+void raft_remove_silent_voter(raft_t *r, uint32_t wanted, tc_time_t now)
 {
     if (r->role != RAFT_LEADER || !members_settled(r))
         return;
--- a/lib/control/state.h
+++ b/lib/control/state.h
@@ -28,7 +28,7 @@
 #define STATE_CHANGES_KEPT 2000
 /** Largest configuration that a plan may lead to, bytes of its text: a box that missed changes fetches it whole, in one
  *  frame between our processes (8 MB). */
-#define STATE_CONFIG_MAX (6 * 1024 * 1024)
+#define STATE_CONFIG_MAX_BYTES (6 * 1024 * 1024)
 /** Answers kept for resends. */
 #define STATE_ANSWERS_KEPT 5000
 /** A claim is kept this long after it was made; a caller must not use an id again within this time. */
@@ -73,7 +73,7 @@
 const result_t *state_find_answer(const state_t *state, const char *request_id);
 
 const claim_record_t *state_find_claim(const state_t *state, const char *id);
-uint32_t state_claims(const state_t *state);
+uint32_t state_claim_count(const state_t *state);
 
 const cell_lease_t *state_find_cell(const state_t *state, const char *cell);
 /** Changes with every change of the leases of cells, and is the same on all control boxes. */
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -145,7 +145,7 @@
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM_END, "x", "entry-2", CLAIM_STATE_DONE, 1000), ==, TC_OK);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-3", 0, 1000), ==, TC_E_CONFLICT);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "y", "entry-3", 0, 1000 + STATE_CLAIM_KEEP_MS), ==, TC_OK);
-    g_assert_cmpuint(state_claims(s), ==, 1); /* the old one was forgotten after its time */
+    g_assert_cmpuint(state_claim_count(s), ==, 1); /* the old one was forgotten after its time */
     state_destroy(s);
 }
 
@@ -155,14 +155,14 @@
     msg_beat_t message = {.version = version, .released = released};
     message.self.incarnation = incarnation;
     codec_copy_string(message.self.box, CODEC_STR_SIZE, box);
-    g_assert_cmpint(members_beat(m, &message, now), ==, wanted);
+    g_assert_cmpint(members_on_heartbeat(m, &message, now), ==, wanted);
 }
 
 static void test_members(void)
 {
     char lag[CODEC_STR_SIZE];
     members_t *const m = members_create();
-    members_lead(m, 0);
+    members_start_term(m, 0);
     beat(m, "a", 5, 1, false, 100, TC_OK);
     beat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* its former self */
     beat(m, "b", 1, 2, false, 100, TC_OK);
@@ -173,25 +173,25 @@
     g_assert_cmpstr(lag, ==, "a");
     g_assert_true(members_in_force(m, 2, 4000, lag, 7900)); /* a's lease has run out: it cannot act on version 1 */
     g_assert_false(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS));
-    g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_MARGIN_MS));
+    g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS));
     beat(m, "a", 5, 2, false, 7950, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 4, 7951)); /* the lease was its former self's */
     g_assert_false(members_holder_gone(m, "a", 5, 7951));
     beat(m, "a", 5, 2, true, 8000, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 5, 8001)); /* given up */
-    members_tick(m, 8000 + MEMBERS_DEAD_MS);
+    members_tick(m, 8000 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     member_t *list;
     bool all;
-    g_assert_cmpuint(members_news(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
+    g_assert_cmpuint(members_list_changes(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
     g_assert_true(all);
     free(list);
     beat(m, "c", 1, 2, false, 9600, TC_OK);
     const uint64_t seen = members_version(m);
-    g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 0);
+    g_assert_cmpuint(members_list_changes(m, seen, &list, &all), ==, 0);
     g_assert_false(all);
     free(list);
-    members_tick(m, 9600 + MEMBERS_DEAD_MS);
-    g_assert_cmpuint(members_news(m, seen, &list, &all), ==, 1);
+    members_tick(m, 9600 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
+    g_assert_cmpuint(members_list_changes(m, seen, &list, &all), ==, 1);
     g_assert_true(list[0].gone);
     free(list);
     members_destroy(m);
@@ -200,11 +200,11 @@
 /** What no box could fetch is refused before it is planned. */
 static void test_size(void)
 {
-    char *const text = g_strnfill(STATE_CONFIG_MAX, 'x');
+    char *const text = g_strnfill(STATE_CONFIG_MAX_BYTES, 'x');
     json_t *const next = json_pack("{s:s}", "a", text);
     tc_err_t err = {0};
     g_assert_cmpint(state_check_size(next, &err), ==, TC_E_INVALID);
-    text[STATE_CONFIG_MAX - 64] = '\0';
+    text[STATE_CONFIG_MAX_BYTES - 64] = '\0';
     json_object_set_new(next, "a", json_string(text));
     g_assert_cmpint(state_check_size(next, &err), ==, TC_OK);
     json_decref(next);
