--- a/lib/http/http.c
+++ b/lib/http/http.c
@@ -79,7 +79,7 @@
 
 /* ===== Requests ===== */
 
-bool http_is(const struct mg_connection *conn, const char *method)
+bool http_method_is(const struct mg_connection *conn, const char *method)
 {
     return strcmp(mg_get_request_info(conn)->request_method, method) == 0;
 }
--- a/lib/http/http.h
+++ b/lib/http/http.h
@@ -57,7 +57,7 @@
 const char *http_header(const struct mg_connection *conn, const char *name);
 
 /** Whether the request's method is @p method. */
-bool http_is(const struct mg_connection *conn, const char *method);
+bool http_method_is(const struct mg_connection *conn, const char *method);
 
 /** Send the head of a streamed answer if that was not done yet. */
 void http_stream_open(http_stream_t *stream);
--- a/lib/request/api.c
+++ b/lib/request/api.c
@@ -25,7 +25,7 @@
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_FENCED, "admit", e->settings->box,
                "this box has not heard from the control leader and may be behind: use another entry");
-    caller_refuse(conn, END_NOT_RUN, &err, RETRY_AFTER_MS);
+    caller_refuse(conn, OUTCOME_NOT_RUN, &err, RETRY_AFTER_MS);
     return false;
 }
 
@@ -33,12 +33,12 @@
 {
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_INVALID, "read request", "method", "must be %s", wanted);
-    return caller_refuse(conn, END_INVALID, &err, 0);
+    return caller_refuse(conn, OUTCOME_INVALID, &err, 0);
 }
 
 static int serve_completion(entry_t *e, struct mg_connection *conn, bool chat)
 {
-    if (!http_is(conn, "POST"))
+    if (!http_method_is(conn, "POST"))
         return refuse_method(conn, "POST");
     if (!open_for_work(e, conn))
         return 503;
--- a/lib/request/budget.h
+++ b/lib/request/budget.h
@@ -14,9 +14,9 @@
 } budget_t;
 
 enum {
-    BUDGET_ATTEMPT = 1000,
-    BUDGET_EARN = 200,               /* a request earns a fifth of a second attempt */
-    BUDGET_MAX = 60 * BUDGET_ATTEMPT /* enough for all requests of an engine that dies */
+    BUDGET_ATTEMPT_COST = 1000,
+    BUDGET_EARNED_PER_REQUEST = 200,      /* a request earns a fifth of a second attempt */
+    BUDGET_MAX = 60 * BUDGET_ATTEMPT_COST /* enough for all requests of an engine that dies */
 };
 
 static inline void budget_init(budget_t *budget)
@@ -28,15 +28,15 @@
 static inline void budget_earn(budget_t *budget)
 {
     if (atomic_load_explicit(&budget->credit, memory_order_relaxed) < BUDGET_MAX)
-        atomic_fetch_add_explicit(&budget->credit, BUDGET_EARN, memory_order_relaxed);
+        atomic_fetch_add_explicit(&budget->credit, BUDGET_EARNED_PER_REQUEST, memory_order_relaxed);
 }
 
 /** Whether a second attempt may be made; takes it from the budget. */
 static inline bool budget_spend(budget_t *budget)
 {
     int credit = atomic_load_explicit(&budget->credit, memory_order_relaxed);
-    while (credit >= BUDGET_ATTEMPT)
-        if (atomic_compare_exchange_weak(&budget->credit, &credit, credit - BUDGET_ATTEMPT))
+    while (credit >= BUDGET_ATTEMPT_COST)
+        if (atomic_compare_exchange_weak(&budget->credit, &credit, credit - BUDGET_ATTEMPT_COST))
             return true;
     return false;
 }
--- a/lib/request/caller.c
+++ b/lib/request/caller.c
@@ -24,7 +24,7 @@
     NETWORK_MS = 10 /* kept back from the time to the first token for the way to the caller */
 };
 
-const char *caller_end_name(end_t end)
+const char *caller_outcome_name(request_outcome_t end)
 {
     static const char *const names[] = {"ok", "invalid", "not_run", "outcome_unknown", "unauthorized", "cancelled"};
     return names[end];
@@ -244,7 +244,7 @@
     g_string_free(c->event, TRUE);
 }
 
-bool caller_there(caller_t *c)
+bool caller_is_connected(caller_t *c)
 {
     const tc_time_t now = tc_time_now();
     if (now - c->probed >= PROBE_MS) {
@@ -310,7 +310,7 @@
     return c->places > r->last_event || !r->has_digest || digest_of(c) == r->last_digest;
 }
 
-int caller_tokens(caller_t *c, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish)
+int caller_send_tokens(caller_t *c, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish)
 {
     const size_t size = strlen(text), ahead = c->text->len - cursor->offset;
     const size_t known = size < ahead ? size : ahead;
@@ -335,7 +335,7 @@
     return c->http.broken ? TC_E_CANCELLED : TC_OK;
 }
 
-bool caller_is_whole(const caller_t *c, const caller_cursor_t *cursor)
+bool caller_is_complete(const caller_t *c, const caller_cursor_t *cursor)
 {
     return c->finished && cursor->place == c->places;
 }
@@ -367,21 +367,21 @@
     free(text);
 }
 
-static json_t *error_body(end_t end, const tc_err_t *err, uint32_t retry_after_ms)
+static json_t *error_body(request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
 {
-    return json_pack("{s:{s:s,s:i,s:s,s:s,s:s,s:i}}", "error", "type", caller_end_name(end), "code", err->code, "step",
-                     err->step ? err->step : "", "peer", err->peer, "message", err->detail, "retry_after_ms",
+    return json_pack("{s:{s:s,s:i,s:s,s:s,s:s,s:i}}", "error", "type", caller_outcome_name(end), "code", err->code,
+                     "step", err->step ? err->step : "", "peer", err->peer, "message", err->detail, "retry_after_ms",
                      (int)retry_after_ms);
 }
 
-int caller_refuse(struct mg_connection *conn, end_t end, const tc_err_t *err, uint32_t retry_after_ms)
+int caller_refuse(struct mg_connection *conn, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
 {
     static const int statuses[] = {200, 400, 503, 502, 401, 499};
-    const int status = end == END_INVALID && err->code == TC_E_FULL ? 413 : statuses[end];
+    const int status = end == OUTCOME_INVALID && err->code == TC_E_FULL ? 413 : statuses[end];
     return http_send_json(conn, status, error_body(end, err, retry_after_ms), retry_after_ms);
 }
 
-void caller_fail(caller_t *c, end_t end, const tc_err_t *err, uint32_t retry_after_ms)
+void caller_fail(caller_t *c, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
 {
     if (c->http.broken)
         return;
--- a/lib/request/caller.h
+++ b/lib/request/caller.h
@@ -34,7 +34,14 @@
 } caller_request_t;
 
 /** How an answer ended; what callers see as error.type. */
-typedef enum { END_OK, END_INVALID, END_NOT_RUN, END_OUTCOME_UNKNOWN, END_UNAUTHORIZED, END_CANCELLED } end_t;
+typedef enum {
+    OUTCOME_OK,
+    OUTCOME_INVALID,
+    OUTCOME_NOT_RUN,
+    OUTCOME_UNKNOWN,
+    OUTCOME_UNAUTHORIZED,
+    OUTCOME_CANCELLED
+} request_outcome_t;
 
 /** The answer on its way. */
 typedef struct {
@@ -65,26 +72,26 @@
 void caller_free(caller_t *caller);
 
 /** Whether the caller is still there; sends something harmless now and then. */
-bool caller_there(caller_t *caller);
+bool caller_is_connected(caller_t *caller);
 
 /** Give the next tokens of a run, the last of which stands at @p place (from 1), and move its cursor. What was given
  * before, by whichever run, is compared, not sent again; runs may put different numbers of tokens into one event.
  * @return 0; TC_E_CANCELLED: the caller is gone; TC_E_CONFLICT: they differ from what was sent, or end where that does
  * not */
-int caller_tokens(caller_t *caller, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish);
+int caller_send_tokens(caller_t *caller, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish);
 
 /** Whether a run that stands at @p cursor has brought the whole answer. */
-bool caller_is_whole(const caller_t *caller, const caller_cursor_t *cursor);
+bool caller_is_complete(const caller_t *caller, const caller_cursor_t *cursor);
 
 /** End the answer well. */
 void caller_finish(caller_t *caller, uint32_t prompt_tokens);
 
 /** End the answer with an error. */
-void caller_fail(caller_t *caller, end_t end, const tc_err_t *err, uint32_t retry_after_ms);
+void caller_fail(caller_t *caller, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms);
 
 /** Send an error to a caller whose answer never began. @return status */
-int caller_refuse(struct mg_connection *conn, end_t end, const tc_err_t *err, uint32_t retry_after_ms);
+int caller_refuse(struct mg_connection *conn, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms);
 
-const char *caller_end_name(end_t end);
+const char *caller_outcome_name(request_outcome_t end);
 
 #endif
--- a/lib/request/completion.c
+++ b/lib/request/completion.c
@@ -78,7 +78,7 @@
 static bool on_idle(void *arg)
 {
     run_t *const run = arg;
-    return !atomic_load(&run->inflight.lost) && caller_there(&run->caller);
+    return !atomic_load(&run->inflight.lost) && caller_is_connected(&run->caller);
 }
 
 static void say_phase(attempt_t *at, phase_t phase)
@@ -137,7 +137,7 @@
 {
     run_t *const run = at->run;
     counter_add(&c_dropped, at->dropped);
-    placer_progress(run->entry, run->request->id, &at->placement, PHASE_FAILED, 0, NULL, bad, true);
+    placer_report_progress(run->entry, run->request->id, &at->placement, PHASE_FAILED, 0, NULL, bad, true);
     cancel_alone(&at->placement, &at->placement.prefill);
     cancel_alone(&at->placement, &at->placement.decode);
     const held_t none = {.phase = PHASE_QUEUED};
@@ -167,7 +167,7 @@
     at->token_seen = true;
     at->dropped = 0; /* decode uses the prefill result */
     say_phase(at, PHASE_DECODE);
-    placer_progress(at->run->entry, at->run->request->id, &at->placement, PHASE_DECODE, 0, NULL, "", false);
+    placer_report_progress(at->run->entry, at->run->request->id, &at->placement, PHASE_DECODE, 0, NULL, "", false);
 }
 
 static bool on_tokens(void *arg, uint32_t place, const char *text, const char *finish)
@@ -177,11 +177,11 @@
     if (!reading->at->token_seen)
         on_first_token(reading->at);
     if (reading->at->placement.policy >= POLICY_SHARE)
-        entry_await_verified(run->entry);
+        entry_wait_verified(run->entry);
     if (atomic_load(&run->inflight.lost))
         return false;
     counter_add(&c_tokens, place - reading->cursor.place);
-    reading->rc = caller_tokens(&run->caller, &reading->cursor, place, text, finish);
+    reading->rc = caller_send_tokens(&run->caller, &reading->cursor, place, text, finish);
     return reading->rc == TC_OK && !atomic_load(&run->inflight.lost);
 }
 
@@ -227,7 +227,7 @@
     if (at->differs)
         return tc_err_set(err, TC_E_CONFLICT, "decode", at->placement.decode.name,
                           "a second run gave other tokens than the first: the answer cannot be continued");
-    if (rc == TC_OK && !caller_is_whole(&at->run->caller, &reading.cursor))
+    if (rc == TC_OK && !caller_is_complete(&at->run->caller, &reading.cursor))
         return tc_err_set(err, TC_E_INVALID, "decode", at->placement.decode.name,
                           "the stream ended without the answer's last token");
     return rc;
@@ -313,8 +313,8 @@
     run->prompt_tokens = prefill.prompt_tokens;
     at->dropped = prefill.computed_tokens;
     say_phase(at, PHASE_TRANSFER);
-    placer_progress(run->entry, run->request->id, &at->placement, PHASE_TRANSFER, (uint32_t)(tc_time_now() - begin),
-                    &prefill, "", false);
+    placer_report_progress(run->entry, run->request->id, &at->placement, PHASE_TRANSFER,
+                           (uint32_t)(tc_time_now() - begin), &prefill, "", false);
     const next_t next = decode(at, &prefill);
     json_decref(prefill.kv);
     return next;
@@ -360,7 +360,7 @@
         counter_add(&c_retries, 1);
     const next_t next = at.placement.resume ? resume_attempt(&at) : fresh_attempt(&at);
     if (next == NEXT_DONE) {
-        placer_progress(run->entry, run->request->id, &at.placement, PHASE_FINISHED, 0, NULL, "", false);
+        placer_report_progress(run->entry, run->request->id, &at.placement, PHASE_FINISHED, 0, NULL, "", false);
         return next;
     }
     codec_copy_string(run->avoid, sizeof(run->avoid), blamed(&at));
@@ -370,62 +370,62 @@
 
 /* ===== The whole request ===== */
 
-static end_t failed_end(const run_t *run)
+static request_outcome_t failed_end(const run_t *run)
 {
     if (nobody_waits(run))
-        return END_CANCELLED;
+        return OUTCOME_CANCELLED;
     /* Promise: "not run" only if no back end can have begun. */
     /* A request sent before, perhaps through an entry that is gone, may have begun there. */
-    return run->touched || run->caller.places > 0 || run->request->resend ? END_OUTCOME_UNKNOWN : END_NOT_RUN;
+    return run->touched || run->caller.places > 0 || run->request->resend ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN;
 }
 
-/** Claim the id of a request that must not run twice. @return END_OK or how it ends */
-static end_t claim(run_t *run)
+/** Claim the id of a request that must not run twice. @return OUTCOME_OK or how it ends */
+static request_outcome_t claim(run_t *run)
 {
     msg_claim_ack_t ack = {0};
     if (run->request->repeatable)
-        return END_OK;
+        return OUTCOME_OK;
     const int rc = control_client_claim(run->entry->control, run->request->id, CLAIM_LIMIT_MS, &ack, &run->err);
     run->claimed = rc == TC_OK;
     if (rc == TC_OK)
-        return END_OK;
+        return OUTCOME_OK;
     /* Taken by someone: it may run or have run. Not reachable: this box has sent nothing, so it has not run here. */
-    return rc == TC_E_CONFLICT ? END_OUTCOME_UNKNOWN : END_NOT_RUN;
+    return rc == TC_E_CONFLICT ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN;
 }
 
-static void end_claim(const run_t *run, end_t end)
+static void end_claim(const run_t *run, request_outcome_t end)
 {
     if (run->claimed)
         control_client_claim_end(run->entry->control, run->request->id,
-                                 end == END_NOT_RUN || !run->touched ? CLAIM_STATE_NOT_RUN : CLAIM_STATE_DONE);
+                                 end == OUTCOME_NOT_RUN || !run->touched ? CLAIM_STATE_NOT_RUN : CLAIM_STATE_DONE);
 }
 
-static void count_end(end_t end)
+static void count_end(request_outcome_t end)
 {
     switch (end) {
-    case END_OK: counter_add(&c_whole, 1); break;
-    case END_NOT_RUN: counter_add(&c_not_run, 1); break;
-    case END_CANCELLED: counter_add(&c_cancelled, 1); break;
+    case OUTCOME_OK: counter_add(&c_whole, 1); break;
+    case OUTCOME_NOT_RUN: counter_add(&c_not_run, 1); break;
+    case OUTCOME_CANCELLED: counter_add(&c_cancelled, 1); break;
     default: counter_add(&c_unknown, 1); break;
     }
 }
 
-static end_t run_attempts(run_t *run)
+static request_outcome_t run_attempts(run_t *run)
 {
-    const end_t claimed = claim(run);
-    if (claimed != END_OK)
+    const request_outcome_t claimed = claim(run);
+    if (claimed != OUTCOME_OK)
         return claimed;
     budget_earn(&run->entry->budget);
     next_t next = attempt(run);
     while (next == NEXT_RETRY && run->attempts < ATTEMPTS_MAX && budget_spend(&run->entry->budget))
         next = attempt(run);
-    return next == NEXT_DONE ? END_OK : failed_end(run);
+    return next == NEXT_DONE ? OUTCOME_OK : failed_end(run);
 }
 
-static void finish(run_t *run, end_t end)
+static void finish(run_t *run, request_outcome_t end)
 {
     end_claim(run, end);
-    if (end == END_OK)
+    if (end == OUTCOME_OK)
         caller_finish(&run->caller, run->prompt_tokens ? run->prompt_tokens : run->request->prompt_tokens);
     else
         caller_fail(&run->caller, end, &run->err, run->retry_after_ms);
@@ -433,12 +433,12 @@
     log_line_t line;
     log_begin(&line, LOG_INFO, "answer");
     log_str(&line, "request", run->request->id);
-    log_str(&line, "end", caller_end_name(end));
+    log_str(&line, "end", caller_outcome_name(end));
     log_int(&line, "tokens", run->caller.places);
     log_int(&line, "attempts", run->attempts);
     log_int(&line, "place_us", run->place_us);
     log_int(&line, "took_ms", tc_time_now() - run->request->arrived);
-    if (end != END_OK)
+    if (end != OUTCOME_OK)
         log_err(&line, &run->err);
     log_end(&line);
 }
@@ -454,11 +454,11 @@
     caller_begin(&run->caller, conn, request);
     codec_copy_string(run->inflight.id, sizeof(run->inflight.id), request->id);
     view_t *const view = view_acquire(&entry->view);
-    const char *const cell = view_cell_for(view, request->model);
+    const char *const cell = view_cell_for_model(view, request->model);
     codec_copy_string(run->inflight.cell, sizeof(run->inflight.cell), cell ? cell : "");
     view_release(view);
     run->inflight.content = request->content;
-    end_t end = END_INVALID;
+    request_outcome_t end = OUTCOME_INVALID;
     if (inflight_add(&entry->inflight, &run->inflight)) {
         end = run_attempts(run);
         finish(run, end);
@@ -469,7 +469,7 @@
     }
     caller_free(&run->caller);
     free(run);
-    return end == END_OK ? 200 : 503;
+    return end == OUTCOME_OK ? 200 : 503;
 }
 
 int completion_serve(entry_t *entry, struct mg_connection *conn, bool chat)
@@ -478,7 +478,7 @@
     tc_err_t err = {0};
     counter_add(&c_requests, 1);
     if (caller_read(entry, conn, chat, &request, &err) < 0)
-        return caller_refuse(conn, END_INVALID, &err, 0);
+        return caller_refuse(conn, OUTCOME_INVALID, &err, 0);
     const int status = serve(entry, conn, &request);
     caller_request_free(&request);
     return status;
--- a/lib/request/control_client.c
+++ b/lib/request/control_client.c
@@ -178,7 +178,7 @@
         scheduler_configure(
             c->entry->scheduler); /* shares, and whom a new scheduler waits for, follow the live boxes */
     if (cells)
-        entry_renew(c->entry);
+        entry_renew_now(c->entry);
 }
 
 static void take_ack(control_client_t *c, const msg_beat_ack_t *ack)
@@ -187,8 +187,8 @@
     take_news(c, ack);
     if (ack->version == c->version)
         atomic_store(&e->lease_until, c->sent_at + ack->lease_ms);
-    scheduler_leases(e->scheduler, e->view.current->cells, e->view.current->n_cells,
-                     c->sent_at + MEMBERS_CELL_LEASE_MS);
+    scheduler_update_leases(e->scheduler, e->view.current->cells, e->view.current->n_cells,
+                            c->sent_at + MEMBERS_CELL_LEASE_MS);
     fetch(c, ack->version);
     if (ack->drain)
         entry_drain(e);
@@ -244,7 +244,7 @@
     beat.self.room = free_room(e);
     char addr[CODEC_STR_SIZE];
     get_leader(c, addr);
-    beat.loads_n = scheduler_loads(e->scheduler, &beat.loads);
+    beat.loads_n = scheduler_collect_loads(e->scheduler, &beat.loads);
     peer_call(e->net, addr, MSG_BEAT, &beat, BEAT_LIMIT_MS, on_beat, c);
     free(beat.loads);
 }
--- a/lib/request/entry.c
+++ b/lib/request/entry.c
@@ -109,7 +109,7 @@
     renew_all(e, atomic_load(&e->verifying));
 }
 
-void entry_renew(entry_t *e)
+void entry_renew_now(entry_t *e)
 {
     renew_all(e, true);
 }
@@ -137,18 +137,18 @@
 {
     entry_t *const e = arg;
     const tc_time_t now = tc_time_now();
-    if (now - atomic_load(&e->awake_at) > STOOD_STILL_MS) {
+    if (now - atomic_load(&e->last_loop_run) > STOOD_STILL_MS) {
         atomic_store(&e->verifying, atomic_load(&e->inflight.count) > 0);
         counter_add(&c_stood_still, 1);
-        entry_renew(e);
+        entry_renew_now(e);
     }
-    atomic_store(&e->awake_at, now);
+    atomic_store(&e->last_loop_run, now);
 }
 
-void entry_await_verified(entry_t *e)
+void entry_wait_verified(entry_t *e)
 {
     const tc_time_t begin = tc_time_now();
-    while (tc_time_now() - atomic_load(&e->awake_at) > STOOD_STILL_MS || atomic_load(&e->verifying)) {
+    while (tc_time_now() - atomic_load(&e->last_loop_run) > STOOD_STILL_MS || atomic_load(&e->verifying)) {
         if (tc_time_now() - begin > VERIFY_LIMIT_MS) {
             inflight_mark_all_lost(&e->inflight); /* nobody could tell: they may be somebody else's */
             atomic_store(&e->verifying, false);
@@ -163,7 +163,7 @@
 static void on_message(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
     entry_t *const e = arg;
-    if (scheduler_message(e->scheduler, call, type, message))
+    if (scheduler_handle_message(e->scheduler, call, type, message))
         return;
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_INVALID, "message", from, "an entry box does not take messages of type %u", type);
@@ -259,7 +259,7 @@
     e->scheduler = scheduler_create(e);
     e->control = control_client_create(e);
     e->reports = reports_create(e);
-    atomic_store(&e->awake_at, tc_time_now());
+    atomic_store(&e->last_loop_run, tc_time_now());
     loop_add_tick(loop, AWAKE_TICK_MS, on_awake_tick, e);
     loop_add_tick(loop, SCHED_RENEW_MS, on_renew_tick, e);
     loop_add_tick(loop, DRAIN_TICK_MS, on_drain_tick, e);
--- a/lib/request/entry.h
+++ b/lib/request/entry.h
@@ -30,12 +30,12 @@
     peer_net_t *net;
     view_slot_t view; /**< written by the loop */
     inflight_table_t inflight;
-    _Atomic tc_time_t lease_until; /**< the configuration may be acted on until then; written by the loop */
-    _Atomic tc_time_t awake_at;    /**< when the loop ran last: a gap means that this process stood still */
-    atomic_bool verifying;         /**< it stood still: what it holds may be somebody else's by now */
-    atomic_bool draining;          /**< a planned stop began */
-    atomic_uint active;            /**< callers being served */
-    budget_t budget;               /**< for second attempts */
+    _Atomic tc_time_t lease_until;   /**< the configuration may be acted on until then; written by the loop */
+    _Atomic tc_time_t last_loop_run; /**< when the loop ran last: a gap means that this process stood still */
+    atomic_bool verifying;           /**< it stood still: what it holds may be somebody else's by now */
+    atomic_bool draining;            /**< a planned stop began */
+    atomic_uint active;              /**< callers being served */
+    budget_t budget;                 /**< for second attempts */
     control_client_t *control;
     scheduler_t *scheduler;
     reports_t *reports;
@@ -59,14 +59,14 @@
 
 /** Tell every scheduler now, not at the next tick, all that this box holds, also when it is nothing: a cell has a new
  *  one, which waits for it. Loop's thread. */
-void entry_renew(entry_t *entry);
+void entry_renew_now(entry_t *entry);
 
 /** Run a small blocking job in a worker thread. */
 void entry_run_job(entry_t *entry, void (*run)(void *arg), void *arg);
 
 /** Before a token is passed on: if this process stood still (stopped, or its machine paused), wait until the schedulers
  *  said which requests are still ours. Any thread but the loop's. */
-void entry_await_verified(entry_t *entry);
+void entry_wait_verified(entry_t *entry);
 
 /** Whether new work may be taken: a configuration whose lease runs. */
 bool entry_may_serve(const entry_t *entry);
--- a/lib/request/placer.c
+++ b/lib/request/placer.c
@@ -97,7 +97,7 @@
     if (to->policy != POLICY_CELL)
         return true;
     view_t *const view = view_acquire(&entry->view);
-    const cell_lease_t *const cell = view_cell(view, to->cell);
+    const cell_lease_t *const cell = view_cell_lease(view, to->cell);
     const bool same = !cell || cell->epoch == to->epoch;
     view_release(view);
     return same;
@@ -112,10 +112,10 @@
         if (w->done)
             break;
         pthread_mutex_unlock(&w->lock);
-        const bool caller_there = !on_idle || on_idle(arg);
+        const bool connected = !on_idle || on_idle(arg);
         const bool leads = still_leads(w->entry, &w->to);
         pthread_mutex_lock(&w->lock);
-        if ((caller_there && leads) || w->done)
+        if ((connected && leads) || w->done)
             continue;
         w->abandoned = true;
         entry_t *const entry = w->entry;
@@ -124,7 +124,7 @@
         codec_copy_string(id, sizeof(id), w->id);
         pthread_mutex_unlock(&w->lock);
         give_back(entry, id, &to, 0); /* it may still be queued */
-        if (!caller_there)
+        if (!connected)
             return tc_err_set(err, TC_E_CANCELLED, "place", to.scheduler, "the caller is gone");
         return tc_err_set(err, TC_E_FENCED, "place", to.scheduler, "another box has the cell now");
     }
@@ -200,7 +200,7 @@
         return true;
     }
     view_t *const view = view_acquire(&entry->view);
-    const cell_lease_t *const cell = view_cell(view, p->cell);
+    const cell_lease_t *const cell = view_cell_lease(view, p->cell);
     if (cell) {
         codec_copy_string(p->scheduler, sizeof(p->scheduler), cell->peer_addr);
         p->epoch = cell->epoch;
@@ -238,7 +238,7 @@
 static double looks(entry_t *entry, const engine_cfg_t *e)
 {
     engine_load_t load;
-    if (!reports_load(entry->reports, e->name, &load))
+    if (!reports_get_load(entry->reports, e->name, &load))
         return 0;
     return e->role == ROLE_PREFILL ? load.queue : (double)load.queue * 1000 - load.pieces_free;
 }
@@ -296,7 +296,7 @@
 {
     memset(placement, 0, sizeof(*placement));
     view_t *const view = view_acquire(&entry->view);
-    const char *const cell = view_cell_for(view, request->model);
+    const char *const cell = view_cell_for_model(view, request->model);
     placement->policy = view_config(view)->policy;
     codec_copy_string(placement->cell, sizeof(placement->cell), cell ? cell : "");
     view_release(view);
@@ -338,8 +338,8 @@
     return adopt(entry, request->id, &placed, placement, err);
 }
 
-void placer_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase, uint32_t took_ms,
-                     const engine_prefill_t *prefill, const char *bad, bool held)
+void placer_report_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase,
+                            uint32_t took_ms, const engine_prefill_t *prefill, const char *bad, bool held)
 {
     if (placement->policy <= POLICY_LEAST_LOADED)
         return;
--- a/lib/request/placer.h
+++ b/lib/request/placer.h
@@ -54,7 +54,7 @@
 
 /** Tell the scheduler where the attempt stands. @param bad engine that failed, or "" @param held whether engines may
  *  still hold memory for it */
-void placer_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase, uint32_t took_ms,
-                     const engine_prefill_t *prefill, const char *bad, bool held);
+void placer_report_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase,
+                            uint32_t took_ms, const engine_prefill_t *prefill, const char *bad, bool held);
 
 #endif
--- a/lib/request/reports.c
+++ b/lib/request/reports.c
@@ -115,7 +115,7 @@
     }
 }
 
-bool reports_load(reports_t *r, const char *engine, engine_load_t *load)
+bool reports_get_load(reports_t *r, const char *engine, engine_load_t *load)
 {
     pthread_mutex_lock(&r->lock);
     const engine_load_t *const found = g_hash_table_lookup(r->loads, engine);
--- a/lib/request/reports.h
+++ b/lib/request/reports.h
@@ -11,6 +11,6 @@
 reports_t *reports_create(entry_t *entry);
 
 /** Newest load report of an engine. @return false when there is none */
-bool reports_load(reports_t *reports, const char *engine, engine_load_t *load);
+bool reports_get_load(reports_t *reports, const char *engine, engine_load_t *load);
 
 #endif
--- a/lib/request/scheduler.c
+++ b/lib/request/scheduler.c
@@ -183,7 +183,7 @@
     h->until = until;
 }
 
-void scheduler_leases(scheduler_t *s, const cell_lease_t *cells, uint32_t n, tc_time_t until)
+void scheduler_update_leases(scheduler_t *s, const cell_lease_t *cells, uint32_t n, tc_time_t until)
 {
     if (s->released || view_config(s->entry->view.current)->policy != POLICY_CELL)
         return;
@@ -409,7 +409,7 @@
     }
 }
 
-bool scheduler_message(scheduler_t *s, peer_call_t call, uint32_t type, const void *message)
+bool scheduler_handle_message(scheduler_t *s, peer_call_t call, uint32_t type, const void *message)
 {
     const char *cell;
     uint64_t epoch;
@@ -466,7 +466,7 @@
 
 /* ===== Views and life ===== */
 
-uint32_t scheduler_loads(scheduler_t *s, cell_load_t **loads)
+uint32_t scheduler_collect_loads(scheduler_t *s, cell_load_t **loads)
 {
     uint32_t room = 0, n = 0;
     const hosted_t *h;
--- a/lib/request/service.c
+++ b/lib/request/service.c
@@ -187,20 +187,20 @@
     return rc;
 }
 
-static end_t run(call_t *call)
+static request_outcome_t run(call_t *call)
 {
     budget_earn(&call->entry->budget);
     if (!call->repeatable) {
         msg_claim_ack_t ack = {0};
         const int rc = control_client_claim(call->entry->control, call->id, CLAIM_LIMIT_MS, &ack, &call->err);
         if (rc == TC_E_CONFLICT)
-            return END_OUTCOME_UNKNOWN;
+            return OUTCOME_UNKNOWN;
         if (rc < 0)
-            return END_NOT_RUN;
+            return OUTCOME_NOT_RUN;
         call->claimed = true;
     }
     const int rc = try_workers(call);
-    const end_t end = rc == TC_OK ? END_OK : (call->touched ? END_OUTCOME_UNKNOWN : END_NOT_RUN);
+    const request_outcome_t end = rc == TC_OK ? OUTCOME_OK : (call->touched ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
     if (call->claimed)
         control_client_claim_end(call->entry->control, call->id,
                                  call->touched ? CLAIM_STATE_DONE : CLAIM_STATE_NOT_RUN);
@@ -209,16 +209,16 @@
 
 /* ===== The caller's side ===== */
 
-static int answer(call_t *call, end_t end)
+static int answer(call_t *call, request_outcome_t end)
 {
     enum { RETRY_AFTER_MS = 1000 };
-    if (end == END_OK)
+    if (end == OUTCOME_OK)
         return http_send_text(call->conn, call->result.status, "application/json",
                               call->result.body ? call->result.body : "");
-    if (end == END_OUTCOME_UNKNOWN)
+    if (end == OUTCOME_UNKNOWN)
         counter_add(&c_unknown, 1);
     log_failure(LOG_WARN, "service_failed", &call->err);
-    return caller_refuse(call->conn, end, &call->err, end == END_NOT_RUN ? RETRY_AFTER_MS : 0);
+    return caller_refuse(call->conn, end, &call->err, end == OUTCOME_NOT_RUN ? RETRY_AFTER_MS : 0);
 }
 
 static bool read_id(call_t *call)
@@ -244,13 +244,13 @@
     if (!call->service || !read_id(call)) {
         tc_err_set(&call->err, TC_E_INVALID, "read request", name, "%s",
                    call->service ? "Idempotency-Key is too long" : "no such service");
-        return caller_refuse(call->conn, END_INVALID, &call->err, 0);
+        return caller_refuse(call->conn, OUTCOME_INVALID, &call->err, 0);
     }
     call->repeatable =
         call->service->repeatable && strcmp(http_header(call->conn, "X-Trackcove-Repeatable"), "no") != 0;
     call->body = http_read_body(call->conn, call->entry->settings->max_body_bytes, &call->body_size, &call->err);
     if (!call->body)
-        return caller_refuse(call->conn, END_INVALID, &call->err, 0);
+        return caller_refuse(call->conn, OUTCOME_INVALID, &call->err, 0);
     return answer(call, run(call));
 }
 
--- a/lib/request/view.c
+++ b/lib/request/view.c
@@ -178,7 +178,7 @@
     return NULL;
 }
 
-const cell_lease_t *view_cell(const view_t *view, const char *cell)
+const cell_lease_t *view_cell_lease(const view_t *view, const char *cell)
 {
     for (uint32_t i = 0; i < view->n_cells; i++)
         if (strcmp(view->cells[i].cell, cell) == 0)
@@ -196,7 +196,7 @@
     return false;
 }
 
-const char *view_cell_for(const view_t *view, const char *model)
+const char *view_cell_for_model(const view_t *view, const char *model)
 {
     return g_hash_table_lookup(view->shared->cells, model);
 }
--- a/lib/request/view.h
+++ b/lib/request/view.h
@@ -73,13 +73,13 @@
 
 const engine_cfg_t *view_engine(const view_t *view, const char *name);
 const service_cfg_t *view_service(const view_t *view, const char *name);
-const cell_lease_t *view_cell(const view_t *view, const char *cell);
+const cell_lease_t *view_cell_lease(const view_t *view, const char *cell);
 
 /** Whether a backend server or box is to get no new work. */
 bool view_is_leaving(const view_t *view, const char *name);
 
 /** Cell that serves a model, or NULL when no engine does. */
-const char *view_cell_for(const view_t *view, const char *model);
+const char *view_cell_for_model(const view_t *view, const char *model);
 
 /** Salt under which a workspace's prompt prefixes are cached: its prefix group, or itself. */
 const char *view_salt(const view_t *view, const char *workspace);
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -26,7 +26,7 @@
 /** Bring tokens of one letter each. */
 static int bring(lab_t *lab, caller_cursor_t *run, const char *tokens, const char *finish)
 {
-    return caller_tokens(&lab->caller, run, run->place + (uint32_t)strlen(tokens), tokens, finish);
+    return caller_send_tokens(&lab->caller, run, run->place + (uint32_t)strlen(tokens), tokens, finish);
 }
 
 static void assert_out(const lab_t *lab, const char *text)
@@ -44,9 +44,9 @@
     lab_begin(&lab);
     g_assert_cmpint(bring(&lab, &run, "a", NULL), ==, TC_OK);
     g_assert_cmpint(bring(&lab, &run, "bcd", NULL), ==, TC_OK);
-    g_assert_false(caller_is_whole(&lab.caller, &run));
+    g_assert_false(caller_is_complete(&lab.caller, &run));
     g_assert_cmpint(bring(&lab, &run, "e", "stop"), ==, TC_OK);
-    g_assert_true(caller_is_whole(&lab.caller, &run));
+    g_assert_true(caller_is_complete(&lab.caller, &run));
     assert_out(&lab, "abcde");
     lab_end(&lab);
 }
@@ -67,8 +67,8 @@
             g_assert_cmpint(bring(&lab, &runs[1], second, NULL), ==, TC_OK);
             g_assert_cmpint(bring(&lab, &runs[1], answer + cut, "stop"), ==, TC_OK);
             assert_out(&lab, answer);
-            g_assert_true(caller_is_whole(&lab.caller, &runs[1]));
-            g_assert_false(caller_is_whole(&lab.caller, &runs[0]));
+            g_assert_true(caller_is_complete(&lab.caller, &runs[1]));
+            g_assert_false(caller_is_complete(&lab.caller, &runs[0]));
             lab_end(&lab);
         }
     }
@@ -102,9 +102,9 @@
     caller_cursor_t runs[3] = {{0}, {0}, {0}};
     lab_begin(&lab);
     g_assert_cmpint(bring(&lab, &runs[0], "abc", NULL), ==, TC_OK);
-    g_assert_cmpint(caller_tokens(&lab.caller, &runs[1], 2, "abcd", NULL), ==, TC_E_CONFLICT);
-    g_assert_cmpint(caller_tokens(&lab.caller, &runs[1], 3, "ab", NULL), ==, TC_E_CONFLICT);
-    g_assert_cmpint(caller_tokens(&lab.caller, &runs[2], 4, "ab", NULL), ==, TC_E_CONFLICT);
+    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[1], 2, "abcd", NULL), ==, TC_E_CONFLICT);
+    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[1], 3, "ab", NULL), ==, TC_E_CONFLICT);
+    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[2], 4, "ab", NULL), ==, TC_E_CONFLICT);
     assert_out(&lab, "abc");
     lab_end(&lab);
 }
@@ -130,11 +130,11 @@
     lab_t lab;
     caller_cursor_t runs[2] = {{0}, {0}};
     lab_begin(&lab);
-    g_assert_false(caller_is_whole(&lab.caller, &runs[0]));
+    g_assert_false(caller_is_complete(&lab.caller, &runs[0]));
     g_assert_cmpint(bring(&lab, &runs[0], "abcd", "stop"), ==, TC_OK);
     g_assert_cmpint(bring(&lab, &runs[1], "ab", NULL), ==, TC_OK);
-    g_assert_false(caller_is_whole(&lab.caller, &runs[1]));
-    g_assert_true(caller_is_whole(&lab.caller, &runs[0]));
+    g_assert_false(caller_is_complete(&lab.caller, &runs[1]));
+    g_assert_true(caller_is_complete(&lab.caller, &runs[0]));
     lab_end(&lab);
 }
 
