--- a/lib/cluster/engine_poller.c
+++ b/lib/cluster/engine_poller.c
@@ -5,7 +5,7 @@
 
 #include "common/counter.h"
 #include "forward/dialect.h"
-#include "web/web_ask.h"
+#include "web/web_fetch.h"
 
 COUNTER_DEFINE(c_read, "counter", "trackcove_engines_read_total", "Answers of engines about what they run")
 COUNTER_DEFINE(c_failed, "counter", "trackcove_engines_read_failed_total", "Engines that did not tell what they run")
@@ -29,7 +29,7 @@
 
 typedef struct {
     engine_poller_t *poller;
-    web_ask_t ask;
+    web_fetch_t ask;
     char engine[CODEC_STR_SIZE];
 } query_t;
 
@@ -66,10 +66,10 @@
     call_gate_update(q->poller->gate, q->engine, &notice, tc_time_now());
 }
 
-static void on_answer(void *arg, web_ask_end_t how)
+static void on_answer(void *arg, web_fetch_result_t how)
 {
     query_t *const q = arg;
-    const bool ok = how == WEB_ASK_WHOLE && q->ask.status == 200;
+    const bool ok = how == WEB_FETCH_OK && q->ask.status == 200;
     GArray *const runs = ok ? dialect_read_runs((const char *)q->ask.body->data, q->ask.body->len) : NULL;
     counter_add(runs ? &c_read : &c_failed, 1);
     if (!runs)
@@ -125,7 +125,7 @@
     if (!engine)
         return;
     p->queried_at = now;
-    const web_ask_where_t where = {.loop = p->loop,
+    const web_fetch_options_t where = {.loop = p->loop,
                                    .client = p->client,
                                    .addr = engine->addr,
                                    .is_ours = dialect_is_query_answer,
@@ -133,7 +133,7 @@
                                    .connect_ms = CONNECT_TIMEOUT_MS,
                                    .limit_ms = QUERY_TIMEOUT_MS};
     codec_copy_string(q->engine, sizeof(q->engine), engine->id);
-    web_ask(&q->ask, &where, dialect_write_engine_query(engine->addr), on_answer, q);
+    web_fetch(&q->ask, &where, dialect_write_engine_query(engine->addr), on_answer, q);
 }
 
 /* ===== Life ===== */
@@ -157,7 +157,7 @@
 void engine_poller_destroy(engine_poller_t *p)
 {
     for (int i = 0; i < QUERIES_IN_FLIGHT_MAX; i++) {
-        web_ask_cancel(&p->queries[i].ask);
+        web_fetch_cancel(&p->queries[i].ask);
         g_byte_array_free(p->queries[i].ask.body, TRUE);
     }
     g_free(p);
--- a/lib/forward/discover.c
+++ b/lib/forward/discover.c
@@ -6,7 +6,7 @@
 #include "common/log.h"
 #include "forward/dialect.h"
 #include "forward/paged_read.h"
-#include "web/web_ask.h"
+#include "web/web_fetch.h"
 
 COUNTER_DEFINE(c_calls, "counter", "trackcove_discover_calls_total", "Calls to the platform's list of back ends")
 COUNTER_DEFINE(c_refused, "counter", "trackcove_discover_refused_total",
@@ -23,7 +23,7 @@
     discover_fn_t fn;
     void *arg;
     paged_read_t *read;
-    web_ask_t ask;     /* the page request in progress */
+    web_fetch_t ask;     /* the page request in progress */
     loop_timer_t wait; /* until the next page may be requested */
     GArray *page;      /* backend_t, entries of the last page */
     bool failing;      /* the last read failed */
@@ -102,16 +102,16 @@
     }
 }
 
-static void on_page(void *arg, web_ask_end_t how)
+static void on_page(void *arg, web_fetch_result_t how)
 {
     discover_t *const d = arg;
     tc_err_t err = {0};
     switch (how) {
-    case WEB_ASK_WHOLE: handle_answer(d); return;
-    case WEB_ASK_LATE:
+    case WEB_FETCH_OK: handle_answer(d); return;
+    case WEB_FETCH_TIMEOUT:
         tc_err_set(&err, TC_E_TIMEOUT, "read list of back ends", d->addr, "no answer in %d ms", PAGE_TIMEOUT_MS);
         break;
-    case WEB_ASK_BROKEN:
+    case WEB_FETCH_FAILED:
         tc_err_set(&err, TC_E_UNREACHABLE, "read list of back ends", d->addr,
                    "connection closed before the answer was complete");
         break;
@@ -122,13 +122,13 @@
 static void request_page(discover_t *d)
 {
     counter_add(&c_calls, 1);
-    const web_ask_where_t where = {.loop = d->loop,
+    const web_fetch_options_t where = {.loop = d->loop,
                                    .client = d->client,
                                    .addr = d->addr,
                                    .connect_ms = CONNECT_TIMEOUT_MS,
                                    .limit_ms = PAGE_TIMEOUT_MS,
                                    .body_bytes = PAGE_MAX_BYTES};
-    web_ask(&d->ask, &where, dialect_write_list(d->addr, paged_read_token(d->read)), on_page, d);
+    web_fetch(&d->ask, &where, dialect_write_list(d->addr, paged_read_token(d->read)), on_page, d);
 }
 
 static void on_wait_over(void *arg)
@@ -160,7 +160,7 @@
 
 void discover_stop(discover_t *d)
 {
-    web_ask_cancel(&d->ask);
+    web_fetch_cancel(&d->ask);
     loop_disarm(&d->wait);
     paged_read_end(d->read);
 }
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -61,18 +61,18 @@
     forward_continue(f);
 }
 
-static void on_answer(void *arg, web_ask_end_t how)
+static void on_answer(void *arg, web_fetch_result_t how)
 {
     const engine_query_t *const h = arg;
     forward_t *const f = h->request;
-    if (how == WEB_ASK_LATE) {
+    if (how == WEB_FETCH_TIMEOUT) {
         hold_failed(h, "engine did not answer in time", false);
         return;
     }
-    const bool granted = how == WEB_ASK_WHOLE && h->ask.status == 200;
+    const bool granted = how == WEB_FETCH_OK && h->ask.status == 200;
     char *const name = granted ? dialect_read_hold((const char *)h->ask.body->data, h->ask.body->len) : NULL;
     if (!name) {
-        hold_failed(h, how == WEB_ASK_WHOLE ? "engine has no room" : "engine did not answer", how == WEB_ASK_WHOLE);
+        hold_failed(h, how == WEB_FETCH_OK ? "engine has no room" : "engine did not answer", how == WEB_FETCH_OK);
         return;
     }
     counter_add(&c_taken, 1);
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -31,7 +31,7 @@
 #include "forward/forward.h"
 #include "forward/reasons.h"
 #include "forward/service_time.h"
-#include "web/web_ask.h"
+#include "web/web_fetch.h"
 #include "web/web_probe.h"
 
 /* ===== Constants ===== */
@@ -148,7 +148,7 @@
 typedef struct engine_query {
     forward_t *request;
     instance_t *instance; /* a reference */
-    web_ask_t ask;        /* holds status and body of the answer */
+    web_fetch_t ask;        /* holds status and body of the answer */
     struct engine_query *next;
 } engine_query_t;
 
@@ -416,7 +416,7 @@
 /** Queries an engine. @p instance (a reference) and @p request are taken over. @param fn runs once, after the return
  *  @return for engine_query_free, at any time */
 engine_query_t *engine_query(forward_t *f, instance_t *instance, GByteArray *request,
-                             const engine_query_limits_t *limits, web_ask_fn_t fn);
+                             const engine_query_limits_t *limits, web_fetch_fn_t fn);
 /** Frees a query, in flight or answered. */
 void engine_query_free(engine_query_t *query);
 
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -68,11 +68,11 @@
     f->locate.tokens = tokens;
 }
 
-static void on_answer(void *arg, web_ask_end_t how)
+static void on_answer(void *arg, web_fetch_result_t how)
 {
     const engine_query_t *const query = arg;
     forward_t *const f = query->request;
-    if (how == WEB_ASK_WHOLE && query->ask.status == 200) {
+    if (how == WEB_FETCH_OK && query->ask.status == 200) {
         cache_answer(query->instance, query->ask.body);
         consider(f, query->instance);
     }
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -58,27 +58,27 @@
 }
 
 engine_query_t *engine_query(forward_t *f, instance_t *instance, GByteArray *request,
-                             const engine_query_limits_t *limits, web_ask_fn_t fn)
+                             const engine_query_limits_t *limits, web_fetch_fn_t fn)
 {
     assert(instance_accepts_work(instance, tc_time_now())); /* guarantee: the same as for requests */
     engine_query_t *const e = g_new0(engine_query_t, 1);
     e->request = f;
     e->instance = instance;
     e->ask.body = g_byte_array_new();
-    const web_ask_where_t where = {.loop = f->owner->loop,
+    const web_fetch_options_t where = {.loop = f->owner->loop,
                                    .client = f->owner->client,
                                    .addr = instance->listed.addr,
                                    .is_ours = dialect_is_query_answer,
                                    .on_head = on_engine_head,
                                    .connect_ms = limits->connect_ms,
                                    .limit_ms = limits->answer_ms};
-    web_ask(&e->ask, &where, request, fn, e);
+    web_fetch(&e->ask, &where, request, fn, e);
     return e;
 }
 
 void engine_query_free(engine_query_t *e)
 {
-    web_ask_cancel(&e->ask);
+    web_fetch_cancel(&e->ask);
     instance_unref(e->instance);
     g_byte_array_unref(e->ask.body);
     g_free(e);
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -6,7 +6,7 @@
 #include "common/counter.h"
 #include "common/log.h"
 #include "forward/dialect.h"
-#include "web/web_ask.h"
+#include "web/web_fetch.h"
 
 COUNTER_DEFINE(c_orders, "counter", "trackcove_roles_orders_total", "Orders to engines to change their role")
 COUNTER_DEFINE(c_refused, "counter", "trackcove_roles_refused_total", "Such orders that engines refused")
@@ -64,7 +64,7 @@
     uint32_t wanted;            /* last target passed to is_sustained */
     tc_time_t wanted_since;     /* time of its last change */
     struct cds_list_head moves; /* all move_t */
-    web_ask_t ask;
+    web_fetch_t ask;
     move_t *calling; /* move whose call is in flight, or NULL */
 };
 
@@ -111,7 +111,7 @@
 static void end_move(rebalancer_t *r, move_t *move)
 {
     if (r->calling == move) {
-        web_ask_cancel(&r->ask);
+        web_fetch_cancel(&r->ask);
         r->calling = NULL;
     }
     cds_list_del(&move->node);
@@ -197,9 +197,9 @@
     call_gate_update(r->gate, r->calling->engine.id, &notice, tc_time_now());
 }
 
-static void call_engine(rebalancer_t *r, move_t *move, GByteArray *request, web_ask_fn_t fn)
+static void call_engine(rebalancer_t *r, move_t *move, GByteArray *request, web_fetch_fn_t fn)
 {
-    const web_ask_where_t where = {.loop = r->loop,
+    const web_fetch_options_t where = {.loop = r->loop,
                                    .client = r->client,
                                    .addr = move->engine.addr,
                                    .is_ours = dialect_is_query_answer,
@@ -207,16 +207,16 @@
                                    .connect_ms = CONNECT_TIMEOUT_MS,
                                    .limit_ms = ORDER_TIMEOUT_MS};
     r->calling = move;
-    web_ask(&r->ask, &where, request, fn, r);
+    web_fetch(&r->ask, &where, request, fn, r);
 }
 
 /** Handles the engine's answer to an order. */
-static void on_ordered(void *arg, web_ask_end_t how)
+static void on_ordered(void *arg, web_fetch_result_t how)
 {
     rebalancer_t *const r = arg;
     move_t *const move = r->calling;
     r->calling = NULL;
-    if (how != WEB_ASK_WHOLE) {
+    if (how != WEB_FETCH_OK) {
         counter_add(&c_unknown, 1);
         move->state = MOVE_ORDERED; /* it may have been accepted, or be carried out later */
         log_move(r, move, "no answer", 0);
@@ -250,13 +250,13 @@
 }
 
 /** Sends the order if the engine's report allows it; the order refers to this report. */
-static void on_engine_report(void *arg, web_ask_end_t how)
+static void on_engine_report(void *arg, web_fetch_result_t how)
 {
     rebalancer_t *const r = arg;
     move_t *const move = r->calling;
     dialect_engine_t engine;
     r->calling = NULL;
-    const bool known = how == WEB_ASK_WHOLE && r->ask.status == STATUS_OK &&
+    const bool known = how == WEB_FETCH_OK && r->ask.status == STATUS_OK &&
                        dialect_read_engine((const char *)r->ask.body->data, r->ask.body->len, &engine);
     if (tc_time_now() - r->ticked_at > STALL_MS) {
         log_move(r, move, "this box stood still", 0);
--- a/lib/web/web_ask.c
+++ b/lib/web/web_fetch.c
@@ -1,10 +1,10 @@
-#include "web/web_ask.h"
+#include "web/web_fetch.h"
 
 #include <assert.h>
 
 static web_verdict_t on_head(void *arg, const web_head_t *head)
 {
-    web_ask_t *const ask = arg;
+    web_fetch_t *const ask = arg;
     if (ask->on_head)
         ask->on_head(ask->arg, head);
     if (ask->is_ours && !ask->is_ours(head))
@@ -15,31 +15,31 @@
 
 static void on_data(void *arg, const char *data, size_t size)
 {
-    web_ask_t *const ask = arg;
+    web_fetch_t *const ask = arg;
     if (ask->body_bytes == 0 || size <= ask->body_bytes - ask->body->len) {
         g_byte_array_append(ask->body, (const guint8 *)data, (guint)size);
         return;
     }
-    web_ask_cancel(ask);
-    ask->fn(ask->arg, WEB_ASK_BROKEN);
+    web_fetch_cancel(ask);
+    ask->fn(ask->arg, WEB_FETCH_FAILED);
 }
 
 static void on_end(void *arg, web_end_t how)
 {
-    web_ask_t *const ask = arg;
+    web_fetch_t *const ask = arg;
     ask->call = NULL;
     loop_disarm(&ask->limit);
-    ask->fn(ask->arg, how == WEB_END_WHOLE ? WEB_ASK_WHOLE : WEB_ASK_BROKEN);
+    ask->fn(ask->arg, how == WEB_END_WHOLE ? WEB_FETCH_OK : WEB_FETCH_FAILED);
 }
 
 static void on_limit(void *arg)
 {
-    web_ask_t *const ask = arg;
-    web_ask_cancel(ask);
-    ask->fn(ask->arg, WEB_ASK_LATE);
+    web_fetch_t *const ask = arg;
+    web_fetch_cancel(ask);
+    ask->fn(ask->arg, WEB_FETCH_TIMEOUT);
 }
 
-void web_ask(web_ask_t *ask, const web_ask_where_t *where, GByteArray *request, web_ask_fn_t fn, void *arg)
+void web_fetch(web_fetch_t *ask, const web_fetch_options_t *where, GByteArray *request, web_fetch_fn_t fn, void *arg)
 {
     assert(!ask->call); /* its status and body are those of one call */
     ask->status = 0;
@@ -54,7 +54,7 @@
     loop_arm(where->loop, &ask->limit, tc_time_now() + where->limit_ms, on_limit, ask);
 }
 
-void web_ask_cancel(web_ask_t *ask)
+void web_fetch_cancel(web_fetch_t *ask)
 {
     if (ask->call)
         web_call_cancel(ask->call);
