--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -251,10 +251,10 @@
     forward_continue(f);
 }
 
-static void handle_stream_end(backend_call_t *call, web_end_t how)
+static void handle_stream_end(backend_call_t *call, web_result_t how)
 {
     forward_t *const f = call->request;
-    if (how == WEB_END_WHOLE && stream_at_boundary(call)) {
+    if (how == WEB_RESULT_COMPLETE && stream_at_boundary(call)) {
         instance_succeeded(call->instance);
         clear_quarantine(f);
         call_free(call, "streamed");
@@ -428,20 +428,20 @@
     }
 }
 
-static void on_end(void *arg, web_end_t how)
+static void on_end(void *arg, web_result_t how)
 {
     backend_call_t *const call = arg;
     call->http = NULL;
-    if (how == WEB_END_UNSENT)
+    if (how == WEB_RESULT_NOT_SENT)
         handle_not_run(call, "connection to the back end failed", false);
     else if (stream_has_begun(call)) /* a refusal is never streamed */
         handle_stream_end(call, how);
-    else if (how == WEB_END_WHOLE)
+    else if (how == WEB_RESULT_COMPLETE)
         handle_answer(call);
-    else if (how == WEB_END_CUT && call->reply.not_run)
+    else if (how == WEB_RESULT_TRUNCATED && call->reply.not_run)
         handle_not_run(call, "refused by the back end", true);
     else
-        handle_lost_answer(call, how == WEB_END_CUT ? "answer broke off" : "connection to the back end broke");
+        handle_lost_answer(call, how == WEB_RESULT_TRUNCATED ? "answer broke off" : "connection to the back end broke");
 }
 
 /* ===== Sending ===== */
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -112,7 +112,7 @@
     (void)arg, (void)data, (void)size;
 }
 
-static void on_cleanup_end(void *arg, web_end_t how)
+static void on_cleanup_end(void *arg, web_result_t how)
 {
     (void)how; /* an engine soon drops by itself what it keeps for us */
     cleanup_free(arg);
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -102,7 +102,7 @@
     cds_list_add(&call->node, &client->idle);
 }
 
-static void report_end(web_call_t *call, web_end_t how, bool keep)
+static void report_end(web_call_t *call, web_result_t how, bool keep)
 {
     const web_sink_t sink = call->sink;
     call_retire(call, keep);
@@ -116,7 +116,7 @@
         call_free(call);
         return;
     }
-    report_end(call, call->head_seen ? WEB_END_CUT : (call->sent ? WEB_END_BROKEN : WEB_END_UNSENT), false);
+    report_end(call, call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT), false);
 }
 
 /* ===== Answers ===== */
@@ -224,7 +224,7 @@
         /* An answer that came before the whole request was sent leaves the rest of it due on this connection. */
         const bool sent = call->written == call->request->len;
         const bool keep = sent && size > 0 && used == size && http_should_keep_alive(&call->parser);
-        report_end(call, WEB_END_WHOLE, keep);
+        report_end(call, WEB_RESULT_COMPLETE, keep);
         return;
     }
     if (size == 0 || HTTP_PARSER_ERRNO(&call->parser) != HPE_OK)
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -27,11 +27,11 @@
 
 /** How a call ended. */
 typedef enum {
-    WEB_END_WHOLE,  /**< the answer came whole */
-    WEB_END_UNSENT, /**< no connection: the back end has seen nothing of the request */
-    WEB_END_BROKEN, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run */
-    WEB_END_CUT     /**< the answer broke off behind its head */
-} web_end_t;
+    WEB_RESULT_COMPLETE,  /**< the answer came whole */
+    WEB_RESULT_NOT_SENT, /**< no connection: the back end has seen nothing of the request */
+    WEB_RESULT_NO_RESPONSE, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run */
+    WEB_RESULT_TRUNCATED     /**< the answer broke off behind its head */
+} web_result_t;
 
 /** What to do with an answer whose head has come. */
 typedef enum {
@@ -50,7 +50,7 @@
 typedef struct {
     web_verdict_t (*on_head)(void *arg, const web_head_t *head);
     void (*on_data)(void *arg, const char *data, size_t size);
-    void (*on_end)(void *arg, web_end_t how);
+    void (*on_end)(void *arg, web_result_t how);
     void *arg;
 } web_sink_t;
 
--- a/lib/web/web_fetch.c
+++ b/lib/web/web_fetch.c
@@ -24,12 +24,12 @@
     ask->fn(ask->arg, WEB_FETCH_FAILED);
 }
 
-static void on_end(void *arg, web_end_t how)
+static void on_end(void *arg, web_result_t how)
 {
     web_fetch_t *const ask = arg;
     ask->call = NULL;
     loop_disarm(&ask->limit);
-    ask->fn(ask->arg, how == WEB_END_WHOLE ? WEB_FETCH_OK : WEB_FETCH_FAILED);
+    ask->fn(ask->arg, how == WEB_RESULT_COMPLETE ? WEB_FETCH_OK : WEB_FETCH_FAILED);
 }
 
 static void on_limit(void *arg)
--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -364,7 +364,7 @@
     g_string_append_len(((lab_call_t *)arg)->body, data, (gssize)size);
 }
 
-static void on_end(void *arg, web_end_t how)
+static void on_end(void *arg, web_result_t how)
 {
     lab_call_t *const c = arg;
     c->done = true;
--- a/tests/harness/lab.h
+++ b/tests/harness/lab.h
@@ -40,7 +40,7 @@
 /** What came of one call of a caller. */
 typedef struct {
     bool done;
-    web_end_t how;
+    web_result_t how;
     int status;
     char *retry_after; /**< header, or NULL */
     char *headers;     /**< "name: value" lines, each with a line end before and behind it */
--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -396,7 +396,7 @@
 static __attribute__((unused)) void expect_whole(fixture_t *f, lab_call_t *c, const char *body)
 {
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpint(c->status, ==, 200);
     g_assert_cmpstr(c->body->str, ==, body);
     lab_call_free(c);
@@ -406,7 +406,7 @@
 static __attribute__((unused)) void expect(fixture_t *f, const char *path, int status, const char *body)
 {
     lab_call_t *const c = call(f, path);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpint(c->status, ==, status);
     if (body)
         g_assert_cmpstr(c->body->str, ==, body);
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -156,7 +156,7 @@
 {
     world_t *const w = s->world;
     const lab_call_t *const call = c->call;
-    const bool whole = call->how == WEB_END_WHOLE;
+    const bool whole = call->how == WEB_RESULT_COMPLETE;
     s->answered++;
     if (call->status == 200)
         check_body(s, c, whole);
@@ -223,9 +223,9 @@
 static void drive_puts(soak_t *s, tc_time_t now)
 {
     if (s->put && s->put->done) {
-        if (s->put->how == WEB_END_WHOLE && s->put->status == 200)
+        if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 200)
             on_acknowledged(s);
-        if (s->put->how == WEB_END_WHOLE && s->put->status == 400)
+        if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 400)
             world_broken(s->world, "a valid configuration is not refused", s->put->body->str);
         lab_call_free(s->put);
         s->put = NULL;
@@ -250,7 +250,7 @@
 {
     if (s->read && s->read->done) {
         json_t *const root =
-            s->read->how == WEB_END_WHOLE && s->read->status == 200 ? json_loads(s->read->body->str, 0, NULL) : NULL;
+            s->read->how == WEB_RESULT_COMPLETE && s->read->status == 200 ? json_loads(s->read->body->str, 0, NULL) : NULL;
         const uint64_t version = (uint64_t)json_integer_value(json_object_get(root, "version"));
         if (root && version < s->read_floor)
             world_broken(s->world, "a read is never older than what was acknowledged", "config");
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -267,7 +267,7 @@
     (void)data;
     start_engines(f, "lm", "p", "T", "S");
     lab_call_t *const c = call(f, "/lm/x");
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     g_assert_cmpstr(c->body->str, ==, FIRST); /* complete events only */
     g_assert_cmpuint(requests(f, 2), ==, 0);  /* the route allows one run */
     lab_call_free(c);
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -156,7 +156,7 @@
             g_strdup_printf("%s /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id1\r\n\r\n", i % 2 ? "GET" : "HEAD");
         lab_call_t *const c = lab_call_kept(f->callers, f->addr, text);
         lab_run_until_true(f->loop, &c->done);
-        g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+        g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
         g_assert_cmpint(c->status, ==, 200);
         g_assert_cmpstr(c->body->str, ==, i % 2 ? "ok" : "");
         lab_call_free(c);
--- a/tests/platform/test_quarantine.c
+++ b/tests/platform/test_quarantine.c
@@ -114,7 +114,7 @@
 static void expect_served(fixture_t *f, const char *path, const char *part, const char *body)
 {
     lab_call_t *const c = send_request(f, path, part, body);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpint(c->status, ==, 200);
     lab_call_free(c);
 }
@@ -135,7 +135,7 @@
 {
     const unsigned before = all_requests(f);
     lab_call_t *const c = send_request(f, path, "own", "poison");
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpint(c->status, ==, 503);
     g_assert_nonnull(c->retry_after);
     g_assert_cmpuint(all_requests(f), ==, before);
--- a/tests/platform/test_stream_events.c
+++ b/tests/platform/test_stream_events.c
@@ -47,7 +47,7 @@
     (void)data;
     start_engines(f, "lm", "p", "T", "S");
     lab_call_t *const c = call(f, "/soon/x");
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     g_assert_cmpstr(c->body->str, ==, FIRST);
     lab_call_free(c);
     g_assert_nonnull(strstr(f->plan[2].seen->str, "Last-Event-Id: 1\r\n"));
@@ -62,7 +62,7 @@
     f->plan[1].stream = FIRST "data: x\n\n";
     f->plan[1].stream_size = strlen(f->plan[1].stream);
     lab_call_t *const c = call(f, "/soon/x");
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     g_assert_cmpstr(c->body->str, ==, f->plan[1].stream);
     lab_call_free(c);
     f->plan[1].stream = FIRST ": still there\n\n";
@@ -148,7 +148,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
         lab_call_t *const c = call(f, paths[i]);
         g_assert_cmpint(c->status, ==, 200);
-        g_assert_cmpint(c->how, ==, WEB_END_CUT);
+        g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
         g_assert_cmpstr(c->body->str, ==, FIRST);
         lab_call_free(c);
     }
@@ -173,7 +173,7 @@
         return;
     }
     lab_call_t *const c = call(f, "/soon/x");
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
     g_assert_cmpuint(requests(f, 0), ==, 1); /* no prefill for a run that is not allowed */
 }
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -448,7 +448,7 @@
         if (q->leaves && !c->done && c->body->len > LEAVE_BYTES) {
             web_call_cancel(c->call);
             c->done = true;
-            c->how = WEB_END_CUT;
+            c->how = WEB_RESULT_TRUNCATED;
         }
         done &= c->done;
     }
@@ -515,7 +515,7 @@
         rest += strlen(made->bytes);
         next = at + 1;
     }
-    if (q->call->how == WEB_END_WHOLE && (last != q->tokens || has_more(q, next)))
+    if (q->call->how == WEB_RESULT_COMPLETE && (last != q->tokens || has_more(q, next)))
         fail_of(q, "ended well before its end", rest);
     return runs;
 }
@@ -526,13 +526,13 @@
     if (q->backends == 1 && q->ran > 1)
         fail_of(q, "ran twice", c->body->str);
     if (c->status != 200) {
-        const bool refused = c->how == WEB_END_WHOLE && c->status >= 500;
+        const bool refused = c->how == WEB_RESULT_COMPLETE && c->status >= 500;
         if (!refused || strcmp(c->body->str, c->status == 500 ? "no" : "") != 0)
             fail_of(q, "neither an answer nor a refusal", c->body->str);
         return;
     }
     w->resumed += check_events(q) > 1;
-    w->whole += c->how == WEB_END_WHOLE;
+    w->whole += c->how == WEB_RESULT_COMPLETE;
 }
 
 /* ===== The test ===== */
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -131,7 +131,7 @@
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /cut HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
 }
 
@@ -143,7 +143,7 @@
     web_server_retire(f->server); /* what is under way is still answered */
     web_answer(f->exchange, 200, "", "late", 4);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(c->body->str, ==, "late");
     lab_call_free(c);
 }
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -16,7 +16,7 @@
     return (lab_reply_t){.bytes = g_strdup(answer->bytes), .end = answer->end};
 }
 
-static web_end_t end_of(fixture_t *f, const char *bytes, lab_end_t end, char **body)
+static web_result_t end_of(fixture_t *f, const char *bytes, lab_end_t end, char **body)
 {
     answer_t answer = {.bytes = bytes, .end = end};
     char addr[32];
@@ -24,7 +24,7 @@
     lab_backend_t *const b = lab_backend_start(f->loop, addr, say, &answer);
     lab_call_t *const c = lab_call(f->client, addr, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
-    const web_end_t how = c->how;
+    const web_result_t how = c->how;
     if (body)
         *body = g_strdup(c->body->str);
     lab_call_free(c);
@@ -37,17 +37,17 @@
     (void)data;
     char *body = NULL;
     g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore", LAB_KEEP, &body), ==,
-                    WEB_END_WHOLE);
+                    WEB_RESULT_COMPLETE);
     g_assert_cmpstr(body, ==, "ok"); /* what is behind a whole answer belongs to nobody */
     g_free(body);
-    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", LAB_CLOSE, NULL), ==, WEB_END_CUT);
-    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the end", LAB_CLOSE, NULL), ==, WEB_END_WHOLE);
-    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the", LAB_RESET, NULL), !=, WEB_END_WHOLE);
+    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", LAB_CLOSE, NULL), ==, WEB_RESULT_TRUNCATED);
+    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the end", LAB_CLOSE, NULL), ==, WEB_RESULT_COMPLETE);
+    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the", LAB_RESET, NULL), !=, WEB_RESULT_COMPLETE);
     g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", LAB_CLOSE, NULL), ==,
-                    WEB_END_CUT);
-    g_assert_cmpint(end_of(f, "no answer at all", LAB_CLOSE, NULL), ==, WEB_END_BROKEN);
-    g_assert_cmpint(end_of(f, NULL, LAB_RESET, NULL), ==, WEB_END_BROKEN);
-    g_assert_cmpint(end_of(f, NULL, LAB_CLOSE, NULL), ==, WEB_END_BROKEN);
+                    WEB_RESULT_TRUNCATED);
+    g_assert_cmpint(end_of(f, "no answer at all", LAB_CLOSE, NULL), ==, WEB_RESULT_NO_RESPONSE);
+    g_assert_cmpint(end_of(f, NULL, LAB_RESET, NULL), ==, WEB_RESULT_NO_RESPONSE);
+    g_assert_cmpint(end_of(f, NULL, LAB_CLOSE, NULL), ==, WEB_RESULT_NO_RESPONSE);
 }
 
 /* ===== Resets ===== */
@@ -112,7 +112,7 @@
     peer_end_reset(&p);
     g_assert_true(web_call_has_news(c->call));
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
 }
 
@@ -130,7 +130,7 @@
     lab_run_until(f->loop, has_body, c);
     peer_end_reset(&p);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
     g_free(text);
     g_free(body);
@@ -143,7 +143,7 @@
     lab_free_addr(addr);
     lab_call_t *const c = lab_call(f->client, addr, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_UNSENT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_NOT_SENT);
     lab_call_free(c);
 }
 
@@ -152,7 +152,7 @@
     web_client_keep(f->client, 4);
     lab_call_t *const c = lab_call_kept(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     lab_call_free(c);
     lab_run_for(f->loop, 20); /* what an unsent rest would do to the connection shows now */
     return lab_call_kept(f->client, addr, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -171,7 +171,7 @@
     char *const text = g_strdup_printf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", BODY, body);
     lab_call_t *const next = call_twice(f, addr, text);
     lab_run_until_true(f->loop, &next->done);
-    g_assert_cmpint(next->how, ==, WEB_END_WHOLE); /* not behind the unsent rest of the first */
+    g_assert_cmpint(next->how, ==, WEB_RESULT_COMPLETE); /* not behind the unsent rest of the first */
     g_assert_cmpuint(lab_backend_requests(b), ==, 2);
     lab_call_free(next);
     g_free(text);
@@ -190,7 +190,7 @@
     unsigned heads;
     bool drop_at_head, drop_at_data;
     bool done;
-    web_end_t how;
+    web_result_t how;
     lab_call_t *next; /* begun when it is dropped */
 } picky_t;
 
@@ -219,7 +219,7 @@
         picky_drop(p);
 }
 
-static void picky_end(void *arg, web_end_t how)
+static void picky_end(void *arg, web_result_t how)
 {
     picky_t *const p = arg;
     p->done = true;
@@ -237,7 +237,7 @@
 }
 
 /** How it ends when the answer @p bytes comes. @param body what it gets of it */
-static void expect_picky(fixture_t *f, const char *bytes, lab_end_t end, web_end_t how, const char *body)
+static void expect_picky(fixture_t *f, const char *bytes, lab_end_t end, web_result_t how, const char *body)
 {
     answer_t answer = {.bytes = bytes, .end = end};
     char addr[32];
@@ -259,27 +259,27 @@
 static void test_answers_of_somebody_else(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    expect_picky(f, OTHER "Content-Length: 5\r\n\r\nother" OK_OURS, LAB_KEEP, WEB_END_WHOLE, "ours");
-    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" OK_OURS, LAB_KEEP, WEB_END_WHOLE,
+    expect_picky(f, OTHER "Content-Length: 5\r\n\r\nother" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE, "ours");
+    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE,
                  "ours");
-    expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_CLOSE, WEB_END_BROKEN, "");
-    expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_RESET, WEB_END_BROKEN, "");
-    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\noth", LAB_CLOSE, WEB_END_BROKEN, "");
-    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\noth" OK_OURS, LAB_CLOSE, WEB_END_BROKEN, "");
-    expect_picky(f, OTHER "\r\nto the end", LAB_CLOSE, WEB_END_BROKEN, "");
-    expect_picky(f, OTHER "Content-Length: 5\r\n\r\nother" OK_OURS "more", LAB_KEEP, WEB_END_WHOLE, "ours");
+    expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
+    expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_RESET, WEB_RESULT_NO_RESPONSE, "");
+    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\noth", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
+    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\noth" OK_OURS, LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
+    expect_picky(f, OTHER "\r\nto the end", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
+    expect_picky(f, OTHER "Content-Length: 5\r\n\r\nother" OK_OURS "more", LAB_KEEP, WEB_RESULT_COMPLETE, "ours");
 }
 
 /** An interim answer is none, whatever it says; and what it says is not said of the answer. */
 static void test_interim_answers(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    expect_picky(f, "HTTP/1.1 100 Continue\r\nOther: 1\r\n\r\n" OK_OURS, LAB_KEEP, WEB_END_WHOLE, "ours");
-    expect_picky(f, "HTTP/1.1 103 Early\r\nOther: 1\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" OK_OURS, LAB_KEEP, WEB_END_WHOLE,
+    expect_picky(f, "HTTP/1.1 100 Continue\r\nOther: 1\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE, "ours");
+    expect_picky(f, "HTTP/1.1 103 Early\r\nOther: 1\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE,
                  "ours");
-    expect_picky(f, "HTTP/1.1 100 Continue\r\n\r\n", LAB_CLOSE, WEB_END_BROKEN, "");
+    expect_picky(f, "HTTP/1.1 100 Continue\r\n\r\n", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
     /* Nobody asked for another protocol: what follows is no answer. */
-    expect_picky(f, "HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" OK_OURS, LAB_KEEP, WEB_END_BROKEN,
+    expect_picky(f, "HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_NO_RESPONSE,
                  "");
 }
 
@@ -300,7 +300,7 @@
         while (!*next)
             lab_run_for(f->loop, 5);
         lab_run_until_true(f->loop, &p.next->done);
-        g_assert_cmpint(p.next->how, ==, WEB_END_WHOLE);
+        g_assert_cmpint(p.next->how, ==, WEB_RESULT_COMPLETE);
         g_assert_cmpstr(p.next->body->str, ==, "ours");
         g_assert_false(p.done);
         g_assert_cmpuint(p.heads, ==, 1);
@@ -346,14 +346,14 @@
     web_client_keep(f->client, 4);
     lab_call_t *const c = lab_call_kept(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(c->body->str, ==, body);
     lab_call_free(c);
     if (late > 0)
         lab_run_for(f->loop, 20);
     lab_call_t *const next = lab_call_kept(f->client, addr, GET("/2"));
     lab_run_until_true(f->loop, &next->done);
-    g_assert_cmpint(next->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(next->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(next->body->str, ==, "/2");
     lab_call_free(next);
     lab_backend_stop(b);
