--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -381,7 +381,7 @@
         loop_disarm(&f->call_timer); /* armed for an earlier event */
 }
 
-static web_verdict_t on_head(void *arg, const web_head_t *head)
+static web_head_action_t on_head(void *arg, const web_head_t *head)
 {
     backend_call_t *const call = arg;
     forward_t *const f = call->request;
@@ -389,13 +389,13 @@
     dialect_read_reply(head, f->facts.id, &reply);
     notice_apply(f->owner, call->instance, head); /* even the late answer of another request comes from this back end */
     if (!reply.matches_request)
-        return WEB_SKIP;
+        return WEB_HEAD_SKIP;
     call->reply = reply;
     call->head_seen = true;
     call->status = head->status;
     limit_update(call);
     if (call->op == DIALECT_PREFILL || call->reply.not_run)
-        return WEB_TAKE;
+        return WEB_HEAD_ACCEPT;
     call->head = dialect_forward_headers(head);
     const bool streams = f->route->kind == ROUTE_STREAM && call->reply.success && call->reply.authentic;
     if (streams && f->handle.instance)
@@ -411,7 +411,7 @@
         stream_begin(call);
         arm_silence_timer(f);
     }
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void on_data(void *arg, const char *data, size_t size)
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -100,11 +100,11 @@
     g_free(u);
 }
 
-static web_verdict_t on_cleanup_head(void *arg, const web_head_t *head)
+static web_head_action_t on_cleanup_head(void *arg, const web_head_t *head)
 {
     const cleanup_t *const u = arg;
     notice_apply(u->owner, u->instance, head);
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void ignore_data(void *arg, const char *data, size_t size)
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -171,7 +171,7 @@
         return HAS_BODY; /* an interim answer: the real one follows */
     const web_head_t head = {.status = (int)parser->status_code, .headers = &call->headers};
     call->reporting = true;
-    call->skipping = call->sink.on_head(call->sink.arg, &head) == WEB_SKIP;
+    call->skipping = call->sink.on_head(call->sink.arg, &head) == WEB_HEAD_SKIP;
     call->reporting = false;
     if (call->skipping)
         counter_add(&c_strays, 1);
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -35,9 +35,9 @@
 
 /** What to do with an answer whose head has come. */
 typedef enum {
-    WEB_TAKE, /**< it is ours */
-    WEB_SKIP  /**< it belongs to an earlier request: read past it and wait for the next */
-} web_verdict_t;
+    WEB_HEAD_ACCEPT, /**< it is ours */
+    WEB_HEAD_SKIP  /**< it belongs to an earlier request: read past it and wait for the next */
+} web_head_action_t;
 
 /** The head of an answer; borrowed for the call of on_head. */
 typedef struct {
@@ -48,7 +48,7 @@
 /** Where a call reports to. on_end comes last and exactly once, unless the call is cancelled. None of them is called
  *  from within web_call or web_call_cancel. */
 typedef struct {
-    web_verdict_t (*on_head)(void *arg, const web_head_t *head);
+    web_head_action_t (*on_head)(void *arg, const web_head_t *head);
     void (*on_data)(void *arg, const char *data, size_t size);
     void (*on_end)(void *arg, web_result_t how);
     void *arg;
--- a/lib/web/web_fetch.c
+++ b/lib/web/web_fetch.c
@@ -2,15 +2,15 @@
 
 #include <assert.h>
 
-static web_verdict_t on_head(void *arg, const web_head_t *head)
+static web_head_action_t on_head(void *arg, const web_head_t *head)
 {
     web_fetch_t *const ask = arg;
     if (ask->on_head)
         ask->on_head(ask->arg, head);
     if (ask->is_ours && !ask->is_ours(head))
-        return WEB_SKIP;
+        return WEB_HEAD_SKIP;
     ask->status = head->status;
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void on_data(void *arg, const char *data, size_t size)
--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -345,7 +345,7 @@
 
 /* ===== Callers ===== */
 
-static web_verdict_t on_head(void *arg, const web_head_t *head)
+static web_head_action_t on_head(void *arg, const web_head_t *head)
 {
     lab_call_t *const c = arg;
     c->status = head->status;
@@ -356,7 +356,7 @@
         g_string_append_printf(lines, "%s: %s\n", h->name, h->value);
     }
     c->headers = g_string_free(lines, FALSE);
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void on_data(void *arg, const char *data, size_t size)
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -200,15 +200,15 @@
     p->next = lab_call_kept(p->f->client, p->addr, GET("/next"));
 }
 
-static web_verdict_t picky_head(void *arg, const web_head_t *head)
+static web_head_action_t picky_head(void *arg, const web_head_t *head)
 {
     picky_t *const p = arg;
     if (web_headers_get(head->headers, "Other"))
-        return WEB_SKIP;
+        return WEB_HEAD_SKIP;
     p->heads++;
     if (p->drop_at_head)
         picky_drop(p);
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void picky_data(void *arg, const char *bytes, size_t size)
