--- a/lib/forward/forward_probe.c
+++ b/lib/forward/forward_probe.c
@@ -44,7 +44,7 @@
     g_free(probe);
 }
 
-static void log_probe(const probe_t *probe, web_probe_end_t found, bool ended)
+static void log_probe(const probe_t *probe, web_probe_result_t found, bool ended)
 {
     static const char *const names[] = {"open", "refused", "silent"};
     log_line_t line;
@@ -85,14 +85,14 @@
 static void on_probe_due(void *arg);
 
 /** Whether to probe again: a call in transit when the back end ended counts as running until its connection fails. */
-static bool is_undecided(const probe_t *probe, web_probe_end_t found, tc_time_t now)
+static bool is_undecided(const probe_t *probe, web_probe_result_t found, tc_time_t now)
 {
     return found == WEB_PROBE_REFUSED && probe->instance->running > 0 && now - probe->lost_at < PROBE_LIMIT_MS;
 }
 
 /** A back end has ended when it refuses connections and runs no request of this box any more. A busy back end may
  * refuse a connection too, but its requests keep running. */
-static void on_probed(void *arg, web_probe_end_t found)
+static void on_probed(void *arg, web_probe_result_t found)
 {
     probe_t *const probe = arg;
     const tc_time_t now = tc_time_now();
--- a/lib/web/web_probe.c
+++ b/lib/web/web_probe.c
@@ -9,17 +9,17 @@
 
 #include "peer/peer.h"
 
-static void end(web_probe_t *probe, web_probe_end_t how)
+static void end(web_probe_t *probe, web_probe_result_t how)
 {
     web_probe_cancel(probe);
     probe->fn(probe->arg, how);
 }
 
-static web_probe_end_t read_error(int error)
+static web_probe_result_t read_error(int error)
 {
     if (error == 0)
         return WEB_PROBE_OPEN;
-    return error == ECONNREFUSED ? WEB_PROBE_REFUSED : WEB_PROBE_SILENT;
+    return error == ECONNREFUSED ? WEB_PROBE_REFUSED : WEB_PROBE_UNREACHABLE;
 }
 
 static void on_io(void *arg, uint32_t events)
@@ -35,7 +35,7 @@
 
 static void on_limit(void *arg)
 {
-    end(arg, WEB_PROBE_SILENT);
+    end(arg, WEB_PROBE_UNREACHABLE);
 }
 
 static void on_refused_at_once(void *arg)
--- a/lib/web/web_probe.h
+++ b/lib/web/web_probe.h
@@ -18,11 +18,11 @@
 typedef enum {
     WEB_PROBE_OPEN,    /**< a connection came up */
     WEB_PROBE_REFUSED, /**< the machine is there, and nobody listens */
-    WEB_PROBE_SILENT   /**< neither: the way or the machine may be lost */
-} web_probe_end_t;
+    WEB_PROBE_UNREACHABLE   /**< neither: the way or the machine may be lost */
+} web_probe_result_t;
 
 /** The probe has ended; it may be begun again, or freed, from within. */
-typedef void (*web_probe_fn_t)(void *arg, web_probe_end_t end);
+typedef void (*web_probe_fn_t)(void *arg, web_probe_result_t end);
 
 /** One probe at a time. Zeroed before its first use. */
 typedef struct {
