--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -468,7 +468,7 @@
         return;
     }
     retry_earn(f);
-    web_on_gone(exchange, on_caller_gone, f);
+    web_on_disconnect(exchange, on_caller_gone, f);
     loop_arm(fw->loop, &f->limit, f->deadline, on_limit, f);
     forward_continue(f);
 }
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -37,7 +37,7 @@
     forwarder_t *const fw = e->owner;
     web_exchange_t *const exchange = e->exchange;
     const web_request_t request = e->request;
-    web_on_gone(exchange, NULL, NULL);
+    web_on_disconnect(exchange, NULL, NULL);
     early_end(e);
     forward_route(fw, exchange, &request);
 }
@@ -71,7 +71,7 @@
     e->request = *request;
     cds_list_add_tail(&e->node, &fw->early);
     fw->in_flight++;
-    web_on_gone(exchange, on_gone, e);
+    web_on_disconnect(exchange, on_gone, e);
     loop_arm(fw->loop, &e->limit, now + EARLY_WAIT_MS, on_limit, e);
     return true;
 }
--- a/lib/web/web_answer.c
+++ b/lib/web/web_answer.c
@@ -83,7 +83,7 @@
 
 /* ===== Answering ===== */
 
-void web_on_gone(web_exchange_t *c, loop_fn_t fn, void *arg)
+void web_on_disconnect(web_exchange_t *c, loop_fn_t fn, void *arg)
 {
     assert(c->state == EXCHANGE_HANDLING); /* only a request being handled can lose its caller */
     c->gone = fn;
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -69,7 +69,7 @@
 void web_server_stop(web_server_t *server);
 
 /** Report when the caller leaves before the answer is complete; the exchange is invalid once @p fn has run. */
-void web_on_gone(web_exchange_t *exchange, loop_fn_t fn, void *arg);
+void web_on_disconnect(web_exchange_t *exchange, loop_fn_t fn, void *arg);
 
 /** The request's body is needed no more: free it before the answer. */
 void web_drop_body(web_exchange_t *exchange);
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -60,7 +60,7 @@
     if (strcmp(request->target, "/hold") == 0) {
         f->held = true;
         f->exchange = exchange;
-        web_on_gone(exchange, on_gone, f);
+        web_on_disconnect(exchange, on_gone, f);
         return;
     }
     if (strcmp(request->target, "/stream") == 0) {
