--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -384,12 +384,12 @@
     return s;
 }
 
-void web_server_retire(web_server_t *s)
+void web_server_drain(web_server_t *s)
 {
     s->retiring = true;
 }
 
-unsigned web_server_busy(const web_server_t *s)
+unsigned web_server_in_flight(const web_server_t *s)
 {
     return s->busy;
 }
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -62,9 +62,9 @@
                                void *arg, tc_err_t *err);
 
 /** From now on answers tell callers to close, and the connection is closed behind them. */
-void web_server_retire(web_server_t *server);
+void web_server_drain(web_server_t *server);
 /** Requests being handled. */
-unsigned web_server_busy(const web_server_t *server);
+unsigned web_server_in_flight(const web_server_t *server);
 /** Close everything. */
 void web_server_stop(web_server_t *server);
 
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -101,7 +101,7 @@
     lab_run_until_true(f->loop, &f->held);
     web_call_cancel(c->call);
     lab_run_until_true(f->loop, &f->gone);
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     lab_call_free(c);
 }
 
@@ -121,7 +121,7 @@
     web_begin(f->exchange, 200, "");
     web_add(f->exchange, piece, MORE_THAN_BUFFERS);
     lab_run_until_true(f->loop, &f->gone); /* it reads nothing, and never closes */
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     g_free(piece);
     close(fd);
 }
@@ -140,7 +140,7 @@
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &f->held);
-    web_server_retire(f->server); /* what is under way is still answered */
+    web_server_drain(f->server); /* what is under way is still answered */
     web_answer(f->exchange, 200, "", "late", 4);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
@@ -338,7 +338,7 @@
     (void)raw_read(&raw, SIZE_MAX);
     g_assert_true(raw.closed);
     g_assert_cmpuint(raw.in->len, <, 4 * LARGE);
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     raw_close(&raw);
 }
 
