--- a/lib/forward/forward_stream.c
+++ b/lib/forward/forward_stream.c
@@ -200,7 +200,7 @@
     if (used == 0)
         return;
     record_time(call->request, tc_time_now());
-    web_add(call->request->exchange, call->run.partial->data, used);
+    web_write(call->request->exchange, call->run.partial->data, used);
     g_byte_array_remove_range(call->run.partial, 0, (guint)used);
 }
 
--- a/lib/web/web_answer.c
+++ b/lib/web/web_answer.c
@@ -181,7 +181,7 @@
     (void)exchange_flush(c); /* a break shows as an event */
 }
 
-void web_add(web_exchange_t *c, const void *data, size_t size)
+void web_write(web_exchange_t *c, const void *data, size_t size)
 {
     if (size == 0 || c->bodiless)
         return; /* an empty chunk would end the answer */
--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -69,7 +69,7 @@
     exchange_drop_body(c);
 }
 
-bool web_has_room(const web_exchange_t *c, size_t size)
+bool web_can_buffer(const web_exchange_t *c, size_t size)
 {
     return has_room(c->server, size);
 }
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -74,7 +74,7 @@
 /** The request's body is needed no more: free it before the answer. */
 void web_drop_body(web_exchange_t *exchange);
 /** Whether the server may hold an answer of so many bytes, by held_bytes. */
-bool web_has_room(const web_exchange_t *exchange, size_t size);
+bool web_can_buffer(const web_exchange_t *exchange, size_t size);
 
 /** Answer whole and end the exchange. @param head header lines, each with its line end, or ""; length and connection
  *  are added here. */
@@ -83,7 +83,7 @@
 /** Begin an answer of unknown length. @param head as for web_answer */
 void web_begin(web_exchange_t *exchange, int status, const char *head);
 /** Add to an answer that was begun. */
-void web_add(web_exchange_t *exchange, const void *data, size_t size);
+void web_write(web_exchange_t *exchange, const void *data, size_t size);
 /** Bytes of answers that the connection has not taken yet. */
 size_t web_unsent(const web_exchange_t *exchange);
 /** The answer that was begun is complete. Ends the exchange. */
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -38,9 +38,9 @@
     g_assert_nonnull(second->retry_after);
     lab_call_free(second);
     g_assert_cmpint(status_of(f, chunks), ==, 503);
-    g_assert_false(web_has_room(f->exchange, 25));
+    g_assert_false(web_can_buffer(f->exchange, 25));
     web_drop_body(f->exchange); /* it is needed no more, though it is not answered */
-    g_assert_true(web_has_room(f->exchange, 64));
+    g_assert_true(web_can_buffer(f->exchange, 64));
     g_assert_cmpint(status_of(f, chunks), ==, 200);
     web_answer(f->exchange, 200, "", "", 0);
     lab_run_until_true(f->loop, &first->done);
@@ -119,7 +119,7 @@
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
     web_begin(f->exchange, 200, "");
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
     lab_run_until_true(f->loop, &f->gone); /* it reads nothing, and never closes */
     g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     g_free(piece);
@@ -378,7 +378,7 @@
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(size);
     web_begin(f->exchange, 200, "");
-    web_add(f->exchange, piece, size);
+    web_write(f->exchange, piece, size);
     g_free(piece);
     return raw;
 }
@@ -400,8 +400,8 @@
     f->limits.take_ms = 60000; /* it is not given up before */
     raw_t raw = begin_old(f, MORE_THAN_BUFFERS);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
     g_free(piece);
     lab_run_until_true(f->loop, &f->gone);
     expect_reset(f, raw.fd);
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -65,7 +65,7 @@
     }
     if (strcmp(request->target, "/stream") == 0) {
         web_begin(exchange, 200, "");
-        web_add(exchange, "piece", 5);
+        web_write(exchange, "piece", 5);
         web_end(exchange);
         return;
     }
@@ -81,7 +81,7 @@
     }
     if (strcmp(request->target, "/cut") == 0) {
         web_begin(exchange, 200, "");
-        web_add(exchange, "half", 4);
+        web_write(exchange, "half", 4);
         web_abort(exchange);
         return;
     }
