--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -410,7 +410,7 @@
     return client;
 }
 
-void web_client_keep(web_client_t *client, unsigned idle_max)
+void web_client_set_idle_max(web_client_t *client, unsigned idle_max)
 {
     client->idle_max = idle_max;
 }
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -56,13 +56,13 @@
 
 /* ===== Public functions ===== */
 
-/** A client that keeps no idle connections: see web_client_keep. */
+/** A client that keeps no idle connections: see web_client_set_idle_max. */
 web_client_t *web_client_create(loop_t *loop);
 /** Calls still open end without a report. */
 void web_client_destroy(web_client_t *client);
 
 /** Most idle connections kept to one address. */
-void web_client_keep(web_client_t *client, unsigned idle_max);
+void web_client_set_idle_max(web_client_t *client, unsigned idle_max);
 
 /** Send a request.
  * @param addr "IP:port"
--- a/tests/platform/test_discover.c
+++ b/tests/platform/test_discover.c
@@ -49,7 +49,7 @@
     (void)data;
     f->loop = loop_create();
     f->client = web_client_create(f->loop);
-    web_client_keep(f->client, 1);
+    web_client_set_idle_max(f->client, 1);
     lab_free_addr(addr);
     f->platform = lab_backend_start(f->loop, addr, answer, f);
     const discover_platform_t platform = {.addr = addr, .rate = RATE};
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -149,8 +149,8 @@
 {
     (void)data;
     start_all(f, (backend_plan_t[]){{"app", "", "EoEo", false, false}}, 1);
-    web_client_keep(f->client, 4);
-    web_client_keep(f->callers, 4);
+    web_client_set_idle_max(f->client, 4);
+    web_client_set_idle_max(f->callers, 4);
     for (int i = 0; i < 4; i++) {
         char *const text =
             g_strdup_printf("%s /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id1\r\n\r\n", i % 2 ? "GET" : "HEAD");
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -571,8 +571,8 @@
                                       {"lm", "decode", "", false, false},
                                       {"lm", "decode", "", false, false}},
                    6, answer_at_random, &w);
-    web_client_keep(f->client, 8);
-    web_client_keep(f->callers, 8);
+    web_client_set_idle_max(f->client, 8);
+    web_client_set_idle_max(f->callers, 8);
     const unsigned n = seeds();
     for (unsigned first = 1; first <= n; first += SEEDS_PER_BATCH)
         run_seeds(&w, first, MIN(n, first + SEEDS_PER_BATCH - 1));
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -149,7 +149,7 @@
 
 static lab_call_t *call_twice(fixture_t *f, const char *addr, const char *request)
 {
-    web_client_keep(f->client, 4);
+    web_client_set_idle_max(f->client, 4);
     lab_call_t *const c = lab_call_kept(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
@@ -292,7 +292,7 @@
     char addr[32];
     lab_free_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, say, &answer);
-    web_client_keep(f->client, 4);
+    web_client_set_idle_max(f->client, 4);
     for (int at_data = 0; at_data <= 1; at_data++) {
         picky_t p = {.f = f, .addr = addr, .drop_at_head = !at_data, .drop_at_data = at_data};
         picky_begin(&p);
@@ -343,7 +343,7 @@
     char addr[32];
     lab_free_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, say_kept, &kept);
-    web_client_keep(f->client, 4);
+    web_client_set_idle_max(f->client, 4);
     lab_call_t *const c = lab_call_kept(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
