--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -345,7 +345,7 @@
  *  this box was suspended, or they arrived while the leader was queried. */
 static void give_up_when_granted(forward_t *f)
 {
-    if (web_call_has_news(f->call->http)) {
+    if (web_call_has_input(f->call->http)) {
         arm_silence_timer(f);
         return;
     }
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -298,7 +298,7 @@
     call_broken(arg);
 }
 
-bool web_call_has_news(const web_call_t *call)
+bool web_call_has_input(const web_call_t *call)
 {
     struct pollfd look = {.fd = call->watch.fd, .events = POLLIN};
     return poll(&look, 1, 0) != 0; /* recv would take a reset off the socket: what is read next looks like an end */
@@ -312,7 +312,7 @@
     cds_list_for_each_entry_safe(call, next, &client->idle, node) {
         if (strcmp(call->addr, addr) != 0)
             continue;
-        if (!web_call_has_news(call) && now < call->idle_until)
+        if (!web_call_has_input(call) && now < call->idle_until)
             return call;
         call_free(call);
     }
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -77,7 +77,7 @@
 void web_call_cancel(web_call_t *call);
 
 /** Whether something of the answer, or the end of the connection, has come and was not read yet. */
-bool web_call_has_news(const web_call_t *call);
+bool web_call_has_input(const web_call_t *call);
 
 /** Whether a byte of the request may have left this box. */
 bool web_call_sent(const web_call_t *call);
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -98,7 +98,7 @@
     return strcmp(((const lab_call_t *)arg)->body->str, "to the") == 0;
 }
 
-/** The caller of web_call_has_news looks between the reset and its reading: an answer that only an orderly end of its
+/** The caller of web_call_has_input looks between the reset and its reading: an answer that only an orderly end of its
  *  connection would make whole is not. */
 static void test_reset_behind_a_look(fixture_t *f, gconstpointer data)
 {
@@ -108,9 +108,9 @@
     lab_run_until(f->loop, peer_end_has_request, &p);
     peer_end_send(&p, ENDLESS);
     lab_run_until(f->loop, has_body, c);
-    g_assert_false(web_call_has_news(c->call));
+    g_assert_false(web_call_has_input(c->call));
     peer_end_reset(&p);
-    g_assert_true(web_call_has_news(c->call));
+    g_assert_true(web_call_has_input(c->call));
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
