--- a/lib/web/web.c
+++ b/lib/web/web.c
@@ -87,7 +87,7 @@
     return found;
 }
 
-bool web_header_is_hop(const web_headers_t *headers, const char *name)
+bool web_header_is_hop_by_hop(const web_headers_t *headers, const char *name)
 {
     static const char *const fixed[] = {"Connection",
                                         "Keep-Alive",
--- a/lib/web/web.h
+++ b/lib/web/web.h
@@ -46,7 +46,7 @@
 
 /** Whether a header concerns one connection alone and is never passed on: the fixed ones, and those that the
  *  Connection header names. */
-bool web_header_is_hop(const web_headers_t *headers, const char *name);
+bool web_header_is_hop_by_hop(const web_headers_t *headers, const char *name);
 
 /** Append "name: value" and a line end; control characters in the value become blanks. */
 void web_append_header(GString *to, const char *name, const char *value);
