--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -47,7 +47,7 @@
 
 static bool has_room(const web_server_t *s, size_t size)
 {
-    return s->limits->held_bytes == 0 || s->held + size <= s->limits->held_bytes;
+    return s->limits->buffered_bytes == 0 || s->held + size <= s->limits->buffered_bytes;
 }
 
 /** Count so many bytes of a body. @return false, with the request to be refused, when they are too many */
@@ -307,7 +307,7 @@
 
 static tc_time_t take_limit(const web_server_t *s)
 {
-    return s->limits->take_ms > 0 ? s->limits->take_ms : WEB_TAKE_MS;
+    return s->limits->send_timeout_ms > 0 ? s->limits->send_timeout_ms : WEB_SEND_TIMEOUT_MS;
 }
 
 static void on_accept(void *arg, uint32_t events)
@@ -351,14 +351,14 @@
 {
     web_server_t *const s = arg;
     const tc_time_t now = tc_time_now();
-    const tc_time_t take_ms = take_limit(s);
+    const tc_time_t send_timeout_ms = take_limit(s);
     web_exchange_t *c, *next;
     cds_list_for_each_entry_safe(c, next, &s->conns, node) {
         if (c->state == EXCHANGE_READING && c->begun && now - c->since > read_limit(c))
             refuse(c, 408);
         else if (c->state == EXCHANGE_READING && !c->begun && now - c->since > s->limits->idle_ms)
             exchange_close(c);
-        else if (c->state == EXCHANGE_HANDLING && c->writing && now - c->since > take_ms)
+        else if (c->state == EXCHANGE_HANDLING && c->writing && now - c->since > send_timeout_ms)
             exchange_lost(c);
         else if (c->state == EXCHANGE_CLOSING && now - c->since > LINGER_MS)
             exchange_close(c);
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -26,7 +26,7 @@
 
 /** A caller that takes up nothing for so long is gone, though its connection was never closed: callers give a stream up
  *  themselves after a pause of two to four seconds. */
-#define WEB_TAKE_MS 4000
+#define WEB_SEND_TIMEOUT_MS 4000
 
 /** One request and its answer. Valid from the handler's start until the answer is complete, aborted or on_gone ran. */
 typedef struct web_exchange web_exchange_t;
@@ -35,12 +35,12 @@
 typedef struct {
     size_t header_bytes;
     size_t body_bytes;
-    size_t held_bytes;   /**< of bodies and answers of all connections together, 0 for any number: a request whose body
+    size_t buffered_bytes;   /**< of bodies and answers of all connections together, 0 for any number: a request whose body
                               would go beyond is refused with 503 before it is read */
     tc_time_t header_ms; /**< from the first byte of a request to its end */
     tc_time_t body_ms;   /**< when not 0, only to the end of its headers, and then between two bytes of its body */
     tc_time_t idle_ms;   /**< a kept connection without a request */
-    tc_time_t take_ms;   /**< of an answer under way, between two bytes that the caller takes up; 0: WEB_TAKE_MS */
+    tc_time_t send_timeout_ms;   /**< of an answer under way, between two bytes that the caller takes up; 0: WEB_SEND_TIMEOUT_MS */
 } web_limits_t;
 
 /** A request as it came in. Borrowed, valid as long as its exchange. */
@@ -73,7 +73,7 @@
 
 /** The request's body is needed no more: free it before the answer. */
 void web_drop_body(web_exchange_t *exchange);
-/** Whether the server may hold an answer of so many bytes, by held_bytes. */
+/** Whether the server may hold an answer of so many bytes, by buffered_bytes. */
 bool web_can_buffer(const web_exchange_t *exchange, size_t size);
 
 /** Answer whole and end the exchange. @param head header lines, each with its line end, or ""; length and connection
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -29,7 +29,7 @@
     static const char more[] = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n"; /* not sent yet */
     static const char chunks[] = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                                  "20\r\n01234567890123456789012345678901\r\n0\r\n\r\n";
-    f->limits.held_bytes = 64;
+    f->limits.buffered_bytes = 64;
     lab_call_t *const first = lab_call(f->client, f->addr, hold);
     lab_run_until(f->loop, is_held, f);
     lab_call_t *const second = lab_call(f->client, f->addr, more);
@@ -309,7 +309,7 @@
 static void test_short_writes(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    f->limits.take_ms = 60000;
+    f->limits.send_timeout_ms = 60000;
     f->limits.idle_ms = 60000;
     raw_t raw = raw_open(f);
     char *const body = large_body();
@@ -397,7 +397,7 @@
 static void test_old_caller_too_much_waits(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    f->limits.take_ms = 60000; /* it is not given up before */
+    f->limits.send_timeout_ms = 60000; /* it is not given up before */
     raw_t raw = begin_old(f, MORE_THAN_BUFFERS);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
     web_write(f->exchange, piece, MORE_THAN_BUFFERS);
