--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -18,7 +18,7 @@
 import tomllib
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# What platform/boot.c reads of the platform's fields.
+# What platform/settings.c reads of the platform's fields.
 FIELDS = ["node_name", "ip", "zone", "data_dir", "listen", "cloud", "fault_tolerance", "bootstrap", "internal_ports",
           "seeds", "bounds"]
 
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -6,7 +6,7 @@
 
 #include "common/mechanism.h"
 #include "forward/dialect.h"
-#include "platform/boot.h"
+#include "platform/settings.h"
 #include "platform/config.h"
 #include "platform/directory.h"
 
@@ -22,9 +22,9 @@
 
 static void test_settings(void)
 {
-    boot_t b;
+    settings_t b;
     tc_err_t err = {0};
-    g_assert_cmpint(boot_parse(SETTINGS, &b, &err), ==, 0);
+    g_assert_cmpint(settings_parse(SETTINGS, &b, &err), ==, 0);
     g_assert_cmpstr(b.box, ==, "front-a-1");
     g_assert_cmpstr(b.data_dir, ==, "");
     g_assert_cmpstr(b.control_peers[1], ==, "10.2.0.34:7380");
@@ -36,19 +36,19 @@
     g_assert_cmpint(b.retry_window, ==, 10000);
     g_assert_cmpint(b.order_turn, ==, 2500);
     g_assert_true(b.orders_fenced);
-    boot_free(&b);
-    g_assert_cmpint(boot_parse("{\"node_name\":\"x\"}", &b, &err), ==, TC_E_INVALID);
-    g_assert_cmpint(boot_parse("{", &b, &err), ==, TC_E_INVALID);
+    settings_free(&b);
+    g_assert_cmpint(settings_parse("{\"node_name\":\"x\"}", &b, &err), ==, TC_E_INVALID);
+    g_assert_cmpint(settings_parse("{", &b, &err), ==, TC_E_INVALID);
     /* Mechanisms are named one by one; a wrong name is told. */
     char *const without = g_strdup_printf("{\"without\":[\"queue\"],%s", SETTINGS + 1);
     g_assert_true(mechanism_is_on(MECHANISM_QUEUE));
-    g_assert_cmpint(boot_parse(without, &b, &err), ==, 0);
+    g_assert_cmpint(settings_parse(without, &b, &err), ==, 0);
     g_assert_false(mechanism_is_on(MECHANISM_QUEUE));
     g_assert_true(mechanism_is_on(MECHANISM_ROLES));
-    boot_free(&b);
+    settings_free(&b);
     g_free(without);
     mechanism_reset();
-    g_assert_cmpint(boot_parse("{\"without\":[\"nonsense\"]}", &b, &err), ==, TC_E_INVALID);
+    g_assert_cmpint(settings_parse("{\"without\":[\"nonsense\"]}", &b, &err), ==, TC_E_INVALID);
     g_assert_nonnull(strstr(err.detail, "nonsense"));
 }
 
