--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -30,12 +30,12 @@
     g_assert_cmpstr(b.control_peers[1], ==, "10.2.0.34:7380");
     g_assert_cmpstr(b.entry_peers[0], ==, "10.1.0.30:7381");
     g_assert_null(b.control_peers[2]);
-    g_assert_true(b.found);
-    g_assert_cmpuint(b.losses, ==, 2);
-    g_assert_cmpint(b.stop_grace, ==, 8000);
-    g_assert_cmpint(b.retry_window, ==, 10000);
-    g_assert_cmpint(b.order_turn, ==, 2500);
-    g_assert_true(b.orders_fenced);
+    g_assert_true(b.bootstrap);
+    g_assert_cmpuint(b.tolerated_failures, ==, 2);
+    g_assert_cmpint(b.stop_grace_ms, ==, 8000);
+    g_assert_cmpint(b.retry_window_ms, ==, 10000);
+    g_assert_cmpint(b.order_lease_ms, ==, 2500);
+    g_assert_true(b.fencing_required);
     settings_free(&b);
     g_assert_cmpint(settings_parse("{\"node_name\":\"x\"}", &b, &err), ==, TC_E_INVALID);
     g_assert_cmpint(settings_parse("{", &b, &err), ==, TC_E_INVALID);
