--- a/lib/cluster/engine_poller.c
+++ b/lib/cluster/engine_poller.c
@@ -126,12 +126,12 @@
         return;
     p->queried_at = now;
     const web_fetch_options_t where = {.loop = p->loop,
-                                   .client = p->client,
-                                   .addr = engine->addr,
-                                   .is_ours = dialect_is_query_answer,
-                                   .on_head = on_head,
-                                   .connect_ms = CONNECT_TIMEOUT_MS,
-                                   .limit_ms = QUERY_TIMEOUT_MS};
+                                       .client = p->client,
+                                       .addr = engine->addr,
+                                       .is_ours = dialect_is_query_answer,
+                                       .on_head = on_head,
+                                       .connect_ms = CONNECT_TIMEOUT_MS,
+                                       .limit_ms = QUERY_TIMEOUT_MS};
     codec_copy_string(q->engine, sizeof(q->engine), engine->id);
     web_fetch(&q->ask, &where, dialect_write_engine_query(engine->addr), on_answer, q);
 }
--- a/lib/forward/discover.c
+++ b/lib/forward/discover.c
@@ -23,7 +23,7 @@
     discover_fn_t fn;
     void *arg;
     paged_read_t *read;
-    web_fetch_t ask;     /* the page request in progress */
+    web_fetch_t ask;   /* the page request in progress */
     loop_timer_t wait; /* until the next page may be requested */
     GArray *page;      /* backend_t, entries of the last page */
     bool failing;      /* the last read failed */
@@ -123,11 +123,11 @@
 {
     counter_add(&c_calls, 1);
     const web_fetch_options_t where = {.loop = d->loop,
-                                   .client = d->client,
-                                   .addr = d->addr,
-                                   .connect_ms = CONNECT_TIMEOUT_MS,
-                                   .limit_ms = PAGE_TIMEOUT_MS,
-                                   .body_bytes = PAGE_MAX_BYTES};
+                                       .client = d->client,
+                                       .addr = d->addr,
+                                       .connect_ms = CONNECT_TIMEOUT_MS,
+                                       .limit_ms = PAGE_TIMEOUT_MS,
+                                       .body_bytes = PAGE_MAX_BYTES};
     web_fetch(&d->ask, &where, dialect_write_list(d->addr, paged_read_token(d->read)), on_page, d);
 }
 
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -148,7 +148,7 @@
 typedef struct engine_query {
     forward_t *request;
     instance_t *instance; /* a reference */
-    web_fetch_t ask;        /* holds status and body of the answer */
+    web_fetch_t ask;      /* holds status and body of the answer */
     struct engine_query *next;
 } engine_query_t;
 
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -66,12 +66,12 @@
     e->instance = instance;
     e->ask.body = g_byte_array_new();
     const web_fetch_options_t where = {.loop = f->owner->loop,
-                                   .client = f->owner->client,
-                                   .addr = instance->listed.addr,
-                                   .is_ours = dialect_is_query_answer,
-                                   .on_head = on_engine_head,
-                                   .connect_ms = limits->connect_ms,
-                                   .limit_ms = limits->answer_ms};
+                                       .client = f->owner->client,
+                                       .addr = instance->listed.addr,
+                                       .is_ours = dialect_is_query_answer,
+                                       .on_head = on_engine_head,
+                                       .connect_ms = limits->connect_ms,
+                                       .limit_ms = limits->answer_ms};
     web_fetch(&e->ask, &where, request, fn, e);
     return e;
 }
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -200,12 +200,12 @@
 static void call_engine(rebalancer_t *r, move_t *move, GByteArray *request, web_fetch_fn_t fn)
 {
     const web_fetch_options_t where = {.loop = r->loop,
-                                   .client = r->client,
-                                   .addr = move->engine.addr,
-                                   .is_ours = dialect_is_query_answer,
-                                   .on_head = on_head,
-                                   .connect_ms = CONNECT_TIMEOUT_MS,
-                                   .limit_ms = ORDER_TIMEOUT_MS};
+                                       .client = r->client,
+                                       .addr = move->engine.addr,
+                                       .is_ours = dialect_is_query_answer,
+                                       .on_head = on_head,
+                                       .connect_ms = CONNECT_TIMEOUT_MS,
+                                       .limit_ms = ORDER_TIMEOUT_MS};
     r->calling = move;
     web_fetch(&r->ask, &where, request, fn, r);
 }
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -116,7 +116,9 @@
         call_free(call);
         return;
     }
-    report_end(call, call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT), false);
+    report_end(call,
+               call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT),
+               false);
 }
 
 /* ===== Answers ===== */
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -27,16 +27,17 @@
 
 /** How a call ended. */
 typedef enum {
-    WEB_RESULT_COMPLETE,  /**< the answer came whole */
-    WEB_RESULT_NOT_SENT, /**< no connection: the back end has seen nothing of the request */
-    WEB_RESULT_NO_RESPONSE, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run */
-    WEB_RESULT_TRUNCATED     /**< the answer broke off behind its head */
+    WEB_RESULT_COMPLETE,    /**< the answer came whole */
+    WEB_RESULT_NOT_SENT,    /**< no connection: the back end has seen nothing of the request */
+    WEB_RESULT_NO_RESPONSE, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run
+                             */
+    WEB_RESULT_TRUNCATED    /**< the answer broke off behind its head */
 } web_result_t;
 
 /** What to do with an answer whose head has come. */
 typedef enum {
     WEB_HEAD_ACCEPT, /**< it is ours */
-    WEB_HEAD_SKIP  /**< it belongs to an earlier request: read past it and wait for the next */
+    WEB_HEAD_SKIP    /**< it belongs to an earlier request: read past it and wait for the next */
 } web_head_action_t;
 
 /** The head of an answer; borrowed for the call of on_head. */
--- a/lib/web/web_fetch.h
+++ b/lib/web/web_fetch.h
@@ -12,9 +12,9 @@
 
 /** How it ended. */
 typedef enum {
-    WEB_FETCH_OK,  /**< the answer came whole: status and body are the back end's */
+    WEB_FETCH_OK,     /**< the answer came whole: status and body are the back end's */
     WEB_FETCH_FAILED, /**< no connection, or no whole answer */
-    WEB_FETCH_TIMEOUT    /**< not within the limit */
+    WEB_FETCH_TIMEOUT /**< not within the limit */
 } web_fetch_result_t;
 
 /** The call has ended; it may be begun again, or freed, from within. */
@@ -43,7 +43,7 @@
     const char *addr;                        /**< "IP:port" */
     bool (*is_ours)(const web_head_t *head); /**< whether an answer may be the one to this call: others, which come late
                                                   on a kept connection, are read past; NULL: any may */
-    web_fetch_head_fn_t on_head;               /**< or NULL; with the same argument as the end */
+    web_fetch_head_fn_t on_head;             /**< or NULL; with the same argument as the end */
     tc_time_t connect_ms;                    /**< for the connection */
     tc_time_t limit_ms;                      /**< for all of it */
     size_t body_bytes; /**< the longest body that is taken, one beyond is as a broken answer; 0: any */
--- a/lib/web/web_probe.h
+++ b/lib/web/web_probe.h
@@ -16,9 +16,9 @@
 /* ===== Types ===== */
 
 typedef enum {
-    WEB_PROBE_OPEN,    /**< a connection came up */
-    WEB_PROBE_REFUSED, /**< the machine is there, and nobody listens */
-    WEB_PROBE_UNREACHABLE   /**< neither: the way or the machine may be lost */
+    WEB_PROBE_OPEN,       /**< a connection came up */
+    WEB_PROBE_REFUSED,    /**< the machine is there, and nobody listens */
+    WEB_PROBE_UNREACHABLE /**< neither: the way or the machine may be lost */
 } web_probe_result_t;
 
 /** The probe has ended; it may be begun again, or freed, from within. */
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -35,12 +35,13 @@
 typedef struct {
     size_t header_bytes;
     size_t body_bytes;
-    size_t buffered_bytes;   /**< of bodies and answers of all connections together, 0 for any number: a request whose body
-                              would go beyond is refused with 503 before it is read */
-    tc_time_t header_ms; /**< from the first byte of a request to its end */
-    tc_time_t body_ms;   /**< when not 0, only to the end of its headers, and then between two bytes of its body */
-    tc_time_t idle_ms;   /**< a kept connection without a request */
-    tc_time_t send_timeout_ms;   /**< of an answer under way, between two bytes that the caller takes up; 0: WEB_SEND_TIMEOUT_MS */
+    size_t buffered_bytes; /**< of bodies and answers of all connections together, 0 for any number: a request whose
+                            body would go beyond is refused with 503 before it is read */
+    tc_time_t header_ms;   /**< from the first byte of a request to its end */
+    tc_time_t body_ms;     /**< when not 0, only to the end of its headers, and then between two bytes of its body */
+    tc_time_t idle_ms;     /**< a kept connection without a request */
+    tc_time_t send_timeout_ms; /**< of an answer under way, between two bytes that the caller takes up; 0:
+                                  WEB_SEND_TIMEOUT_MS */
 } web_limits_t;
 
 /** A request as it came in. Borrowed, valid as long as its exchange. */
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -249,8 +249,9 @@
 static void drive_reads(soak_t *s)
 {
     if (s->read && s->read->done) {
-        json_t *const root =
-            s->read->how == WEB_RESULT_COMPLETE && s->read->status == 200 ? json_loads(s->read->body->str, 0, NULL) : NULL;
+        json_t *const root = s->read->how == WEB_RESULT_COMPLETE && s->read->status == 200
+                                 ? json_loads(s->read->body->str, 0, NULL)
+                                 : NULL;
         const uint64_t version = (uint64_t)json_integer_value(json_object_get(root, "version"));
         if (root && version < s->read_floor)
             world_broken(s->world, "a read is never older than what was acknowledged", "config");
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -6,9 +6,9 @@
 
 #include "common/mechanism.h"
 #include "forward/dialect.h"
-#include "platform/settings.h"
 #include "platform/config.h"
 #include "platform/directory.h"
+#include "platform/settings.h"
 
 /* ===== Settings ===== */
 
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -40,7 +40,8 @@
                     WEB_RESULT_COMPLETE);
     g_assert_cmpstr(body, ==, "ok"); /* what is behind a whole answer belongs to nobody */
     g_free(body);
-    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", LAB_CLOSE, NULL), ==, WEB_RESULT_TRUNCATED);
+    g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", LAB_CLOSE, NULL), ==,
+                    WEB_RESULT_TRUNCATED);
     g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the end", LAB_CLOSE, NULL), ==, WEB_RESULT_COMPLETE);
     g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\n\r\nto the", LAB_RESET, NULL), !=, WEB_RESULT_COMPLETE);
     g_assert_cmpint(end_of(f, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", LAB_CLOSE, NULL), ==,
@@ -260,8 +261,8 @@
 {
     (void)data;
     expect_picky(f, OTHER "Content-Length: 5\r\n\r\nother" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE, "ours");
-    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE,
-                 "ours");
+    expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" OK_OURS, LAB_KEEP,
+                 WEB_RESULT_COMPLETE, "ours");
     expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
     expect_picky(f, OTHER "Content-Length: 5\r\n\r\noth", LAB_RESET, WEB_RESULT_NO_RESPONSE, "");
     expect_picky(f, OTHER "Transfer-Encoding: chunked\r\n\r\n5\r\noth", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
@@ -275,12 +276,12 @@
 {
     (void)data;
     expect_picky(f, "HTTP/1.1 100 Continue\r\nOther: 1\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE, "ours");
-    expect_picky(f, "HTTP/1.1 103 Early\r\nOther: 1\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_COMPLETE,
-                 "ours");
+    expect_picky(f, "HTTP/1.1 103 Early\r\nOther: 1\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" OK_OURS, LAB_KEEP,
+                 WEB_RESULT_COMPLETE, "ours");
     expect_picky(f, "HTTP/1.1 100 Continue\r\n\r\n", LAB_CLOSE, WEB_RESULT_NO_RESPONSE, "");
     /* Nobody asked for another protocol: what follows is no answer. */
-    expect_picky(f, "HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" OK_OURS, LAB_KEEP, WEB_RESULT_NO_RESPONSE,
-                 "");
+    expect_picky(f, "HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" OK_OURS, LAB_KEEP,
+                 WEB_RESULT_NO_RESPONSE, "");
 }
 
 /** A call that is dropped from within its own report hears nothing more, and one that is begun there gets an answer of
