--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -67,7 +67,7 @@
 static void answer_empty(web_exchange_t *exchange, int status, tc_time_t after)
 {
     char *const head = after == NO_RETRY_AFTER ? g_strdup("") : dialect_retry_after(after);
-    web_answer(exchange, status, head, "", 0);
+    web_respond(exchange, status, head, "", 0);
     g_free(head);
 }
 
@@ -77,7 +77,7 @@
     if (f->begun) {
         counter_add(&c_unknown, 1);
         forward_log_end(f, "aborted", why, 0);
-        web_abort(f->exchange);
+        web_abort_response(f->exchange);
         forward_free(f);
         return;
     }
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -226,7 +226,7 @@
 {
     forward_t *const f = call->request;
     const int status = call->status;
-    web_answer(f->exchange, status, call->head->str, call->body->data, call->body->len);
+    web_respond(f->exchange, status, call->head->str, call->body->data, call->body->len);
     call_free(call, "answered");
     forward_finish(f, status, "answered");
 }
@@ -258,7 +258,7 @@
         instance_succeeded(call->instance);
         clear_quarantine(f);
         call_free(call, "streamed");
-        web_end(f->exchange);
+        web_end_response(f->exchange);
         forward_finish(f, 200, "streamed");
         return;
     }
@@ -405,7 +405,7 @@
         forward_log(f, "streaming", "first bytes", head->status, call->instance);
         histogram_add(&h_first, tc_time_now() - f->request.arrived);
         place_report(f, PHASE_DECODE, NULL);
-        web_begin(f->exchange, head->status, call->head->str);
+        web_begin_response(f->exchange, head->status, call->head->str);
     }
     if (streams) {
         stream_begin(call);
--- a/lib/web/web_answer.c
+++ b/lib/web/web_response.c
@@ -152,7 +152,7 @@
     exchange_next(c);
 }
 
-void web_answer(web_exchange_t *c, int status, const char *head, const void *body, size_t size)
+void web_respond(web_exchange_t *c, int status, const char *head, const void *body, size_t size)
 {
     GString *const all = g_string_new(head);
     c->bodiless = is_bodiless(c, status);
@@ -169,7 +169,7 @@
     finish(c);
 }
 
-void web_begin(web_exchange_t *c, int status, const char *head)
+void web_begin_response(web_exchange_t *c, int status, const char *head)
 {
     c->bodiless = is_bodiless(c, status);
     c->chunked = !c->old && !c->bodiless;
@@ -196,14 +196,14 @@
         shutdown(c->watch.fd, SHUT_RD); /* broken, or the caller takes nothing: the loop reports it as gone */
 }
 
-void web_end(web_exchange_t *c)
+void web_end_response(web_exchange_t *c)
 {
     if (c->chunked)
         exchange_put(c, "0\r\n\r\n", 5);
     finish(c);
 }
 
-void web_abort(web_exchange_t *c)
+void web_abort_response(web_exchange_t *c)
 {
     c->gone = NULL;
     exchange_close(c);
--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -224,7 +224,7 @@
     c->server->busy++;
     c->keep = false;
     /* For want of room: soon there is some, since no body stays for long. */
-    web_answer(c, status, status == 503 ? "Retry-After: 0.3\r\n" : "", "", 0);
+    web_respond(c, status, status == 503 ? "Retry-After: 0.3\r\n" : "", "", 0);
 }
 
 static void handle(web_exchange_t *c)
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -79,18 +79,18 @@
 
 /** Answer whole and end the exchange. @param head header lines, each with its line end, or ""; length and connection
  *  are added here. */
-void web_answer(web_exchange_t *exchange, int status, const char *head, const void *body, size_t size);
+void web_respond(web_exchange_t *exchange, int status, const char *head, const void *body, size_t size);
 
-/** Begin an answer of unknown length. @param head as for web_answer */
-void web_begin(web_exchange_t *exchange, int status, const char *head);
+/** Begin an answer of unknown length. @param head as for web_respond */
+void web_begin_response(web_exchange_t *exchange, int status, const char *head);
 /** Add to an answer that was begun. */
 void web_write(web_exchange_t *exchange, const void *data, size_t size);
 /** Bytes of answers that the connection has not taken yet. */
 size_t web_unsent(const web_exchange_t *exchange);
 /** The answer that was begun is complete. Ends the exchange. */
-void web_end(web_exchange_t *exchange);
+void web_end_response(web_exchange_t *exchange);
 
 /** Break the answer off so that it can't be taken for complete: the connection is closed. Ends the exchange. */
-void web_abort(web_exchange_t *exchange);
+void web_abort_response(web_exchange_t *exchange);
 
 #endif
--- a/lib/web/web_server_internal.h
+++ b/lib/web/web_server_internal.h
@@ -1,5 +1,5 @@
 /** @file web_server_internal.h
- * Shared by web_server.c (connections and what comes in) and web_answer.c (what goes out); nobody else includes it.
+ * Shared by web_server.c (connections and what comes in) and web_response.c (what goes out); nobody else includes it.
  */
 #ifndef TRACKCOVE_WEB_WEB_SERVER_INTERNAL_H
 #define TRACKCOVE_WEB_WEB_SERVER_INTERNAL_H
@@ -72,7 +72,7 @@
 /** The body is needed no more. */
 void exchange_drop_body(web_exchange_t *c);
 
-/* ===== web_answer.c ===== */
+/* ===== web_response.c ===== */
 
 /** The server counts the answer no more. */
 void exchange_release_answer(web_exchange_t *c);
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -42,7 +42,7 @@
     web_drop_body(f->exchange); /* it is needed no more, though it is not answered */
     g_assert_true(web_can_buffer(f->exchange, 64));
     g_assert_cmpint(status_of(f, chunks), ==, 200);
-    web_answer(f->exchange, 200, "", "", 0);
+    web_respond(f->exchange, 200, "", "", 0);
     lab_run_until_true(f->loop, &first->done);
     lab_call_free(first);
     g_assert_cmpint(status_of(f, chunks), ==, 200); /* answered and gone: nothing is counted any more */
@@ -118,7 +118,7 @@
     g_assert_cmpint(send(fd, request, strlen(request), 0), ==, (ssize_t)strlen(request));
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
-    web_begin(f->exchange, 200, "");
+    web_begin_response(f->exchange, 200, "");
     web_write(f->exchange, piece, MORE_THAN_BUFFERS);
     lab_run_until_true(f->loop, &f->gone); /* it reads nothing, and never closes */
     g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
@@ -141,7 +141,7 @@
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &f->held);
     web_server_drain(f->server); /* what is under way is still answered */
-    web_answer(f->exchange, 200, "", "late", 4);
+    web_respond(f->exchange, 200, "", "late", 4);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(c->body->str, ==, "late");
@@ -377,7 +377,7 @@
     raw_send(&raw, "GET /hold HTTP/1.0\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(size);
-    web_begin(f->exchange, 200, "");
+    web_begin_response(f->exchange, 200, "");
     web_write(f->exchange, piece, size);
     g_free(piece);
     return raw;
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -64,28 +64,28 @@
         return;
     }
     if (strcmp(request->target, "/stream") == 0) {
-        web_begin(exchange, 200, "");
+        web_begin_response(exchange, 200, "");
         web_write(exchange, "piece", 5);
-        web_end(exchange);
+        web_end_response(exchange);
         return;
     }
     if (strcmp(request->target, "/large") == 0) {
         char *const body = large_body();
-        web_answer(exchange, 200, "", body, LARGE);
+        web_respond(exchange, 200, "", body, LARGE);
         g_free(body);
         return;
     }
     if (strcmp(request->target, "/none") == 0) {
-        web_answer(exchange, 204, "", "", 0);
+        web_respond(exchange, 204, "", "", 0);
         return;
     }
     if (strcmp(request->target, "/cut") == 0) {
-        web_begin(exchange, 200, "");
+        web_begin_response(exchange, 200, "");
         web_write(exchange, "half", 4);
-        web_abort(exchange);
+        web_abort_response(exchange);
         return;
     }
-    web_answer(exchange, 200, "", request->target, strlen(request->target));
+    web_respond(exchange, 200, "", request->target, strlen(request->target));
 }
 
 static void set_up(fixture_t *f, gconstpointer data)
