--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -226,7 +226,7 @@
 {
     forward_t *const f = call->request;
     const int status = call->status;
-    web_answer(f->exchange, status, call->head->str, call->body->data, call->body->len);
+    web_respond(f->exchange, status, call->head->str, call->body->data, call->body->len);
     call_free(call, "answered");
     forward_finish(f, status, "answered");
 }
@@ -251,14 +251,14 @@
     forward_continue(f);
 }
 
-static void handle_stream_end(backend_call_t *call, web_end_t how)
+static void handle_stream_end(backend_call_t *call, web_result_t how)
 {
     forward_t *const f = call->request;
-    if (how == WEB_END_WHOLE && stream_at_boundary(call)) {
+    if (how == WEB_RESULT_COMPLETE && stream_at_boundary(call)) {
         instance_succeeded(call->instance);
         clear_quarantine(f);
         call_free(call, "streamed");
-        web_end(f->exchange);
+        web_end_response(f->exchange);
         forward_finish(f, 200, "streamed");
         return;
     }
@@ -345,7 +345,7 @@
  *  this box was suspended, or they arrived while the leader was queried. */
 static void give_up_when_granted(forward_t *f)
 {
-    if (web_call_has_news(f->call->http)) {
+    if (web_call_has_input(f->call->http)) {
         arm_silence_timer(f);
         return;
     }
@@ -381,7 +381,7 @@
         loop_disarm(&f->call_timer); /* armed for an earlier event */
 }
 
-static web_verdict_t on_head(void *arg, const web_head_t *head)
+static web_head_action_t on_head(void *arg, const web_head_t *head)
 {
     backend_call_t *const call = arg;
     forward_t *const f = call->request;
@@ -389,13 +389,13 @@
     dialect_read_reply(head, f->facts.id, &reply);
     notice_apply(f->owner, call->instance, head); /* even the late answer of another request comes from this back end */
     if (!reply.matches_request)
-        return WEB_SKIP;
+        return WEB_HEAD_SKIP;
     call->reply = reply;
     call->head_seen = true;
     call->status = head->status;
     limit_update(call);
     if (call->op == DIALECT_PREFILL || call->reply.not_run)
-        return WEB_TAKE;
+        return WEB_HEAD_ACCEPT;
     call->head = dialect_forward_headers(head);
     const bool streams = f->route->kind == ROUTE_STREAM && call->reply.success && call->reply.authentic;
     if (streams && f->handle.instance)
@@ -405,13 +405,13 @@
         forward_log(f, "streaming", "first bytes", head->status, call->instance);
         histogram_add(&h_first, tc_time_now() - f->request.arrived);
         place_report(f, PHASE_DECODE, NULL);
-        web_begin(f->exchange, head->status, call->head->str);
+        web_begin_response(f->exchange, head->status, call->head->str);
     }
     if (streams) {
         stream_begin(call);
         arm_silence_timer(f);
     }
-    return WEB_TAKE;
+    return WEB_HEAD_ACCEPT;
 }
 
 static void on_data(void *arg, const char *data, size_t size)
@@ -428,20 +428,20 @@
     }
 }
 
-static void on_end(void *arg, web_end_t how)
+static void on_end(void *arg, web_result_t how)
 {
     backend_call_t *const call = arg;
     call->http = NULL;
-    if (how == WEB_END_UNSENT)
+    if (how == WEB_RESULT_NOT_SENT)
         handle_not_run(call, "connection to the back end failed", false);
     else if (stream_has_begun(call)) /* a refusal is never streamed */
         handle_stream_end(call, how);
-    else if (how == WEB_END_WHOLE)
+    else if (how == WEB_RESULT_COMPLETE)
         handle_answer(call);
-    else if (how == WEB_END_CUT && call->reply.not_run)
+    else if (how == WEB_RESULT_TRUNCATED && call->reply.not_run)
         handle_not_run(call, "refused by the back end", true);
     else
-        handle_lost_answer(call, how == WEB_END_CUT ? "answer broke off" : "connection to the back end broke");
+        handle_lost_answer(call, how == WEB_RESULT_TRUNCATED ? "answer broke off" : "connection to the back end broke");
 }
 
 /* ===== Sending ===== */
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -102,7 +102,7 @@
     cds_list_add(&call->node, &client->idle);
 }
 
-static void report_end(web_call_t *call, web_end_t how, bool keep)
+static void report_end(web_call_t *call, web_result_t how, bool keep)
 {
     const web_sink_t sink = call->sink;
     call_retire(call, keep);
@@ -116,7 +116,9 @@
         call_free(call);
         return;
     }
-    report_end(call, call->head_seen ? WEB_END_CUT : (call->sent ? WEB_END_BROKEN : WEB_END_UNSENT), false);
+    report_end(call,
+               call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT),
+               false);
 }
 
 /* ===== Answers ===== */
@@ -171,7 +173,7 @@
         return HAS_BODY; /* an interim answer: the real one follows */
     const web_head_t head = {.status = (int)parser->status_code, .headers = &call->headers};
     call->reporting = true;
-    call->skipping = call->sink.on_head(call->sink.arg, &head) == WEB_SKIP;
+    call->skipping = call->sink.on_head(call->sink.arg, &head) == WEB_HEAD_SKIP;
     call->reporting = false;
     if (call->skipping)
         counter_add(&c_strays, 1);
@@ -224,7 +226,7 @@
         /* An answer that came before the whole request was sent leaves the rest of it due on this connection. */
         const bool sent = call->written == call->request->len;
         const bool keep = sent && size > 0 && used == size && http_should_keep_alive(&call->parser);
-        report_end(call, WEB_END_WHOLE, keep);
+        report_end(call, WEB_RESULT_COMPLETE, keep);
         return;
     }
     if (size == 0 || HTTP_PARSER_ERRNO(&call->parser) != HPE_OK)
@@ -298,7 +300,7 @@
     call_broken(arg);
 }
 
-bool web_call_has_news(const web_call_t *call)
+bool web_call_has_input(const web_call_t *call)
 {
     struct pollfd look = {.fd = call->watch.fd, .events = POLLIN};
     return poll(&look, 1, 0) != 0; /* recv would take a reset off the socket: what is read next looks like an end */
@@ -312,7 +314,7 @@
     cds_list_for_each_entry_safe(call, next, &client->idle, node) {
         if (strcmp(call->addr, addr) != 0)
             continue;
-        if (!web_call_has_news(call) && now < call->idle_until)
+        if (!web_call_has_input(call) && now < call->idle_until)
             return call;
         call_free(call);
     }
@@ -410,7 +412,7 @@
     return client;
 }
 
-void web_client_keep(web_client_t *client, unsigned idle_max)
+void web_client_set_idle_max(web_client_t *client, unsigned idle_max)
 {
     client->idle_max = idle_max;
 }
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -27,17 +27,18 @@
 
 /** How a call ended. */
 typedef enum {
-    WEB_END_WHOLE,  /**< the answer came whole */
-    WEB_END_UNSENT, /**< no connection: the back end has seen nothing of the request */
-    WEB_END_BROKEN, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run */
-    WEB_END_CUT     /**< the answer broke off behind its head */
-} web_end_t;
+    WEB_RESULT_COMPLETE,    /**< the answer came whole */
+    WEB_RESULT_NOT_SENT,    /**< no connection: the back end has seen nothing of the request */
+    WEB_RESULT_NO_RESPONSE, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run
+                             */
+    WEB_RESULT_TRUNCATED    /**< the answer broke off behind its head */
+} web_result_t;
 
 /** What to do with an answer whose head has come. */
 typedef enum {
-    WEB_TAKE, /**< it is ours */
-    WEB_SKIP  /**< it belongs to an earlier request: read past it and wait for the next */
-} web_verdict_t;
+    WEB_HEAD_ACCEPT, /**< it is ours */
+    WEB_HEAD_SKIP    /**< it belongs to an earlier request: read past it and wait for the next */
+} web_head_action_t;
 
 /** The head of an answer; borrowed for the call of on_head. */
 typedef struct {
@@ -48,21 +49,21 @@
 /** Where a call reports to. on_end comes last and exactly once, unless the call is cancelled. None of them is called
  *  from within web_call or web_call_cancel. */
 typedef struct {
-    web_verdict_t (*on_head)(void *arg, const web_head_t *head);
+    web_head_action_t (*on_head)(void *arg, const web_head_t *head);
     void (*on_data)(void *arg, const char *data, size_t size);
-    void (*on_end)(void *arg, web_end_t how);
+    void (*on_end)(void *arg, web_result_t how);
     void *arg;
 } web_sink_t;
 
 /* ===== Public functions ===== */
 
-/** A client that keeps no idle connections: see web_client_keep. */
+/** A client that keeps no idle connections: see web_client_set_idle_max. */
 web_client_t *web_client_create(loop_t *loop);
 /** Calls still open end without a report. */
 void web_client_destroy(web_client_t *client);
 
 /** Most idle connections kept to one address. */
-void web_client_keep(web_client_t *client, unsigned idle_max);
+void web_client_set_idle_max(web_client_t *client, unsigned idle_max);
 
 /** Send a request.
  * @param addr "IP:port"
@@ -77,7 +78,7 @@
 void web_call_cancel(web_call_t *call);
 
 /** Whether something of the answer, or the end of the connection, has come and was not read yet. */
-bool web_call_has_news(const web_call_t *call);
+bool web_call_has_input(const web_call_t *call);
 
 /** Whether a byte of the request may have left this box. */
 bool web_call_sent(const web_call_t *call);
--- a/lib/web/web_server.h
+++ b/lib/web/web_server.h
@@ -26,7 +26,7 @@
 
 /** A caller that takes up nothing for so long is gone, though its connection was never closed: callers give a stream up
  *  themselves after a pause of two to four seconds. */
-#define WEB_TAKE_MS 4000
+#define WEB_SEND_TIMEOUT_MS 4000
 
 /** One request and its answer. Valid from the handler's start until the answer is complete, aborted or on_gone ran. */
 typedef struct web_exchange web_exchange_t;
@@ -35,12 +35,13 @@
 typedef struct {
     size_t header_bytes;
     size_t body_bytes;
-    size_t held_bytes;   /**< of bodies and answers of all connections together, 0 for any number: a request whose body
-                              would go beyond is refused with 503 before it is read */
-    tc_time_t header_ms; /**< from the first byte of a request to its end */
-    tc_time_t body_ms;   /**< when not 0, only to the end of its headers, and then between two bytes of its body */
-    tc_time_t idle_ms;   /**< a kept connection without a request */
-    tc_time_t take_ms;   /**< of an answer under way, between two bytes that the caller takes up; 0: WEB_TAKE_MS */
+    size_t buffered_bytes; /**< of bodies and answers of all connections together, 0 for any number: a request whose
+                            body would go beyond is refused with 503 before it is read */
+    tc_time_t header_ms;   /**< from the first byte of a request to its end */
+    tc_time_t body_ms;     /**< when not 0, only to the end of its headers, and then between two bytes of its body */
+    tc_time_t idle_ms;     /**< a kept connection without a request */
+    tc_time_t send_timeout_ms; /**< of an answer under way, between two bytes that the caller takes up; 0:
+                                  WEB_SEND_TIMEOUT_MS */
 } web_limits_t;
 
 /** A request as it came in. Borrowed, valid as long as its exchange. */
@@ -62,34 +63,34 @@
                                void *arg, tc_err_t *err);
 
 /** From now on answers tell callers to close, and the connection is closed behind them. */
-void web_server_retire(web_server_t *server);
+void web_server_drain(web_server_t *server);
 /** Requests being handled. */
-unsigned web_server_busy(const web_server_t *server);
+unsigned web_server_in_flight(const web_server_t *server);
 /** Close everything. */
 void web_server_stop(web_server_t *server);
 
 /** Report when the caller leaves before the answer is complete; the exchange is invalid once @p fn has run. */
-void web_on_gone(web_exchange_t *exchange, loop_fn_t fn, void *arg);
+void web_on_disconnect(web_exchange_t *exchange, loop_fn_t fn, void *arg);
 
 /** The request's body is needed no more: free it before the answer. */
 void web_drop_body(web_exchange_t *exchange);
-/** Whether the server may hold an answer of so many bytes, by held_bytes. */
-bool web_has_room(const web_exchange_t *exchange, size_t size);
+/** Whether the server may hold an answer of so many bytes, by buffered_bytes. */
+bool web_can_buffer(const web_exchange_t *exchange, size_t size);
 
 /** Answer whole and end the exchange. @param head header lines, each with its line end, or ""; length and connection
  *  are added here. */
-void web_answer(web_exchange_t *exchange, int status, const char *head, const void *body, size_t size);
+void web_respond(web_exchange_t *exchange, int status, const char *head, const void *body, size_t size);
 
-/** Begin an answer of unknown length. @param head as for web_answer */
-void web_begin(web_exchange_t *exchange, int status, const char *head);
+/** Begin an answer of unknown length. @param head as for web_respond */
+void web_begin_response(web_exchange_t *exchange, int status, const char *head);
 /** Add to an answer that was begun. */
-void web_add(web_exchange_t *exchange, const void *data, size_t size);
+void web_write(web_exchange_t *exchange, const void *data, size_t size);
 /** Bytes of answers that the connection has not taken yet. */
 size_t web_unsent(const web_exchange_t *exchange);
 /** The answer that was begun is complete. Ends the exchange. */
-void web_end(web_exchange_t *exchange);
+void web_end_response(web_exchange_t *exchange);
 
 /** Break the answer off so that it can't be taken for complete: the connection is closed. Ends the exchange. */
-void web_abort(web_exchange_t *exchange);
+void web_abort_response(web_exchange_t *exchange);
 
 #endif
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -29,7 +29,7 @@
     static const char more[] = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n"; /* not sent yet */
     static const char chunks[] = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                                  "20\r\n01234567890123456789012345678901\r\n0\r\n\r\n";
-    f->limits.held_bytes = 64;
+    f->limits.buffered_bytes = 64;
     lab_call_t *const first = lab_call(f->client, f->addr, hold);
     lab_run_until(f->loop, is_held, f);
     lab_call_t *const second = lab_call(f->client, f->addr, more);
@@ -38,11 +38,11 @@
     g_assert_nonnull(second->retry_after);
     lab_call_free(second);
     g_assert_cmpint(status_of(f, chunks), ==, 503);
-    g_assert_false(web_has_room(f->exchange, 25));
+    g_assert_false(web_can_buffer(f->exchange, 25));
     web_drop_body(f->exchange); /* it is needed no more, though it is not answered */
-    g_assert_true(web_has_room(f->exchange, 64));
+    g_assert_true(web_can_buffer(f->exchange, 64));
     g_assert_cmpint(status_of(f, chunks), ==, 200);
-    web_answer(f->exchange, 200, "", "", 0);
+    web_respond(f->exchange, 200, "", "", 0);
     lab_run_until_true(f->loop, &first->done);
     lab_call_free(first);
     g_assert_cmpint(status_of(f, chunks), ==, 200); /* answered and gone: nothing is counted any more */
@@ -101,7 +101,7 @@
     lab_run_until_true(f->loop, &f->held);
     web_call_cancel(c->call);
     lab_run_until_true(f->loop, &f->gone);
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     lab_call_free(c);
 }
 
@@ -118,10 +118,10 @@
     g_assert_cmpint(send(fd, request, strlen(request), 0), ==, (ssize_t)strlen(request));
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
-    web_begin(f->exchange, 200, "");
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_begin_response(f->exchange, 200, "");
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
     lab_run_until_true(f->loop, &f->gone); /* it reads nothing, and never closes */
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     g_free(piece);
     close(fd);
 }
@@ -131,7 +131,7 @@
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /cut HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_CUT);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_TRUNCATED);
     lab_call_free(c);
 }
 
@@ -140,10 +140,10 @@
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &f->held);
-    web_server_retire(f->server); /* what is under way is still answered */
-    web_answer(f->exchange, 200, "", "late", 4);
+    web_server_drain(f->server); /* what is under way is still answered */
+    web_respond(f->exchange, 200, "", "late", 4);
     lab_run_until_true(f->loop, &c->done);
-    g_assert_cmpint(c->how, ==, WEB_END_WHOLE);
+    g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(c->body->str, ==, "late");
     lab_call_free(c);
 }
@@ -309,7 +309,7 @@
 static void test_short_writes(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    f->limits.take_ms = 60000;
+    f->limits.send_timeout_ms = 60000;
     f->limits.idle_ms = 60000;
     raw_t raw = raw_open(f);
     char *const body = large_body();
@@ -338,7 +338,7 @@
     (void)raw_read(&raw, SIZE_MAX);
     g_assert_true(raw.closed);
     g_assert_cmpuint(raw.in->len, <, 4 * LARGE);
-    g_assert_cmpuint(web_server_busy(f->server), ==, 0);
+    g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     raw_close(&raw);
 }
 
@@ -377,8 +377,8 @@
     raw_send(&raw, "GET /hold HTTP/1.0\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &f->held);
     char *const piece = g_malloc0(size);
-    web_begin(f->exchange, 200, "");
-    web_add(f->exchange, piece, size);
+    web_begin_response(f->exchange, 200, "");
+    web_write(f->exchange, piece, size);
     g_free(piece);
     return raw;
 }
@@ -397,11 +397,11 @@
 static void test_old_caller_too_much_waits(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    f->limits.take_ms = 60000; /* it is not given up before */
+    f->limits.send_timeout_ms = 60000; /* it is not given up before */
     raw_t raw = begin_old(f, MORE_THAN_BUFFERS);
     char *const piece = g_malloc0(MORE_THAN_BUFFERS);
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
-    web_add(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
+    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
     g_free(piece);
     lab_run_until_true(f->loop, &f->gone);
     expect_reset(f, raw.fd);
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -60,32 +60,32 @@
     if (strcmp(request->target, "/hold") == 0) {
         f->held = true;
         f->exchange = exchange;
-        web_on_gone(exchange, on_gone, f);
+        web_on_disconnect(exchange, on_gone, f);
         return;
     }
     if (strcmp(request->target, "/stream") == 0) {
-        web_begin(exchange, 200, "");
-        web_add(exchange, "piece", 5);
-        web_end(exchange);
+        web_begin_response(exchange, 200, "");
+        web_write(exchange, "piece", 5);
+        web_end_response(exchange);
         return;
     }
     if (strcmp(request->target, "/large") == 0) {
         char *const body = large_body();
-        web_answer(exchange, 200, "", body, LARGE);
+        web_respond(exchange, 200, "", body, LARGE);
         g_free(body);
         return;
     }
     if (strcmp(request->target, "/none") == 0) {
-        web_answer(exchange, 204, "", "", 0);
+        web_respond(exchange, 204, "", "", 0);
         return;
     }
     if (strcmp(request->target, "/cut") == 0) {
-        web_begin(exchange, 200, "");
-        web_add(exchange, "half", 4);
-        web_abort(exchange);
+        web_begin_response(exchange, 200, "");
+        web_write(exchange, "half", 4);
+        web_abort_response(exchange);
         return;
     }
-    web_answer(exchange, 200, "", request->target, strlen(request->target));
+    web_respond(exchange, 200, "", request->target, strlen(request->target));
 }
 
 static void set_up(fixture_t *f, gconstpointer data)
@@ -93,7 +93,8 @@
     (void)data;
     f->loop = loop_create();
     f->seen = g_string_new(NULL);
-    f->limits = (web_limits_t){.header_bytes = 512, .body_bytes = 64, .header_ms = 300, .idle_ms = 300, .take_ms = 300};
+    f->limits =
+        (web_limits_t){.header_bytes = 512, .body_bytes = 64, .header_ms = 300, .idle_ms = 300, .send_timeout_ms = 300};
     lab_free_addr(f->addr);
     tc_err_t err = {0};
     f->server = web_server_start(f->loop, f->addr, &f->limits, handle, f, &err);
