--- a/lib/cap/cap_ledger.c
+++ b/lib/cap/cap_ledger.c
@@ -7,7 +7,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "common/sharers.h"
+#include "common/box_count.h"
 
 /* ===== Constants ===== */
 
@@ -55,7 +55,7 @@
     GHashTable *reported; /* hash of box, its incarnation and subject -> usage_t */
     GArray *states;       /* cap_state_t, as sent to boxes */
     tc_time_t states_at, sweep_at;
-    sharers_t sharers;
+    box_count_t sharers;
     double present;         /* fraction of the fill rate that is available here, 1 if no box is missing */
     tc_time_t leader_since; /* when this box became the leader */
 };
@@ -225,7 +225,7 @@
     }
     l->leader_since = now;
     g_hash_table_remove_all(l->reported);
-    l->sharers = (sharers_t){0};
+    l->sharers = (box_count_t){0};
     l->present = 1;
     l->states_at = 0;
 }
@@ -241,8 +241,8 @@
 
 void cap_ledger_set_boxes(cap_ledger_t *l, unsigned n, tc_time_t now)
 {
-    sharers_hear(&l->sharers, n, l->rules.window, now);
-    const unsigned known = sharers_count(&l->sharers);
+    box_count_update(&l->sharers, n, l->rules.window, now);
+    const unsigned known = box_count_get(&l->sharers);
     const double present = 1 - MISSING_FRACTION * (double)(known - MIN(n, known)) / known;
     if (present == l->present)
         return;
--- a/lib/common/sharers.h
+++ b/lib/common/box_count.h
@@ -1,9 +1,9 @@
-/** @file sharers.h
+/** @file box_count.h
  * How many boxes share what all of them together may do: each has an equal part of it while nobody adds up.
  * No clock: the time goes in.
  */
-#ifndef TRACKCOVE_COMMON_SHARERS_H
-#define TRACKCOVE_COMMON_SHARERS_H
+#ifndef TRACKCOVE_COMMON_BOX_COUNT_H
+#define TRACKCOVE_COMMON_BOX_COUNT_H
 
 /* ===== Dependencies ===== */
 
@@ -13,7 +13,7 @@
 
 /** Boxes that a box reckons with until it has heard how many there are: after a restart of everything, each that took
  *  itself for the only one would take the whole for its own. */
-#define SHARERS_UNKNOWN 90u
+#define BOX_COUNT_DEFAULT 90u
 
 /* ===== Types ===== */
 
@@ -21,15 +21,15 @@
 typedef struct {
     unsigned n;     /* 0: never heard */
     tc_time_t seen; /* when that many were there last */
-} sharers_t;
+} box_count_t;
 
 /* ===== Public functions ===== */
 
 /** So many boxes are there now, this one included; 0: none was heard of, which changes nothing. A box that is missing,
  *  since it or the leader was cut off, may still spend its part, so it counts for one @p window more. */
-void sharers_hear(sharers_t *sharers, unsigned n, tc_time_t window, tc_time_t now);
+void box_count_update(box_count_t *sharers, unsigned n, tc_time_t window, tc_time_t now);
 
-/** How many share. @return SHARERS_UNKNOWN until the first is heard of */
-unsigned sharers_count(const sharers_t *sharers);
+/** How many share. @return BOX_COUNT_DEFAULT until the first is heard of */
+unsigned box_count_get(const box_count_t *sharers);
 
 #endif
--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -537,12 +537,12 @@
 
 void forwarder_set_boxes(forwarder_t *fw, unsigned boxes)
 {
-    sharers_hear(&fw->sharers, boxes, fw->options.retries.window, tc_time_now());
+    box_count_update(&fw->sharers, boxes, fw->options.retries.window, tc_time_now());
 }
 
 unsigned forward_boxes(const forwarder_t *fw)
 {
-    return fw->scheduler ? sharers_count(&fw->sharers) : 1; /* without a leader there are no other boxes to learn of */
+    return fw->scheduler ? box_count_get(&fw->sharers) : 1; /* without a leader there are no other boxes to learn of */
 }
 
 quarantine_t *forwarder_quarantine(forwarder_t *fw)
--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -26,7 +26,7 @@
 #include <urcu/list.h>
 
 #include "cluster/limit_table.h"
-#include "common/sharers.h"
+#include "common/box_count.h"
 #include "forward/dialect.h"
 #include "forward/forward.h"
 #include "forward/reasons.h"
@@ -301,7 +301,7 @@
     bool renews_soon;           /* the next renewal is early and lists local placements */
     bool has_counted;           /* the scheduler counts requests of this box */
     GHashTable *budgets;        /* as retry_budgets_create */
-    sharers_t sharers;          /* number of boxes */
+    box_count_t sharers;        /* number of boxes */
     tc_time_t stop_begin_until; /* no request begins from then on; 0: the box is not stopping */
     tc_time_t stop_deadline;    /* all requests are over by then */
     GHashTable *service_times;  /* service -> service_time_t */
--- a/tests/random/test_caps_random.c
+++ b/tests/random/test_caps_random.c
@@ -13,7 +13,7 @@
 
 #include "cap/cap_ledger.h"
 #include "cap/cap_shares.h"
-#include "common/sharers.h"
+#include "common/box_count.h"
 
 /* ===== Simulation ===== */
 
@@ -234,7 +234,7 @@
         return true;
     }
     cap_decision_t decision;
-    if (cap_shares_take(b->shares, &request, b->had_reply ? w->boxes_n : SHARERS_UNKNOWN, g_rand_double(w->random),
+    if (cap_shares_take(b->shares, &request, b->had_reply ? w->boxes_n : BOX_COUNT_DEFAULT, g_rand_double(w->random),
                         w->now, &decision))
         return true;
     g_assert_cmpint(decision.after, >, 0);
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -10,7 +10,7 @@
 
 #include <glib.h>
 
-#include "common/sharers.h"
+#include "common/box_count.h"
 #include "harness/windows.h"
 
 enum { WINDOW = 10000, END = 6 * WINDOW };
@@ -87,13 +87,13 @@
     GArray *const requests = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     GArray *const extras = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     retry_budget_t budgets[BOXES];
-    sharers_t sharers[BOXES] = {0};
+    box_count_t sharers[BOXES] = {0};
     for (int i = 0; i < BOXES; i++)
         retry_budget_init(&budgets[i], 0);
     for (tc_time_t now = 0; now < 2 * WINDOW; now += STEP) {
         for (int i = 0; i < BOXES; i++) {
-            sharers_hear(&sharers[i], 0, WINDOW, now);
-            while (retry_budget_spend(&budgets[i], &rules, sharers_count(&sharers[i]), now))
+            box_count_update(&sharers[i], 0, WINDOW, now);
+            while (retry_budget_spend(&budgets[i], &rules, box_count_get(&sharers[i]), now))
                 g_array_append_val(extras, now);
         }
     }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #include "cluster/roster.h"
+#include "common/box_count.h"
 #include "common/retry_budget.h"
-#include "common/sharers.h"
 #include "forward/fleet.h"
 #include "forward/route.h"
 
@@ -104,15 +104,15 @@
     enum { BOXES = 9, HEARD = 6, WINDOW = 10000, BEGIN = 2 * WINDOW, CUT = 25000, END = 50000, STEP = 100 };
     const retry_rules_t rules = {.ratio = 0, .allowance = 60, .window = WINDOW};
     retry_budget_t budgets[BOXES];
-    sharers_t sharers[BOXES] = {0};
+    box_count_t sharers[BOXES] = {0};
     unsigned spent[END / STEP] = {0};
     for (int i = 0; i < BOXES; i++)
         retry_budget_init(&budgets[i], 0);
     for (tc_time_t now = BEGIN; now < END; now += STEP) {
         for (int i = 0; i < BOXES; i++) {
             const unsigned there = i < HEARD && now >= CUT ? HEARD : BOXES;
-            sharers_hear(&sharers[i], there, WINDOW, now);
-            spent[now / STEP] += retry_budget_spend(&budgets[i], &rules, sharers_count(&sharers[i]), now);
+            box_count_update(&sharers[i], there, WINDOW, now);
+            spent[now / STEP] += retry_budget_spend(&budgets[i], &rules, box_count_get(&sharers[i]), now);
         }
     }
     /* For one window a missing box still counts; later it is considered gone. */
