--- a/lib/cap/cap_shares.c
+++ b/lib/cap/cap_shares.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 #include "cap/cap_window.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 
 /* ===== Constants ===== */
 
@@ -122,7 +122,7 @@
                          tc_time_t now)
 {
     const double equal = cap->rate / boxes;
-    if (!mechanism_is_on(MECHANISM_CAP_DEMAND) || c->states_at == 0)
+    if (!feature_is_enabled(FEATURE_CAP_DEMAND) || c->states_at == 0)
         return equal; /* a box that has just started has no recent rate */
     const double recent = MIN(recent_rate(c, s, now), cap->rate);
     const double share = EQUAL_FRACTION * equal + RECENT_FRACTION * recent;
@@ -200,7 +200,7 @@
     share_t *const s = share_get(c, request->name);
     const cap_state_t *const state = g_hash_table_lookup(c->states, request->name);
     *decision = (cap_decision_t){.state_age = c->states_at > 0 ? now - c->states_at : TC_TIME_NEVER};
-    const bool enabled = mechanism_is_on(MECHANISM_CAP_LEADER);
+    const bool enabled = feature_is_enabled(FEATURE_CAP_LEADER);
     const bool has_leader = enabled && !request->leader_decides && decision->state_age <= FRESH_STATES_MS;
     if (!has_leader && (!enabled || state || !is_in_grace(c, s, request->units, draw, now)))
         return take_share(c, s, request, boxes, draw, now, decision);
--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -6,8 +6,8 @@
 
 #include "cluster/cold.h"
 #include "common/counter.h"
+#include "common/feature.h"
 #include "common/log.h"
-#include "common/mechanism.h"
 #include "common/retry_budget.h"
 #include "lists/list.h"
 #include "sched/sched.h"
@@ -146,7 +146,8 @@
             link_cfg_t *const link = &config->links[config->links_n++];
             codec_copy_string(link->a, sizeof(link->a), names[i]);
             codec_copy_string(link->b, sizeof(link->b), names[k]);
-            link->rate = (uint32_t)(rate * (i == k || !mechanism_is_on(MECHANISM_NEARNESS) ? 1 : REMOTE_LINK_FACTOR));
+            link->rate =
+                (uint32_t)(rate * (i == k || !feature_is_enabled(FEATURE_DC_AFFINITY) ? 1 : REMOTE_LINK_FACTOR));
         }
     }
     g_free(names);
@@ -568,9 +569,10 @@
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
-                                         .local_prefill_after_ms = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
+                                         .local_prefill_after_ms =
+                                             feature_is_enabled(FEATURE_LOCAL_PREFILL) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
-                                         .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
+                                         .adopt_unknown = feature_is_enabled(FEATURE_ADOPTION)};
         l->sched = sched_create(&options, now);
         l->term = term;
         configure(l, now);
@@ -591,7 +593,7 @@
 {
     leader_sched_t *const l = g_new0(leader_sched_t, 1);
     l->net = net;
-    l->retries = retry_rules_part(retries, mechanism_is_on(MECHANISM_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
+    l->retries = retry_rules_part(retries, feature_is_enabled(FEATURE_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
     l->budgets = retry_budgets_create();
     l->caps = cap_ledger_create(caps);
     l->limits = limits_create(limits);
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "cluster/cold.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "common/ring.h"
 
 /* ===== Constants ===== */
@@ -120,7 +120,7 @@
     const unsigned doublings = instance->failures < 4 ? instance->failures : 4;
     const tc_time_t pause = (tc_time_t)FIRST_BACKOFF_MS << doublings;
     instance->failures++;
-    if (!mechanism_is_on(MECHANISM_AVOIDANCE))
+    if (!feature_is_enabled(FEATURE_EJECTION))
         return;
     instance->avoid_until = now + (pause < MAX_BACKOFF_MS ? pause : MAX_BACKOFF_MS);
 }
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "common/counter.h"
+#include "common/feature.h"
 #include "common/histogram.h"
-#include "common/mechanism.h"
 #include "common/sabotage.h"
 #include "forward/forward_internal.h"
 
@@ -71,7 +71,7 @@
 {
     if (SABOTAGE_IS(SABOTAGE_RUN_TWICE))
         return f->runs == 0;
-    if (f->begun && (f->has_unnamed_event || !mechanism_is_on(MECHANISM_RESUMPTION)))
+    if (f->begun && (f->has_unnamed_event || !feature_is_enabled(FEATURE_RESUMPTION)))
         return false;
     return route_is_repeatable(f->route) && f->backends + !f->repeats_engine < f->route->max_attempts;
 }
@@ -134,7 +134,7 @@
  * compute it again. */
 static void retry_same_engine(forward_t *f, instance_t *instance, dialect_op_t op)
 {
-    if (!mechanism_is_on(MECHANISM_SAME_ENGINE) || !f->split || f->same_engine_tried || instance->failures > 1) {
+    if (!feature_is_enabled(FEATURE_SAME_ENGINE_RETRY) || !f->split || f->same_engine_tried || instance->failures > 1) {
         mark_tried(f, instance, op);
         return;
     }
@@ -280,7 +280,7 @@
 static bool try_elsewhere(backend_call_t *call)
 {
     forward_t *const f = call->request;
-    if (!mechanism_is_on(MECHANISM_SECOND_TRY) || call->status < 500 || f->begun || !may_run_again(f) ||
+    if (!feature_is_enabled(FEATURE_FAILURE_RETRY) || call->status < 500 || f->begun || !may_run_again(f) ||
         !has_other(call, forward_has_unlimited) || !retry_spend(f))
         return false;
     forward_log(f, "backend_failed", "retried at another back end", call->status, call->instance);
--- a/lib/forward/forward_early.c
+++ b/lib/forward/forward_early.c
@@ -4,7 +4,7 @@
 #include <urcu/list.h>
 
 #include "common/counter.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_held, "counter", "trackcove_forward_early_total", "Requests that came before the box knew where to")
@@ -62,7 +62,7 @@
 bool early_queue(forwarder_t *fw, web_exchange_t *exchange, const web_request_t *request)
 {
     const tc_time_t now = tc_time_now();
-    if (!mechanism_is_on(MECHANISM_EARLY_WAIT) || is_configured(fw) || now - fw->created > EARLY_PHASE_MS)
+    if (!feature_is_enabled(FEATURE_STARTUP_WAIT) || is_configured(fw) || now - fw->created > EARLY_PHASE_MS)
         return false;
     counter_add(&c_held, 1);
     early_request_t *const e = g_new0(early_request_t, 1);
--- a/lib/forward/forward_hold.c
+++ b/lib/forward/forward_hold.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "common/counter.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_taken, "counter", "trackcove_hold_taken_total", "Times that memory was set aside at a decode engine")
@@ -87,7 +87,7 @@
 
 bool hold_request(forward_t *f)
 {
-    if (!mechanism_is_on(MECHANISM_HOLDS) || f->hold.instance || f->settings->hold_ttl == 0 ||
+    if (!feature_is_enabled(FEATURE_HOLDS) || f->hold.instance || f->settings->hold_ttl == 0 ||
         f->hold.tries >= HOLD_TRIES_MAX)
         return false;
     instance_t *const instance = forward_choose(f, STAGE_DECODE);
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "common/counter.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_looked, "counter", "trackcove_locate_looked_total", "Streams whose prompt was looked for at engines")
@@ -122,7 +122,8 @@
 
 bool locate_begin(forward_t *f)
 {
-    if (!mechanism_is_on(MECHANISM_KEEPERS) || f->locate.asked || !f->facts.resume_after[0] || f->facts.parts_n == 0)
+    if (!feature_is_enabled(FEATURE_CACHE_AFFINITY) || f->locate.asked || !f->facts.resume_after[0] ||
+        f->facts.parts_n == 0)
         return false;
     if (forward_crash_count(f) > 0)
         return false; /* the engine that cached it has ended; the next is chosen with regard to its other requests */
--- a/lib/forward/forward_place.c
+++ b/lib/forward/forward_place.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #include "common/counter.h"
+#include "common/feature.h"
 #include "common/histogram.h"
-#include "common/mechanism.h"
 #include "forward/forward_internal.h"
 #include "sched/sched.h"
 
@@ -155,10 +155,10 @@
 {
     if (!f->workspace)
         return;
-    if (mechanism_is_on(MECHANISM_WORKSPACE_SHARE))
+    if (feature_is_enabled(FEATURE_WORKSPACE_SHARE))
         codec_copy_string(place->workspace, sizeof(place->workspace), f->workspace->name);
     codec_copy_string(place->cap, sizeof(place->cap), f->workspace->name);
-    place->cap_units = f->cap_granted || !mechanism_is_on(MECHANISM_CAP_LEADER) ? 0 : cap_units(f);
+    place->cap_units = f->cap_granted || !feature_is_enabled(FEATURE_CAP_LEADER) ? 0 : cap_units(f);
 }
 
 /** Sends a placement query. A repeated query with the same id keeps its position, as the queue is ordered by due time.
@@ -181,7 +181,7 @@
     codec_copy_string(place.id, sizeof(place.id), f->facts.id);
     codec_copy_string(place.box, sizeof(place.box), fw->options.box);
     codec_copy_string(place.model, sizeof(place.model), f->service);
-    if (mechanism_is_on(MECHANISM_NEARNESS))
+    if (feature_is_enabled(FEATURE_DC_AFFINITY))
         codec_copy_string(place.dc, sizeof(place.dc), fw->options.dc);
     place_fill_workspace(f, &place);
     return query(f, MSG_PLACE, &place);
@@ -210,7 +210,7 @@
     if (f->placement.attempt > 0)
         place_report(f, PHASE_FAILED, NULL); /* the engine that this box chose did not take the request */
     f->placement.attempt = 0;
-    if (!f->owner->scheduler || !f->facts.id[0] || !mechanism_is_on(MECHANISM_SCHEDULER))
+    if (!f->owner->scheduler || !f->facts.id[0] || !feature_is_enabled(FEATURE_SCHEDULER))
         return false;
     if (query_placement(f))
         return true;
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "common/counter.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_lent, "counter", "trackcove_retry_lent_total", "Further arrivals allowed by the leader's part")
@@ -19,7 +19,7 @@
 /** Whether the leader lends part of the service's budget, which it does for services that the scheduler places. */
 static bool leader_shares_budget(const forward_t *f)
 {
-    return f->split && f->owner->scheduler && mechanism_is_on(MECHANISM_RETRY_LENDING);
+    return f->split && f->owner->scheduler && feature_is_enabled(FEATURE_RETRY_LENDING);
 }
 
 static retry_rules_t rules_of(const forward_t *f)
--- a/lib/sched/sched_place.c
+++ b/lib/sched/sched_place.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "sched/sched_internal.h"
 
 /* ===== Grants ===== */
@@ -49,7 +49,7 @@
         const choice_t choice = choose_queued(s, r, now);
         if (!choice.decode)
             continue;
-        if (mechanism_is_on(MECHANISM_EARLY_REFUSAL) && now + (tc_time_t)choice.total_ms > r->due) {
+        if (feature_is_enabled(FEATURE_EARLY_REFUSAL) && now + (tc_time_t)choice.total_ms > r->due) {
             refuse_queued(s, r, "cannot meet the time to first token", estimate_wait(s, r, now));
             continue;
         }
@@ -103,7 +103,7 @@
     for (;;) {
         const double wait = estimate_wait(s, r, now);
         const bool late =
-            mechanism_is_on(MECHANISM_EARLY_REFUSAL) && now >= s->admit_from && (double)now + wait > (double)r->due;
+            feature_is_enabled(FEATURE_EARLY_REFUSAL) && now >= s->admit_from && (double)now + wait > (double)r->due;
         if (!late && s->n_queue <= s->targets.max_queue)
             return;
         request_t *const victim = shed_victim(s, r, queued_tokens_per_weight(s, r->workspace));
@@ -230,7 +230,7 @@
         admit(s, r, now);
         dispatch(s, now);
     }
-    if (is_queued(s, place->id) && now >= s->admit_from && !mechanism_is_on(MECHANISM_QUEUE))
+    if (is_queued(s, place->id) && now >= s->admit_from && !feature_is_enabled(FEATURE_QUEUE))
         refuse_queued(s, r, "no room at once", 0);
     send_cancels(s, now);
 }
@@ -243,7 +243,7 @@
         return;
     switch (replan->trouble) {
     case TROUBLE_FULL:
-        if (mechanism_is_on(MECHANISM_CORRECTION))
+        if (feature_is_enabled(FEATURE_CORRECTION))
             engine_mark_full(bad, now);
         else
             bad->stalled_until = now + STALL_AVOID_MS;
--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -24,8 +24,8 @@
 
 
 def mechanisms():
-    with open(os.path.join(ROOT, "lib/common/mechanism.c"), encoding="utf-8") as source:
-        return re.findall(r'\[MECHANISM_\w+\] = "(\w+)"', source.read())
+    with open(os.path.join(ROOT, "lib/common/feature.c"), encoding="utf-8") as source:
+        return re.findall(r'\[FEATURE_\w+\] = "(\w+)"', source.read())
 
 
 def switch(tree, off):
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -4,7 +4,7 @@
 #include <jansson.h>
 #include <string.h>
 
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/dialect.h"
 #include "platform/boot.h"
 #include "platform/config.h"
@@ -41,13 +41,13 @@
     g_assert_cmpint(boot_parse("{", &b, &err), ==, TC_E_INVALID);
     /* Mechanisms are named one by one; a wrong name is told. */
     char *const without = g_strdup_printf("{\"without\":[\"queue\"],%s", SETTINGS + 1);
-    g_assert_true(mechanism_is_on(MECHANISM_QUEUE));
+    g_assert_true(feature_is_enabled(FEATURE_QUEUE));
     g_assert_cmpint(boot_parse(without, &b, &err), ==, 0);
-    g_assert_false(mechanism_is_on(MECHANISM_QUEUE));
-    g_assert_true(mechanism_is_on(MECHANISM_ROLES));
+    g_assert_false(feature_is_enabled(FEATURE_QUEUE));
+    g_assert_true(feature_is_enabled(FEATURE_ROLES));
     boot_free(&b);
     g_free(without);
-    mechanism_reset();
+    feature_reset();
     g_assert_cmpint(boot_parse("{\"without\":[\"nonsense\"]}", &b, &err), ==, TC_E_INVALID);
     g_assert_nonnull(strstr(err.detail, "nonsense"));
 }
