--- a/lib/cluster/document.c
+++ b/lib/cluster/document.c
@@ -23,16 +23,16 @@
 void document_make(document_t *to, uint64_t version, const char *text, size_t size)
 {
     size_t packed;
-    char *const body = pack_text(text, size, &packed);
+    char *const body = compress_text(text, size, &packed);
     codec_free(&document_desc, to);
     *to = (document_t){.version = version, .body = body, .body_n = (uint32_t)packed, .size = size};
     compute_digest(to->digest, text, size);
     to->body_hash = XXH64(body, packed, 0);
 }
 
-int document_read(const document_t *document, pack_sink_t sink, void *arg, tc_err_t *err)
+int document_read(const document_t *document, decompress_sink_t sink, void *arg, tc_err_t *err)
 {
-    return pack_expand(document->body, document->body_n, sink, arg, err);
+    return decompress_text(document->body, document->body_n, sink, arg, err);
 }
 
 document_head_t document_head(const document_t *document)
--- a/lib/cluster/document.h
+++ b/lib/cluster/document.h
@@ -13,8 +13,8 @@
 
 #include <stdbool.h>
 
+#include "common/compress.h"
 #include "common/err.h"
-#include "common/pack.h"
 #include "gen/schema.h"
 
 /* ===== Constants ===== */
@@ -46,8 +46,8 @@
 
 /** Compresses a text into a document. @param to is replaced; free with codec_free */
 void document_make(document_t *to, uint64_t version, const char *text, size_t size);
-/** Decompresses the text and passes it to @p sink in chunks. @return as pack_expand */
-int document_read(const document_t *document, pack_sink_t sink, void *arg, tc_err_t *err);
+/** Decompresses the text and passes it to @p sink in chunks. @return as decompress_text */
+int document_read(const document_t *document, decompress_sink_t sink, void *arg, tc_err_t *err);
 document_head_t document_head(const document_t *document);
 
 /* ===== Versions ===== */
--- a/lib/common/pack.c
+++ b/lib/common/compress.c
@@ -1,4 +1,4 @@
-#include "common/pack.h"
+#include "common/compress.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 
 /* ===== Packing ===== */
 
-char *pack_text(const char *text, size_t size, size_t *packed)
+char *compress_text(const char *text, size_t size, size_t *packed)
 {
     const size_t room = ZSTD_compressBound(size);
     char *const bytes = malloc(room);
@@ -40,15 +40,15 @@
 
 /* ===== Unpacking ===== */
 
-struct pack_reader {
+struct decompressor {
     ZSTD_DCtx *context;
     ZSTD_inBuffer in;
     bool ended; /* the packed text is complete */
 };
 
-pack_reader_t *pack_reader_create(const char *packed, size_t size)
+decompressor_t *decompressor_create(const char *packed, size_t size)
 {
-    pack_reader_t *const r = calloc(1, sizeof(*r));
+    decompressor_t *const r = calloc(1, sizeof(*r));
     if (!r)
         abort();
     r->context = ZSTD_createDCtx();
@@ -64,7 +64,7 @@
     return tc_err_set(err, TC_E_CORRUPT, "unpack text", NULL, "%s", why);
 }
 
-int pack_reader_next(pack_reader_t *r, char *to, size_t room, size_t *n, tc_err_t *err)
+int decompressor_read(decompressor_t *r, char *to, size_t room, size_t *n, tc_err_t *err)
 {
     *n = 0;
     while (!r->ended && *n == 0) {
@@ -81,23 +81,23 @@
     return *n > 0 || r->in.pos == r->in.size ? TC_OK : corrupt(err, "bytes behind the end");
 }
 
-void pack_reader_free(pack_reader_t *r)
+void decompressor_free(decompressor_t *r)
 {
     ZSTD_freeDCtx(r->context);
     free(r);
 }
 
-int pack_expand(const char *packed, size_t size, pack_sink_t sink, void *arg, tc_err_t *err)
+int decompress_text(const char *packed, size_t size, decompress_sink_t sink, void *arg, tc_err_t *err)
 {
-    pack_reader_t *const reader = pack_reader_create(packed, size);
+    decompressor_t *const reader = decompressor_create(packed, size);
     char piece[PIECE];
     size_t n = 1;
     int rc = TC_OK;
     while (rc == TC_OK && n > 0) {
-        rc = pack_reader_next(reader, piece, sizeof(piece), &n, err);
+        rc = decompressor_read(reader, piece, sizeof(piece), &n, err);
         if (rc == TC_OK && n > 0 && !sink(arg, piece, n))
             rc = TC_E_CANCELLED;
     }
-    pack_reader_free(reader);
+    decompressor_free(reader);
     return rc;
 }
--- a/lib/lists/list.c
+++ b/lib/lists/list.c
@@ -7,7 +7,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "common/pack.h"
+#include "common/compress.h"
 
 /* ===== Kinds ===== */
 
@@ -110,7 +110,7 @@
 {
     size_t bytes;
     char *const text = codec_pack_bytes(kind->delta, delta, &bytes);
-    char *const packed = pack_text(text, bytes, size);
+    char *const packed = compress_text(text, bytes, size);
     free(text);
     return packed;
 }
@@ -132,7 +132,7 @@
 int list_unpack(const list_kind_t *kind, const char *packed, size_t size, list_delta_t *delta, tc_err_t *err)
 {
     GByteArray *const bytes = g_byte_array_new();
-    int rc = pack_expand(packed, size, take_bytes, bytes, err);
+    int rc = decompress_text(packed, size, take_bytes, bytes, err);
     if (rc == TC_OK)
         rc = codec_unpack_bytes(kind->delta, delta, (const char *)bytes->data, bytes->len, err);
     g_byte_array_free(bytes, TRUE);
--- a/tests/unit/test_document.c
+++ b/tests/unit/test_document.c
@@ -128,12 +128,12 @@
 {
     char *const text = make_long_text(3);
     size_t size;
-    char *const packed = pack_text(text, strlen(text), &size);
+    char *const packed = compress_text(text, strlen(text), &size);
     GString *const read = g_string_new(NULL);
     tc_err_t err = {0};
-    g_assert_cmpint(pack_expand(packed, size / 2, append, read, &err), ==, TC_E_CORRUPT);
-    g_assert_cmpint(pack_expand("{\"version\":1}", 13, append, read, &err), ==, TC_E_CORRUPT);
-    g_assert_cmpint(pack_expand(packed, 0, append, read, &err), ==, TC_E_CORRUPT);
+    g_assert_cmpint(decompress_text(packed, size / 2, append, read, &err), ==, TC_E_CORRUPT);
+    g_assert_cmpint(decompress_text("{\"version\":1}", 13, append, read, &err), ==, TC_E_CORRUPT);
+    g_assert_cmpint(decompress_text(packed, 0, append, read, &err), ==, TC_E_CORRUPT);
     free(packed);
     g_string_free(read, TRUE);
     g_free(text);
