--- a/lib/common/time.c
+++ b/lib/common/time.c
@@ -50,7 +50,7 @@
     pthread_condattr_destroy(&attr);
 }
 
-void tc_cond_nap(pthread_cond_t *cond, pthread_mutex_t *lock, tc_time_t span)
+void tc_cond_wait_for(pthread_cond_t *cond, pthread_mutex_t *lock, tc_time_t span)
 {
     struct timespec until;
     clock_gettime(CLOCK_MONOTONIC, &until);
--- a/lib/common/time.h
+++ b/lib/common/time.h
@@ -35,9 +35,9 @@
 /** Sleep for a span. */
 void tc_time_sleep(tc_time_t span);
 
-/** Make a condition for tc_cond_nap. */
+/** Make a condition for tc_cond_wait_for. */
 void tc_cond_init(pthread_cond_t *cond);
 /** Wait for it, or for a short span: a jump of the time of day makes that no longer. May wake early. */
-void tc_cond_nap(pthread_cond_t *cond, pthread_mutex_t *lock, tc_time_t span);
+void tc_cond_wait_for(pthread_cond_t *cond, pthread_mutex_t *lock, tc_time_t span);
 
 #endif
--- a/lib/request/placer.c
+++ b/lib/request/placer.c
@@ -108,7 +108,7 @@
 {
     pthread_mutex_lock(&w->lock);
     while (!w->done) {
-        tc_cond_nap(&w->changed, &w->lock, IDLE_MS);
+        tc_cond_wait_for(&w->changed, &w->lock, IDLE_MS);
         if (w->done)
             break;
         pthread_mutex_unlock(&w->lock);
--- a/programs/stub/stub.c
+++ b/programs/stub/stub.c
@@ -56,7 +56,7 @@
 /** Wait on a request's condition, for a short while at most so that a lost connection is noticed. */
 static void wait_change(sim_request_t *r)
 {
-    tc_cond_nap(&r->changed, &sim->lock, CHANGE_MS);
+    tc_cond_wait_for(&r->changed, &sim->lock, CHANGE_MS);
 }
 
 /** One-way delay between the caller's data centre and the engine's, both ways, as the links declare it. */
