--- a/Makefile
+++ b/Makefile
@@ -175,11 +175,11 @@
 	@failed=0; for seed in $$(seq $(or $(FIRST),1) $$(($(or $(FIRST),1) + $(or $(SEEDS),50) - 1))); do \
 	    $(SOAK) --shim $(SHIM) --bin $(BUILD)/bin --seed $$seed --seconds $(or $(SECONDS),15) || failed=1; done; exit $$failed
 
-# Each deliberate fault of lib/common/sabotage.h must be found: the checks can fail. Six show in the soak. That of the
+# Each deliberate fault of lib/common/mutant.h must be found: the checks can fail. Six show in the soak. That of the
 # lease shows to the randomised log alone (a leader that was paused hears of its successor before it reads the next
 # question), those of the clock and of the budget to their own tests: the soak checks both promises as well, but its boxes
 # see few moments at which a fault of theirs makes a difference.
-SABOTAGE = $(MAKE) --no-print-directory -s BUILD=build-sabotage-$$which CFLAGS="-O2 -g -DTRACKCOVE_SABOTAGE=$$which"
+SABOTAGE = $(MAKE) --no-print-directory -s BUILD=build-sabotage-$$which CFLAGS="-O2 -g -DTRACKCOVE_MUTANT=$$which"
 .PHONY: sabotage
 sabotage: setup $(SOAK) ## nine deliberate faults, each to be found within SEEDS=N soaks, or by a test
 	@missed=0; for which in 1 3 4 5 8 9; do found=0; $(SABOTAGE) platform >/dev/null || exit 1; \
--- a/lib/cluster/quarantine.c
+++ b/lib/cluster/quarantine.c
@@ -9,7 +9,7 @@
 #include "cluster/quarantine_internal.h"
 #include "common/counter.h"
 #include "common/log.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 
 COUNTER_DEFINE(c_ends, "counter", "trackcove_quarantine_ends_total", "Ends of back ends held against requests")
 COUNTER_DEFINE(c_cleared, "counter", "trackcove_quarantine_cleared_total", "Suspects that ran well")
@@ -200,7 +200,7 @@
 unsigned quarantine_crash_count(quarantine_t *q, uint64_t request, tc_time_t now)
 {
     suspect_t *const e = find(q, request);
-    if (SABOTAGE_IS(SABOTAGE_FORGET_ENDS))
+    if (MUTANT_IS(MUTANT_FORGET_ENDS))
         return 0;
     if (e)
         judge(q, e, now);
--- a/lib/cluster/replica_proposals.c
+++ b/lib/cluster/replica_proposals.c
@@ -8,7 +8,7 @@
 #include "cluster/replica_internal.h"
 #include "common/counter.h"
 #include "common/log.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 
 COUNTER_DEFINE(c_unspread, "counter", "trackcove_cluster_unspread_total",
                "Documents and evacuations acknowledged while a box that was there did not act on them yet")
@@ -95,7 +95,7 @@
     replica_proposal_t *const o = proposal_add(r, PROPOSAL_DOCUMENT, document->version, done, arg);
     wait_for_commit(r, o, count_pieces(document), now);
     propose(r, document, now);
-    if (SABOTAGE_IS(SABOTAGE_EARLY_ANSWER))
+    if (MUTANT_IS(MUTANT_EARLY_ANSWER))
         proposal_end(o, TC_OK);
 }
 
--- a/lib/common/retry_budget.c
+++ b/lib/common/retry_budget.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "common/sabotage.h"
+#include "common/mutant.h"
 
 /* ===== Constants ===== */
 
@@ -67,7 +67,7 @@
 {
     const int at = slice_at(b, rules, now);
     const retry_budget_view_t view = retry_budget_view(b, rules, boxes, now);
-    if (view.extras + 1 > view.limit && !SABOTAGE_IS(SABOTAGE_NO_BUDGET))
+    if (view.extras + 1 > view.limit && !MUTANT_IS(MUTANT_NO_BUDGET))
         return false;
     b->extras[at]++;
     return true;
--- a/lib/common/time.c
+++ b/lib/common/time.c
@@ -2,7 +2,7 @@
 
 #include <time.h>
 
-#include "common/sabotage.h"
+#include "common/mutant.h"
 
 enum { MS_PER_S = 1000, NS_PER_MS = 1000000, NS_PER_S = 1000000000 };
 
@@ -15,7 +15,7 @@
 
 tc_time_t tc_time_now(void)
 {
-    return read_clock(SABOTAGE_IS(SABOTAGE_SLEEPING_CLOCK) ? CLOCK_MONOTONIC : CLOCK_BOOTTIME);
+    return read_clock(MUTANT_IS(MUTANT_SLEEPING_CLOCK) ? CLOCK_MONOTONIC : CLOCK_BOOTTIME);
 }
 
 double tc_time_exact(void)
--- a/lib/control/raft.c
+++ b/lib/control/raft.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "common/sabotage.h"
+#include "common/mutant.h"
 #include "control/raft_internal.h"
 
 /* ===== Actions ===== */
@@ -503,7 +503,7 @@
 bool raft_has_lease(const raft_t *r, tc_time_t now)
 {
     const tc_time_t age = raft_quorum_age(r, now);
-    if (SABOTAGE_IS(SABOTAGE_NO_LEASE))
+    if (MUTANT_IS(MUTANT_NO_LEASE))
         return age != TC_TIME_NEVER;
     return age < RAFT_LEASE_MS;
 }
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -6,7 +6,7 @@
 #include "common/counter.h"
 #include "common/feature.h"
 #include "common/histogram.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 #include "forward/forward_internal.h"
 
 HISTOGRAM_DEFINE(h_first, "trackcove_forward_first_event_ms", "From a request to the head of its stream")
@@ -69,7 +69,7 @@
 /** Whether the request may run on one more back end after it may have run on this one. */
 static bool may_run_again(const forward_t *f)
 {
-    if (SABOTAGE_IS(SABOTAGE_RUN_TWICE))
+    if (MUTANT_IS(MUTANT_RUN_TWICE))
         return f->runs == 0;
     if (f->begun && (f->has_unnamed_event || !feature_is_enabled(FEATURE_RESUMPTION)))
         return false;
--- a/lib/forward/forward_limit.c
+++ b/lib/forward/forward_limit.c
@@ -8,7 +8,7 @@
 
 #include "common/counter.h"
 #include "common/log.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_changes, "counter", "trackcove_forward_limit_changes_total",
@@ -264,7 +264,7 @@
 void limit_send(forward_t *f, dialect_op_t op, instance_t *instance)
 {
     const bool limited = instance->limit.is_set || is_cold(f, instance);
-    if (!limited || SABOTAGE_IS(SABOTAGE_NO_LIMIT)) {
+    if (!limited || MUTANT_IS(MUTANT_NO_LIMIT)) {
         forward_send(f, op, instance);
         return;
     }
--- a/lib/forward/forward_notice.c
+++ b/lib/forward/forward_notice.c
@@ -1,7 +1,7 @@
 /* Availability notices of back ends, in their answers to requests and to queries. */
 
 #include "common/counter.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_closed, "counter", "trackcove_forward_backend_closed_total",
@@ -11,7 +11,7 @@
 
 void notice_apply(forwarder_t *fw, instance_t *instance, const web_head_t *head)
 {
-    if (SABOTAGE_IS(SABOTAGE_NO_NOTICE))
+    if (MUTANT_IS(MUTANT_NO_NOTICE))
         return;
     const availability_notice_t notice = dialect_read_notice(head);
     const bool was_leaving = instance->availability.leaving_since > 0;
--- a/lib/forward/forward_stream.c
+++ b/lib/forward/forward_stream.c
@@ -7,7 +7,7 @@
 #include <xxhash.h>
 
 #include "common/counter.h"
-#include "common/sabotage.h"
+#include "common/mutant.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_unfinished, "counter", "trackcove_stream_unfinished_total",
@@ -116,7 +116,7 @@
 {
     forward_t *const f = call->request;
     call->run.partial = g_byte_array_new();
-    if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
+    if (MUTANT_IS(MUTANT_JOINED_RUNS))
         restore_leftover(call);
     call->run.after = g_strdup(f->last_event);
     f->stream_runs++;
@@ -138,7 +138,7 @@
         return;
     forward_log_run(call, why);
     counter_add(&c_unfinished, !stream_at_boundary(call));
-    if (SABOTAGE_IS(SABOTAGE_JOINED_RUNS))
+    if (MUTANT_IS(MUTANT_JOINED_RUNS))
         save_leftover(call);
     g_byte_array_unref(call->run.partial);
     g_free(call->run.after);
