--- a/lib/common/ring.h
+++ b/lib/common/ring.h
@@ -12,7 +12,7 @@
 /* ===== Public functions ===== */
 
 /** Place of a name, spread evenly over all numbers. */
-uint64_t ring_place(const char *name);
+uint64_t ring_position(const char *name);
 
 /** How far @p place is behind @p from, once around at most. */
 static inline uint64_t ring_distance(uint64_t from, uint64_t place)
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -236,7 +236,7 @@
         instance_t *const instance = known ? instance_ref(known) : g_new0(instance_t, 1);
         if (!known) {
             instance->refs = 1;
-            instance->ring = ring_place(list[i].id);
+            instance->ring = ring_position(list[i].id);
         }
         if (known && strcmp(known->listed.stage, list[i].stage) != 0)
             instance->avoid_until = 0; /* refusals and failures were those of its former stage */
--- a/lib/sched/sched.c
+++ b/lib/sched/sched.c
@@ -176,7 +176,7 @@
     if (!e) {
         e = g_new0(engine_t, 1);
         codec_copy_string(e->name, sizeof(e->name), cfg->name);
-        e->ring_position = ring_place(e->name);
+        e->ring_position = ring_position(e->name);
         e->rate = model->rate;
         e->grants_left = SCHED_NO_LIMIT;
         g_hash_table_insert(s->engines, e->name, e);
