--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -459,7 +459,7 @@
     log_str(&line, "request", retry->id);
     log_int(&line, "granted", ack.granted);
     log_int(&line, "window_requests", view.requests);
-    log_int(&line, "window_extras", view.extras);
+    log_int(&line, "window_extras", view.retries);
     log_num(&line, "window_limit", view.limit);
     log_end(&line);
     peer_reply(l->net, call, MSG_RETRY_ACK, &ack);
@@ -498,7 +498,7 @@
 static void on_place(leader_sched_t *l, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (!place->again)
-        retry_budget_earn(retry_budgets_get(l->budgets, place->model, now), &l->retries, now);
+        retry_budget_add_request(retry_budgets_get(l->budgets, place->model, now), &l->retries, now);
     msg_place_t request = *place; /* shallow copy: its lists are borrowed */
     request.ends = count_crashes(l, place->fingerprint, place->ends, now);
     if (request.ends >= QUARANTINE_CRASH_LIMIT) {
@@ -593,7 +593,7 @@
 {
     leader_sched_t *const l = g_new0(leader_sched_t, 1);
     l->net = net;
-    l->retries = retry_rules_part(retries, feature_is_enabled(FEATURE_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
+    l->retries = retry_rules_scale(retries, feature_is_enabled(FEATURE_RETRY_LENDING) ? 1 - RETRY_BOXES_SHARE : 0);
     l->budgets = retry_budgets_create();
     l->caps = cap_ledger_create(caps);
     l->limits = limits_create(limits);
--- a/lib/common/retry_budget.c
+++ b/lib/common/retry_budget.c
@@ -8,11 +8,11 @@
 
 /** Kept back from what the rules allow: boxes count their windows from different moments, and the number of boxes
  *  is known some hundred ms late. */
-static const double SAFE_PART = 0.8;
+static const double SAFETY_FACTOR = 0.8;
 
 /* ===== Rules ===== */
 
-retry_rules_t retry_rules_part(const retry_rules_t *rules, double part)
+retry_rules_t retry_rules_scale(const retry_rules_t *rules, double part)
 {
     return (retry_rules_t){.ratio = rules->ratio * part, .allowance = rules->allowance * part, .window = rules->window};
 }
@@ -22,7 +22,7 @@
 void retry_budget_init(retry_budget_t *b, tc_time_t now)
 {
     memset(b, 0, sizeof(*b));
-    b->begun = now;
+    b->created = now;
 }
 
 /** Move on to the slice of @p now, emptying those in between. */
@@ -31,19 +31,19 @@
     const tc_time_t length = rules->window / RETRY_SLICES > 0 ? rules->window / RETRY_SLICES : 1;
     const tc_time_t number = now / length;
     tc_time_t passed = number - b->slice;
-    if (passed > RETRY_KEPT)
-        passed = RETRY_KEPT;
+    if (passed > RETRY_SLICES_KEPT)
+        passed = RETRY_SLICES_KEPT;
     for (tc_time_t i = 0; i < passed; i++) {
-        const int at = (int)((number - i) % RETRY_KEPT);
+        const int at = (int)((number - i) % RETRY_SLICES_KEPT);
         b->requests[at] = 0;
-        b->extras[at] = 0;
+        b->retries[at] = 0;
     }
     if (number > b->slice)
         b->slice = number;
-    return (int)(b->slice % RETRY_KEPT);
+    return (int)(b->slice % RETRY_SLICES_KEPT);
 }
 
-void retry_budget_earn(retry_budget_t *b, const retry_rules_t *rules, tc_time_t now)
+void retry_budget_add_request(retry_budget_t *b, const retry_rules_t *rules, tc_time_t now)
 {
     b->requests[slice_at(b, rules, now)]++;
 }
@@ -52,14 +52,14 @@
 {
     retry_budget_view_t view = {0};
     const int newest = slice_at(b, rules, now);
-    const int oldest = (newest + 1) % RETRY_KEPT;
-    for (int i = 0; i < RETRY_KEPT; i++) {
+    const int oldest = (newest + 1) % RETRY_SLICES_KEPT;
+    for (int i = 0; i < RETRY_SLICES_KEPT; i++) {
         view.requests += i == oldest ? 0 : b->requests[i];
-        view.extras += b->extras[i];
+        view.retries += b->retries[i];
     }
-    const double lived = (double)(now - b->begun) / (double)rules->window;
-    const double part = rules->allowance / (boxes ? boxes : 1) * (lived < 1 ? lived : 1);
-    view.limit = SAFE_PART * (rules->ratio * view.requests + part);
+    const double age = (double)(now - b->created) / (double)rules->window;
+    const double part = rules->allowance / (boxes ? boxes : 1) * (age < 1 ? age : 1);
+    view.limit = SAFETY_FACTOR * (rules->ratio * view.requests + part);
     return view;
 }
 
@@ -67,9 +67,9 @@
 {
     const int at = slice_at(b, rules, now);
     const retry_budget_view_t view = retry_budget_view(b, rules, boxes, now);
-    if (view.extras + 1 > view.limit && !MUTANT_IS(MUTANT_NO_BUDGET))
+    if (view.retries + 1 > view.limit && !MUTANT_IS(MUTANT_NO_BUDGET))
         return false;
-    b->extras[at]++;
+    b->retries[at]++;
     return true;
 }
 
--- a/lib/common/retry_budget.h
+++ b/lib/common/retry_budget.h
@@ -23,16 +23,16 @@
 
 enum {
     RETRY_SLICES = 10, /**< of a window */
-    /** Slices that are kept: the newest one has only begun, so one more than a window has covers a whole window at any
-     *  moment. With one less, what was allowed at the end of a slice was allowed again nine slices later: up to twice
-     *  the budget in a window (122 of 78 at worst, two bursts 9.01 s apart). */
-    RETRY_KEPT = RETRY_SLICES + 1
+    /** Slices that are kept: the newest one has only created, so one more than a window has covers a whole window at
+     * any moment. With one less, what was allowed at the end of a slice was allowed again nine slices later: up to
+     * twice the budget in a window (122 of 78 at worst, two bursts 9.01 s apart). */
+    RETRY_SLICES_KEPT = RETRY_SLICES + 1
 };
 
 /** Of the budget of a service whose requests the scheduler places, the boxes have this part among themselves; the rest
  *  is handed out by the leader to whoever needs it. Failures come unevenly: with 92 boxes the whole, divided, was used
  *  up at some while most of it lay idle (126 prompts read for nothing on one day). */
-#define RETRY_BOXES_PART 0.5
+#define RETRY_BOXES_SHARE 0.5
 
 /* ===== Types ===== */
 
@@ -45,30 +45,30 @@
 
 /** What was counted in the window. By value; retry_budget_init before use. */
 typedef struct {
-    tc_time_t begun;               /**< when the budget was made */
-    tc_time_t slice;               /**< number of the newest slice, counted from time 0 */
-    unsigned requests[RETRY_KEPT]; /**< that came in, by slice number modulo RETRY_KEPT */
-    unsigned extras[RETRY_KEPT];   /**< further arrivals that were allowed, the same */
+    tc_time_t created;                    /**< when the budget was made */
+    tc_time_t slice;                      /**< number of the newest slice, counted from time 0 */
+    unsigned requests[RETRY_SLICES_KEPT]; /**< that came in, by slice number modulo RETRY_SLICES_KEPT */
+    unsigned retries[RETRY_SLICES_KEPT];  /**< further arrivals that were allowed, the same */
 } retry_budget_t;
 
 /** What a decision rests on, for logs. */
 typedef struct {
     unsigned requests; /**< counted in the window */
-    unsigned extras;   /**< further arrivals that were allowed in it, */
+    unsigned retries;  /**< further arrivals that were allowed in it, */
     double limit;      /**< and how many may be */
 } retry_budget_view_t;
 
 /* ===== Rules ===== */
 
 /** The same rules for a part of the budget. @param part from 0 to 1 */
-retry_rules_t retry_rules_part(const retry_rules_t *rules, double part);
+retry_rules_t retry_rules_scale(const retry_rules_t *rules, double part);
 
 /* ===== One service's budget ===== */
 
 /** Begin counting: nothing has come in, and this box's part of the allowance is spent. */
 void retry_budget_init(retry_budget_t *budget, tc_time_t now);
 /** A request for the service came in. */
-void retry_budget_earn(retry_budget_t *budget, const retry_rules_t *rules, tc_time_t now);
+void retry_budget_add_request(retry_budget_t *budget, const retry_rules_t *rules, tc_time_t now);
 /** Whether one more arrival is allowed; takes it. @param boxes how many share the allowance, at least 1 */
 bool retry_budget_spend(retry_budget_t *budget, const retry_rules_t *rules, unsigned boxes, tc_time_t now);
 
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -24,14 +24,14 @@
 
 static retry_rules_t rules_of(const forward_t *f)
 {
-    return retry_rules_part(&f->owner->options.retries, leader_shares_budget(f) ? RETRY_BOXES_PART : 1);
+    return retry_rules_scale(&f->owner->options.retries, leader_shares_budget(f) ? RETRY_BOXES_SHARE : 1);
 }
 
 void retry_earn(forward_t *f)
 {
     const retry_rules_t rules = rules_of(f);
     const tc_time_t now = tc_time_now();
-    retry_budget_earn(retry_budgets_get(f->owner->budgets, f->service, now), &rules, now);
+    retry_budget_add_request(retry_budgets_get(f->owner->budgets, f->service, now), &rules, now);
 }
 
 bool retry_spend(forward_t *f)
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -33,7 +33,7 @@
     retry_budget_init(&budget, 0);
     for (tc_time_t now = 0; now < END; now++) {
         if (now % 100 == 0) {
-            retry_budget_earn(&budget, &rules, now);
+            retry_budget_add_request(&budget, &rules, now);
             g_array_append_val(requests, now);
         }
         if (now == 2 * WINDOW + 999 || now == 3 * WINDOW + 10)
@@ -57,7 +57,7 @@
         retry_budget_init(&budget, 0);
         for (tc_time_t now = 0; now < END; now++) {
             if (g_rand_int_range(random, 0, pause) == 0) {
-                retry_budget_earn(&budget, &rules, now);
+                retry_budget_add_request(&budget, &rules, now);
                 g_array_append_val(requests, now);
             }
             if (g_rand_int_range(random, 0, 1500) == 0)
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -76,7 +76,7 @@
     retry_budget_init(&b, 0);
     unsigned allowed = 0;
     for (tc_time_t now = 0; now < 10000; now += 10) {
-        retry_budget_earn(&b, &rules, now);
+        retry_budget_add_request(&b, &rules, now);
         allowed += retry_budget_spend(&b, &rules, 1, now);
     }
     g_assert_cmpuint(allowed, >, 100);
