--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -41,7 +41,7 @@
 /** Log the local causes of a lapsed lease: the longest turn of the event loop, and what waits to be sent. */
 static void log_lease_lapse(const replica_t *r, const char *event, tc_time_t now)
 {
-    const loop_turn_t turn = loop_longest_turn(r->loop);
+    const loop_callback_time_t turn = loop_longest_callback(r->loop);
     const peer_backlog_t waiting = peer_backlog(r->net, now);
     const tc_time_t age = raft_quorum_age(r->raft, now);
     log_line_t line;
--- a/lib/peer/loop.c
+++ b/lib/peer/loop.c
@@ -44,11 +44,11 @@
     struct cds_list_head timers; /* soonest first */
     struct epoll_event events[LOOP_EVENTS_MAX];
     int n_watched;
-    int n_events;                 /* of the round being handled, so that loop_unwatch can drop them */
-    tc_time_t looked_at;          /* when the sockets were last looked at */
-    bool overslept;               /* a wait for them took longer than it was to: this process stood still in it */
-    tc_time_t turn_at;            /* when what runs now began */
-    loop_turn_t longest, earlier; /* since turns_from, and in the LOOP_TURNS_MS before it */
+    int n_events;        /* of the round being handled, so that loop_unwatch can drop them */
+    tc_time_t looked_at; /* when the sockets were last looked at */
+    bool overslept;      /* a wait for them took longer than it was to: this process stood still in it */
+    tc_time_t turn_at;   /* when what runs now began */
+    loop_callback_time_t longest, earlier; /* since turns_from, and in the LOOP_TURNS_MS before it */
     tc_time_t turns_from;
 };
 
@@ -62,14 +62,14 @@
     loop->turn_at = now;
     if (now - loop->turns_from >= LOOP_TURNS_MS) {
         loop->earlier = loop->longest;
-        loop->longest = (loop_turn_t){.what = ""};
+        loop->longest = (loop_callback_time_t){.what = ""};
         loop->turns_from = now;
     }
     if (took > loop->longest.took)
-        loop->longest = (loop_turn_t){.took = took, .what = what};
+        loop->longest = (loop_callback_time_t){.took = took, .what = what};
 }
 
-loop_turn_t loop_longest_turn(const loop_t *loop)
+loop_callback_time_t loop_longest_callback(const loop_t *loop)
 {
     return loop->longest.took >= loop->earlier.took ? loop->longest : loop->earlier;
 }
@@ -96,7 +96,7 @@
     wake(loop);
 }
 
-void loop_unpost(loop_t *loop, const void *arg)
+void loop_cancel_posted(loop_t *loop, const void *arg)
 {
     posted_t *item, *next;
     pthread_mutex_lock(&loop->lock);
@@ -237,7 +237,7 @@
     return rc;
 }
 
-void loop_rewatch(loop_t *loop, loop_watch_t *watch, uint32_t events)
+void loop_watch_modify(loop_t *loop, loop_watch_t *watch, uint32_t events)
 {
     (void)control(loop, EPOLL_CTL_MOD, watch, events);
 }
--- a/lib/peer/loop.h
+++ b/lib/peer/loop.h
@@ -45,7 +45,7 @@
 typedef struct {
     tc_time_t took;   /**< ms */
     const char *what; /**< "tick", "timer", "socket" or "posted"; "" when nothing took a ms */
-} loop_turn_t;
+} loop_callback_time_t;
 
 /* ===== Public functions ===== */
 
@@ -56,7 +56,7 @@
 void loop_run(loop_t *loop);
 
 /** The longest turn of the last second or two. From the loop's thread. */
-loop_turn_t loop_longest_turn(const loop_t *loop);
+loop_callback_time_t loop_longest_callback(const loop_t *loop);
 
 /** Make loop_run return. Any thread. */
 void loop_stop(loop_t *loop);
@@ -71,7 +71,7 @@
 void loop_post(loop_t *loop, loop_fn_t fn, void *arg);
 
 /** Drop what was posted with @p arg and has not run. While the loop does not run. */
-void loop_unpost(loop_t *loop, const void *arg);
+void loop_cancel_posted(loop_t *loop, const void *arg);
 
 /** Run @p fn in the loop's thread and wait until it has run. Not from the loop's thread. */
 void loop_post_wait(loop_t *loop, loop_fn_t fn, void *arg);
@@ -89,7 +89,7 @@
 
 /** Watch @p watch->fd; from the loop's thread or before loop_run. */
 int loop_watch(loop_t *loop, loop_watch_t *watch, uint32_t events);
-void loop_rewatch(loop_t *loop, loop_watch_t *watch, uint32_t events);
+void loop_watch_modify(loop_t *loop, loop_watch_t *watch, uint32_t events);
 /** Events of this round that are still waiting for @p watch are dropped, so it may be freed at once. */
 void loop_unwatch(loop_t *loop, loop_watch_t *watch);
 
--- a/lib/peer/peer.c
+++ b/lib/peer/peer.c
@@ -445,7 +445,7 @@
     /* Messages that the loop has not taken up belong to the net as well. */
     for (outgoing_t *o = outgoing_take(net); o; o = outgoing_take(net))
         outgoing_cancel(o);
-    loop_unpost(net->loop, net);
+    loop_cancel_posted(net->loop, net);
     backoff_t *b, *following;
     cds_list_for_each_entry_safe(b, following, &net->backoffs, node)
         free(b);
--- a/lib/peer/peer_conn.c
+++ b/lib/peer/peer_conn.c
@@ -226,7 +226,7 @@
     if (conn->writing == want)
         return;
     conn->writing = want;
-    loop_rewatch(conn->net->loop, &conn->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
+    loop_watch_modify(conn->net->loop, &conn->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
 }
 
 /** Write what can be written. @return false when the connection is gone */
--- a/lib/web/web_answer.c
+++ b/lib/web/web_answer.c
@@ -19,7 +19,7 @@
     if (c->writing == want)
         return;
     c->writing = want;
-    loop_rewatch(c->server->loop, &c->watch, EPOLLIN | EPOLLRDHUP | (want ? EPOLLOUT : 0u));
+    loop_watch_modify(c->server->loop, &c->watch, EPOLLIN | EPOLLRDHUP | (want ? EPOLLOUT : 0u));
 }
 
 /** No byte of an answer is lost or doubled on its way through the buffer. */
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -251,7 +251,7 @@
     if (call->writing == want)
         return;
     call->writing = want;
-    loop_rewatch(call->client->loop, &call->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
+    loop_watch_modify(call->client->loop, &call->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
 }
 
 /** @return false when the connection broke */
@@ -361,7 +361,7 @@
         call->idle = false;
         call->head_seen = call->skipping = call->whole = call->sent = false;
         call->written = 0;
-        loop_rewatch(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
+        loop_watch_modify(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
         call->writing = true;
     } else {
         call = dial(client, addr, connect_ms);
--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -82,7 +82,7 @@
 {
     const bool sending = c->reply.bytes && c->sent < c->due;
     const uint32_t events = (c->deaf ? 0u : EPOLLIN) | (sending ? EPOLLOUT : 0u);
-    loop_rewatch(c->backend->loop, &c->watch, c->backend->frozen ? 0u : events);
+    loop_watch_modify(c->backend->loop, &c->watch, c->backend->frozen ? 0u : events);
 }
 
 /** The answer is sent. @return false when the connection is gone */
@@ -328,7 +328,7 @@
 
 void lab_backend_stop(lab_backend_t *b)
 {
-    loop_unpost(b->loop, b);
+    loop_cancel_posted(b->loop, b);
     end_all(b);
     g_free(b);
 }
--- a/tests/harness/proxy.c
+++ b/tests/harness/proxy.c
@@ -150,7 +150,7 @@
     if (from->held == held || from->ended)
         return;
     from->held = held;
-    loop_rewatch(from->pair->proxy->loop, &from->watch, held ? 0 : EPOLLIN);
+    loop_watch_modify(from->pair->proxy->loop, &from->watch, held ? 0 : EPOLLIN);
 }
 
 static void on_io(void *arg, uint32_t events)
@@ -171,7 +171,7 @@
         if (n < 0 || cds_list_empty(&to->out))
             pair_close(p, n < 0);
         else
-            loop_rewatch(p->proxy->loop, &from->watch, 0);
+            loop_watch_modify(p->proxy->loop, &from->watch, 0);
         return;
     }
     const size_t passing = take_passing(from, (size_t)n);
