--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -49,8 +49,8 @@
     log_str(&line, "what", event);
     log_int(&line, "term", (int64_t)raft_view(r->raft).term);
     log_int(&line, "quorum_age_ms", age == TC_TIME_NEVER ? -1 : age);
-    log_int(&line, "longest_turn_ms", turn.took);
-    log_str(&line, "longest_turn_in", turn.what);
+    log_int(&line, "longest_turn_ms", turn.duration);
+    log_str(&line, "longest_turn_in", turn.source);
     log_int(&line, "queued_bytes", (int64_t)waiting.bytes);
     log_int(&line, "oldest_frame_ms", waiting.oldest);
     log_str(&line, "oldest_frame_to", waiting.addr);
--- a/lib/peer/loop.c
+++ b/lib/peer/loop.c
@@ -15,9 +15,9 @@
 enum {
     LOOP_TICKS_MAX = 256, /* a program has a dozen; a test's loop carries those of 70 boxes */
     LOOP_EVENTS_MAX = 64,
-    LOOP_STILL_MS = 20, /* since the sockets were looked at: this process stood still, or one thing took long */
+    LOOP_STALL_MS = 20, /* since the sockets were looked at: this process stood still, or one thing duration long */
     LOOP_IDLE_MS = 1000,
-    LOOP_TURNS_MS = 1000 /* the longest turn is that of this time and of as much before it */
+    LONGEST_WINDOW_MS = 1000 /* the longest turn is that of this time and of as much before it */
 };
 
 typedef struct {
@@ -44,34 +44,34 @@
     struct cds_list_head timers; /* soonest first */
     struct epoll_event events[LOOP_EVENTS_MAX];
     int n_watched;
-    int n_events;        /* of the round being handled, so that loop_unwatch can drop them */
-    tc_time_t looked_at; /* when the sockets were last looked at */
-    bool overslept;      /* a wait for them took longer than it was to: this process stood still in it */
-    tc_time_t turn_at;   /* when what runs now began */
-    loop_callback_time_t longest, earlier; /* since turns_from, and in the LOOP_TURNS_MS before it */
-    tc_time_t turns_from;
+    int n_events;             /* of the round being handled, so that loop_unwatch can drop them */
+    tc_time_t polled_at;      /* when the sockets were last looked at */
+    bool overslept;           /* a wait for them duration longer than it was to: this process stood still in it */
+    tc_time_t callback_begin; /* when what runs now began */
+    loop_callback_time_t longest, previous; /* since window_begin, and in the LONGEST_WINDOW_MS before it */
+    tc_time_t window_begin;
 };
 
 /* ===== How long things take ===== */
 
 /** Something has run, and the next thing begins. */
-static void end_turn(loop_t *loop, const char *what)
+static void end_callback(loop_t *loop, const char *source)
 {
     const tc_time_t now = tc_time_now();
-    const tc_time_t took = now - loop->turn_at;
-    loop->turn_at = now;
-    if (now - loop->turns_from >= LOOP_TURNS_MS) {
-        loop->earlier = loop->longest;
-        loop->longest = (loop_callback_time_t){.what = ""};
-        loop->turns_from = now;
+    const tc_time_t duration = now - loop->callback_begin;
+    loop->callback_begin = now;
+    if (now - loop->window_begin >= LONGEST_WINDOW_MS) {
+        loop->previous = loop->longest;
+        loop->longest = (loop_callback_time_t){.source = ""};
+        loop->window_begin = now;
     }
-    if (took > loop->longest.took)
-        loop->longest = (loop_callback_time_t){.took = took, .what = what};
+    if (duration > loop->longest.duration)
+        loop->longest = (loop_callback_time_t){.duration = duration, .source = source};
 }
 
 loop_callback_time_t loop_longest_callback(const loop_t *loop)
 {
-    return loop->longest.took >= loop->earlier.took ? loop->longest : loop->earlier;
+    return loop->longest.duration >= loop->previous.duration ? loop->longest : loop->previous;
 }
 
 /* ===== Posting ===== */
@@ -113,18 +113,18 @@
     loop_fn_t fn;
     void *arg;
     sem_t done;
-} waited_t;
+} post_wait_t;
 
 static void run_waited(void *arg)
 {
-    waited_t *const waited = arg;
+    post_wait_t *const waited = arg;
     waited->fn(waited->arg);
     sem_post(&waited->done);
 }
 
 void loop_post_wait(loop_t *loop, loop_fn_t fn, void *arg)
 {
-    waited_t waited = {.fn = fn, .arg = arg};
+    post_wait_t waited = {.fn = fn, .arg = arg};
     sem_init(&waited.done, 0, 0);
     loop_post(loop, run_waited, &waited);
     while (sem_wait(&waited.done) != 0) {
@@ -143,7 +143,7 @@
     cds_list_for_each_entry_safe(item, next, &batch, node) {
         item->fn(item->arg);
         free(item);
-        end_turn(loop, "posted");
+        end_callback(loop, "posted");
     }
 }
 
@@ -173,7 +173,7 @@
         if (now >= tick->next) {
             tick->next = now + tick->period;
             tick->fn(tick->arg);
-            end_turn(loop, "tick");
+            end_callback(loop, "tick");
         }
         const tc_time_t left = tick->next - now;
         soonest = left < soonest ? left : soonest;
@@ -217,7 +217,7 @@
             return timer->due - now < soonest ? timer->due - now : soonest;
         loop_disarm(timer);
         timer->fn(timer->arg);
-        end_turn(loop, "timer");
+        end_callback(loop, "timer");
     }
     return soonest;
 }
@@ -257,8 +257,8 @@
     loop_t *const loop = calloc(1, sizeof(*loop));
     if (!loop)
         return NULL;
-    loop->longest.what = loop->earlier.what = "";
-    loop->looked_at = loop->turn_at = tc_time_now();
+    loop->longest.source = loop->previous.source = "";
+    loop->polled_at = loop->callback_begin = tc_time_now();
     loop->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
     loop->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
     pthread_mutex_init(&loop->lock, NULL);
@@ -286,7 +286,7 @@
         if (!watch)
             continue;
         watch->on_io(watch->arg, loop->events[i].events);
-        end_turn(loop, "socket");
+        end_callback(loop, "socket");
     }
     loop->n_events = 0;
 }
@@ -299,8 +299,8 @@
     if (n < 0) /* a process that was stopped wakes so, whatever its sockets have */
         n = epoll_wait(loop->epoll_fd, loop->events, LOOP_EVENTS_MAX, 0);
     loop->n_events = n > 0 ? n : 0;
-    loop->looked_at = loop->turn_at = tc_time_now();
-    loop->overslept = loop->overslept || loop->looked_at - due >= LOOP_STILL_MS;
+    loop->polled_at = loop->callback_begin = tc_time_now();
+    loop->overslept = loop->overslept || loop->polled_at - due >= LOOP_STALL_MS;
     handle_events(loop);
     return n;
 }
@@ -311,7 +311,7 @@
  * posted runs as well: what wakes the loop for it is read here, so that the next wait would not end for it. */
 static void catch_up(loop_t *loop)
 {
-    if (!loop->overslept && tc_time_now() - loop->looked_at < LOOP_STILL_MS)
+    if (!loop->overslept && tc_time_now() - loop->polled_at < LOOP_STALL_MS)
         return;
     loop->overslept = false;
     int n = 1;
--- a/lib/peer/loop.h
+++ b/lib/peer/loop.h
@@ -43,8 +43,8 @@
 
 /** The longest time that one thing kept the loop from all others. */
 typedef struct {
-    tc_time_t took;   /**< ms */
-    const char *what; /**< "tick", "timer", "socket" or "posted"; "" when nothing took a ms */
+    tc_time_t duration; /**< ms */
+    const char *source; /**< "tick", "timer", "socket" or "posted"; "" when nothing duration a ms */
 } loop_callback_time_t;
 
 /* ===== Public functions ===== */
--- a/tests/unit/test_loop.c
+++ b/tests/unit/test_loop.c
@@ -105,7 +105,7 @@
     loop_t *const loop = loop_create();
     loop_add_tick(loop, STILL_MS, stop, loop);
     loop_run(loop);
-    g_assert_cmpint(loop_longest_callback(loop).took, <=, tc_time_now() - before);
+    g_assert_cmpint(loop_longest_callback(loop).duration, <=, tc_time_now() - before);
     loop_destroy(loop);
     (void)f;
 }
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -360,8 +360,8 @@
     loop_t *const loop = loop_create();
     loop_post(loop, stand_still, loop);
     loop_run(loop);
-    g_assert_cmpint(loop_longest_callback(loop).took, >=, 29);
-    g_assert_cmpstr(loop_longest_callback(loop).what, ==, "posted");
+    g_assert_cmpint(loop_longest_callback(loop).duration, >=, 29);
+    g_assert_cmpstr(loop_longest_callback(loop).source, ==, "posted");
     loop_destroy(loop);
 }
 
