--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -204,7 +204,7 @@
         if (r->known_members.list[i].id == action->to)
             addr = r->known_members.list[i].peer;
     if (addr[0])
-        peer_send_first(r->net, addr, action->type, action->message);
+        peer_send_urgent(r->net, addr, action->type, action->message);
 }
 
 /** Execute the part of an action that does not concern the disk. */
--- a/lib/peer/frame.c
+++ b/lib/peer/frame.c
@@ -14,14 +14,14 @@
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    const char zeros[FRAME_HEAD] = {0};
+    const char zeros[FRAME_LENGTH_BYTES] = {0};
     msgpack_sbuffer_write(&buffer, zeros, sizeof(zeros));
     msgpack_pack_array(&packer, FRAME_PARTS);
     msgpack_pack_uint32(&packer, type);
     msgpack_pack_uint64(&packer, call);
     reply ? msgpack_pack_true(&packer) : msgpack_pack_false(&packer);
     codec_pack(msg_desc(type), message, &packer);
-    const uint32_t length = htonl((uint32_t)(buffer.size - FRAME_HEAD));
+    const uint32_t length = htonl((uint32_t)(buffer.size - FRAME_LENGTH_BYTES));
     memcpy(buffer.data, &length, sizeof(length));
     *size = buffer.size;
     return msgpack_sbuffer_release(&buffer);
--- a/lib/peer/frame.h
+++ b/lib/peer/frame.h
@@ -15,7 +15,7 @@
 /* ===== Types ===== */
 
 /** Bytes before the msgpack part. */
-#define FRAME_HEAD 4
+#define FRAME_LENGTH_BYTES 4
 
 /** A frame taken apart. */
 typedef struct {
--- a/lib/peer/key.c
+++ b/lib/peer/key.c
@@ -28,7 +28,7 @@
     return TC_OK;
 }
 
-int key_open(cluster_key_t *key, tc_err_t *err)
+int key_set_public(cluster_key_t *key, tc_err_t *err)
 {
     static const char known[] = "trackcove, closed network";
     if (sodium_init() < 0)
--- a/lib/peer/key.h
+++ b/lib/peer/key.h
@@ -22,7 +22,7 @@
 int key_load(cluster_key_t *key, const char *path, tc_err_t *err);
 
 /** A key that is no secret, for a network that is closed to others. */
-int key_open(cluster_key_t *key, tc_err_t *err);
+int key_set_public(cluster_key_t *key, tc_err_t *err);
 
 /** Fill a fresh nonce into @p hello. */
 void key_make_nonce(msg_hello_t *hello);
--- a/lib/peer/peer.c
+++ b/lib/peer/peer.c
@@ -284,7 +284,7 @@
     outgoing_post(outgoing_create(net, addr, type, message, false));
 }
 
-void peer_send_first(peer_net_t *net, const char *addr, uint32_t type, const void *message)
+void peer_send_urgent(peer_net_t *net, const char *addr, uint32_t type, const void *message)
 {
     outgoing_t *const o = outgoing_create(net, addr, type, message, false);
     o->turn = FRAME_FIRST;
@@ -323,7 +323,7 @@
     size_t size;
     char *const data = frame_pack(type, 0, false, from, &size);
     frame_t frame = {0};
-    const int rc = frame_unpack(data + FRAME_HEAD, size - FRAME_HEAD, &frame, err);
+    const int rc = frame_unpack(data + FRAME_LENGTH_BYTES, size - FRAME_LENGTH_BYTES, &frame, err);
     free(data);
     TC_CHECK(rc);
     memcpy(to, frame.message, msg_desc(type)->size);
@@ -417,7 +417,8 @@
     net->groups = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     net->due = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     CDS_INIT_LIST_HEAD(&net->backoffs);
-    const int keyed = options->key_file[0] ? key_load(&net->key, options->key_file, err) : key_open(&net->key, err);
+    const int keyed =
+        options->key_file[0] ? key_load(&net->key, options->key_file, err) : key_set_public(&net->key, err);
     const char *const at = options->bind ? options->bind : options->listen;
     if (keyed < 0 || (options->listen[0] && start_listening(net, at, err) < 0)) {
         net_free(net);
--- a/lib/peer/peer.h
+++ b/lib/peer/peer.h
@@ -26,7 +26,7 @@
 typedef struct peer_net peer_net_t;
 
 /** Largest frame taken or sent, in bytes. */
-#define PEER_FRAME_MAX (8u * 1024 * 1024)
+#define PEER_FRAME_MAX_BYTES (8u * 1024 * 1024)
 
 /** Names one call that waits for its reply. By value; stays valid, though perhaps useless, for ever. */
 typedef struct {
@@ -84,7 +84,7 @@
 
 /** As peer_send, ahead of all that waits for the same peer and is not sent first itself: heartbeats and votes must not
  *  wait behind bulk. */
-void peer_send_first(peer_net_t *net, const char *addr, uint32_t type, const void *message);
+void peer_send_urgent(peer_net_t *net, const char *addr, uint32_t type, const void *message);
 
 /** Answer a call; from the loop's thread, at any time after the handler began. */
 void peer_reply(peer_net_t *net, peer_call_t call, uint32_t type, const void *message);
--- a/lib/peer/peer_conn.c
+++ b/lib/peer/peer_conn.c
@@ -265,7 +265,7 @@
 /** Whether a frame may wait here: for this peer, and beside what waits for others. */
 static bool has_room(const conn_t *conn, size_t size)
 {
-    if (size > PEER_FRAME_MAX || conn->out_bytes + size > OUT_MAX)
+    if (size > PEER_FRAME_MAX_BYTES || conn->out_bytes + size > OUT_MAX)
         return false;
     return size <= LARGE_FRAME || conn->net->queued + size <= QUEUED_MAX;
 }
@@ -451,17 +451,17 @@
     peer_net_t *const net = conn->net;
     const uint64_t id = conn->id;
     size_t at = 0;
-    while (conn->in_size - at >= FRAME_HEAD) {
+    while (conn->in_size - at >= FRAME_LENGTH_BYTES) {
         const size_t length = frame_length(conn->in + at);
-        if (length > (conn->state == CONN_READY ? PEER_FRAME_MAX : HELLO_FRAME_MAX)) {
+        if (length > (conn->state == CONN_READY ? PEER_FRAME_MAX_BYTES : HELLO_FRAME_MAX)) {
             conn_close(conn, TC_E_BROKEN, "read", "frame over the size limit");
             return false;
         }
-        if (conn->in_size - at - FRAME_HEAD < length)
+        if (conn->in_size - at - FRAME_LENGTH_BYTES < length)
             break;
-        if (!handle_frame(conn, conn->in + at + FRAME_HEAD, length) || conn_by_id(net, id) != conn)
+        if (!handle_frame(conn, conn->in + at + FRAME_LENGTH_BYTES, length) || conn_by_id(net, id) != conn)
             return false; /* a handler's reply may have found the connection broken */
-        at += FRAME_HEAD + length;
+        at += FRAME_LENGTH_BYTES + length;
     }
     memmove(conn->in, conn->in + at, conn->in_size - at);
     conn->in_size -= at;
--- a/tests/unit/test_codec.c
+++ b/tests/unit/test_codec.c
@@ -59,9 +59,9 @@
 {
     size_t size;
     char *const data = pack_place(&size);
-    g_assert_cmpuint(frame_length(data), ==, size - FRAME_HEAD);
+    g_assert_cmpuint(frame_length(data), ==, size - FRAME_LENGTH_BYTES);
     frame_t frame;
-    g_assert_cmpint(frame_unpack(data + FRAME_HEAD, size - FRAME_HEAD, &frame, NULL), ==, TC_OK);
+    g_assert_cmpint(frame_unpack(data + FRAME_LENGTH_BYTES, size - FRAME_LENGTH_BYTES, &frame, NULL), ==, TC_OK);
     const msg_place_t *const place = frame.message;
     g_assert_cmpuint(frame.call, ==, 42);
     g_assert_cmpstr(place->id, ==, "r1");
@@ -75,14 +75,14 @@
 {
     size_t size;
     char *const data = pack_place(&size);
-    for (size_t cut = FRAME_HEAD; cut < size; cut++) {
+    for (size_t cut = FRAME_LENGTH_BYTES; cut < size; cut++) {
         frame_t frame;
-        g_assert_cmpint(frame_unpack(data + FRAME_HEAD, cut - FRAME_HEAD, &frame, NULL), <, 0);
+        g_assert_cmpint(frame_unpack(data + FRAME_LENGTH_BYTES, cut - FRAME_LENGTH_BYTES, &frame, NULL), <, 0);
     }
-    for (size_t at = FRAME_HEAD; at < size; at++) {
+    for (size_t at = FRAME_LENGTH_BYTES; at < size; at++) {
         data[at] = (char)~data[at];
         frame_t frame;
-        if (frame_unpack(data + FRAME_HEAD, size - FRAME_HEAD, &frame, NULL) == TC_OK)
+        if (frame_unpack(data + FRAME_LENGTH_BYTES, size - FRAME_LENGTH_BYTES, &frame, NULL) == TC_OK)
             frame_free(&frame);
         data[at] = (char)~data[at];
     }
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -334,8 +334,8 @@
     const msg_claim_t bulk[] = {named("a"), named("b")}, urgent[] = {named("1"), named("2")};
     peer_send(client, server_addr, MSG_CLAIM, &bulk[0]); /* all wait for the connection */
     peer_send(client, server_addr, MSG_CLAIM, &bulk[1]);
-    peer_send_first(client, server_addr, MSG_CLAIM, &urgent[0]);
-    peer_send_first(client, server_addr, MSG_CLAIM, &urgent[1]);
+    peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[0]);
+    peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[1]);
     lab_run_until(loop, heard_all, &heard);
     g_assert_cmpstr(heard.order->str, ==, "12ab");
     g_assert_cmpuint(peer_backlog(client, tc_time_now()).bytes, ==, 0);
--- a/tests/unit/test_peer_torn.c
+++ b/tests/unit/test_peer_torn.c
@@ -372,7 +372,7 @@
 {
     msg_claim_t claim = {0};
     codec_copy_string(claim.id, sizeof(claim.id), id);
-    (first ? peer_send_first : peer_send)(net, addr, MSG_CLAIM, &claim);
+    (first ? peer_send_urgent : peer_send)(net, addr, MSG_CLAIM, &claim);
 }
 
 /** The last frame of the handshake waits for a full socket: what is sent first goes behind it. */
