--- a/lib/cluster/leader_sched.c
+++ b/lib/cluster/leader_sched.c
@@ -6,8 +6,8 @@
 
 #include "cluster/cold.h"
 #include "common/counter.h"
+#include "common/feature.h"
 #include "common/log.h"
-#include "common/mechanism.h"
 #include "common/retry_budget.h"
 #include "lists/list.h"
 #include "sched/sched.h"
@@ -146,7 +146,8 @@
             link_cfg_t *const link = &config->links[config->links_n++];
             codec_copy_string(link->a, sizeof(link->a), names[i]);
             codec_copy_string(link->b, sizeof(link->b), names[k]);
-            link->rate = (uint32_t)(rate * (i == k || !mechanism_is_on(MECHANISM_NEARNESS) ? 1 : REMOTE_LINK_FACTOR));
+            link->rate =
+                (uint32_t)(rate * (i == k || !feature_is_enabled(FEATURE_DC_AFFINITY) ? 1 : REMOTE_LINK_FACTOR));
         }
     }
     g_free(names);
@@ -458,7 +459,7 @@
     log_str(&line, "request", retry->id);
     log_int(&line, "granted", ack.granted);
     log_int(&line, "window_requests", view.requests);
-    log_int(&line, "window_extras", view.extras);
+    log_int(&line, "window_extras", view.retries);
     log_num(&line, "window_limit", view.limit);
     log_end(&line);
     peer_reply(l->net, call, MSG_RETRY_ACK, &ack);
@@ -497,7 +498,7 @@
 static void on_place(leader_sched_t *l, peer_call_t call, const msg_place_t *place, tc_time_t now)
 {
     if (!place->again)
-        retry_budget_earn(retry_budgets_get(l->budgets, place->model, now), &l->retries, now);
+        retry_budget_add_request(retry_budgets_get(l->budgets, place->model, now), &l->retries, now);
     msg_place_t request = *place; /* shallow copy: its lists are borrowed */
     request.ends = count_crashes(l, place->fingerprint, place->ends, now);
     if (request.ends >= QUARANTINE_CRASH_LIMIT) {
@@ -568,9 +569,10 @@
         const sched_options_t options = {.cell = CELL,
                                          .epoch = term,
                                          .piece_tokens = SCHED_SMALL_PIECE_TOKENS,
-                                         .local_prefill_after_ms = mechanism_is_on(MECHANISM_SOLO) ? SOLO_AFTER_MS : 0,
+                                         .local_prefill_after_ms =
+                                             feature_is_enabled(FEATURE_LOCAL_PREFILL) ? SOLO_AFTER_MS : 0,
                                          .rebuild = true,
-                                         .adopt_unknown = mechanism_is_on(MECHANISM_ADOPTION)};
+                                         .adopt_unknown = feature_is_enabled(FEATURE_ADOPTION)};
         l->sched = sched_create(&options, now);
         l->term = term;
         configure(l, now);
@@ -591,7 +593,7 @@
 {
     leader_sched_t *const l = g_new0(leader_sched_t, 1);
     l->net = net;
-    l->retries = retry_rules_part(retries, mechanism_is_on(MECHANISM_RETRY_LENDING) ? 1 - RETRY_BOXES_PART : 0);
+    l->retries = retry_rules_scale(retries, feature_is_enabled(FEATURE_RETRY_LENDING) ? 1 - RETRY_BOXES_SHARE : 0);
     l->budgets = retry_budgets_create();
     l->caps = cap_ledger_create(caps);
     l->limits = limits_create(limits);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -41,7 +41,7 @@
 /** Log the local causes of a lapsed lease: the longest turn of the event loop, and what waits to be sent. */
 static void log_lease_lapse(const replica_t *r, const char *event, tc_time_t now)
 {
-    const loop_turn_t turn = loop_longest_turn(r->loop);
+    const loop_callback_time_t turn = loop_longest_callback(r->loop);
     const peer_backlog_t waiting = peer_backlog(r->net, now);
     const tc_time_t age = raft_quorum_age(r->raft, now);
     log_line_t line;
@@ -49,8 +49,8 @@
     log_str(&line, "what", event);
     log_int(&line, "term", (int64_t)raft_view(r->raft).term);
     log_int(&line, "quorum_age_ms", age == TC_TIME_NEVER ? -1 : age);
-    log_int(&line, "longest_turn_ms", turn.took);
-    log_str(&line, "longest_turn_in", turn.what);
+    log_int(&line, "longest_turn_ms", turn.duration);
+    log_str(&line, "longest_turn_in", turn.source);
     log_int(&line, "queued_bytes", (int64_t)waiting.bytes);
     log_int(&line, "oldest_frame_ms", waiting.oldest);
     log_str(&line, "oldest_frame_to", waiting.addr);
@@ -204,7 +204,7 @@
         if (r->known_members.list[i].id == action->to)
             addr = r->known_members.list[i].peer;
     if (addr[0])
-        peer_send_first(r->net, addr, action->type, action->message);
+        peer_send_urgent(r->net, addr, action->type, action->message);
 }
 
 /** Execute the part of an action that does not concern the disk. */
--- a/lib/forward/fleet.c
+++ b/lib/forward/fleet.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "cluster/cold.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "common/ring.h"
 
 /* ===== Constants ===== */
@@ -120,7 +120,7 @@
     const unsigned doublings = instance->failures < 4 ? instance->failures : 4;
     const tc_time_t pause = (tc_time_t)FIRST_BACKOFF_MS << doublings;
     instance->failures++;
-    if (!mechanism_is_on(MECHANISM_AVOIDANCE))
+    if (!feature_is_enabled(FEATURE_EJECTION))
         return;
     instance->avoid_until = now + (pause < MAX_BACKOFF_MS ? pause : MAX_BACKOFF_MS);
 }
@@ -236,7 +236,7 @@
         instance_t *const instance = known ? instance_ref(known) : g_new0(instance_t, 1);
         if (!known) {
             instance->refs = 1;
-            instance->ring = ring_place(list[i].id);
+            instance->ring = ring_position(list[i].id);
         }
         if (known && strcmp(known->listed.stage, list[i].stage) != 0)
             instance->avoid_until = 0; /* refusals and failures were those of its former stage */
--- a/lib/forward/forward_retry.c
+++ b/lib/forward/forward_retry.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "common/counter.h"
-#include "common/mechanism.h"
+#include "common/feature.h"
 #include "forward/forward_internal.h"
 
 COUNTER_DEFINE(c_lent, "counter", "trackcove_retry_lent_total", "Further arrivals allowed by the leader's part")
@@ -19,19 +19,19 @@
 /** Whether the leader lends part of the service's budget, which it does for services that the scheduler places. */
 static bool leader_shares_budget(const forward_t *f)
 {
-    return f->split && f->owner->scheduler && mechanism_is_on(MECHANISM_RETRY_LENDING);
+    return f->split && f->owner->scheduler && feature_is_enabled(FEATURE_RETRY_LENDING);
 }
 
 static retry_rules_t rules_of(const forward_t *f)
 {
-    return retry_rules_part(&f->owner->options.retries, leader_shares_budget(f) ? RETRY_BOXES_PART : 1);
+    return retry_rules_scale(&f->owner->options.retries, leader_shares_budget(f) ? RETRY_BOXES_SHARE : 1);
 }
 
 void retry_earn(forward_t *f)
 {
     const retry_rules_t rules = rules_of(f);
     const tc_time_t now = tc_time_now();
-    retry_budget_earn(retry_budgets_get(f->owner->budgets, f->service, now), &rules, now);
+    retry_budget_add_request(retry_budgets_get(f->owner->budgets, f->service, now), &rules, now);
 }
 
 bool retry_spend(forward_t *f)
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -334,8 +334,8 @@
     const msg_claim_t bulk[] = {named("a"), named("b")}, urgent[] = {named("1"), named("2")};
     peer_send(client, server_addr, MSG_CLAIM, &bulk[0]); /* all wait for the connection */
     peer_send(client, server_addr, MSG_CLAIM, &bulk[1]);
-    peer_send_first(client, server_addr, MSG_CLAIM, &urgent[0]);
-    peer_send_first(client, server_addr, MSG_CLAIM, &urgent[1]);
+    peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[0]);
+    peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[1]);
     lab_run_until(loop, heard_all, &heard);
     g_assert_cmpstr(heard.order->str, ==, "12ab");
     g_assert_cmpuint(peer_backlog(client, tc_time_now()).bytes, ==, 0);
@@ -360,8 +360,8 @@
     loop_t *const loop = loop_create();
     loop_post(loop, stand_still, loop);
     loop_run(loop);
-    g_assert_cmpint(loop_longest_turn(loop).took, >=, 29);
-    g_assert_cmpstr(loop_longest_turn(loop).what, ==, "posted");
+    g_assert_cmpint(loop_longest_callback(loop).duration, >=, 29);
+    g_assert_cmpstr(loop_longest_callback(loop).source, ==, "posted");
     loop_destroy(loop);
 }
 
