--- a/programs/load/caller.c
+++ b/programs/load/caller.c
@@ -6,7 +6,7 @@
 
 #include "backend/http_client.h"
 #include "backend/sse.h"
-#include "standin.h"
+#include "stub_answer.h"
 
 /* ===== Constants ===== */
 
@@ -102,7 +102,7 @@
         r->doubled = true;
         return;
     }
-    if (!standin_is_text(text, r->hash, r->got, place))
+    if (!stub_text_matches(text, r->hash, r->got, place))
         r->wrong = true;
     r->got = place;
     r->last = tc_time_exact();
@@ -207,8 +207,8 @@
 static void complete(load_caller_t *c, const char *model, const mix_request_t *q, const char *id,
                      double cancel_after_ms, outcome_t *out)
 {
-    prefill_lab_t r = {.hash = standin_prompt_hash(q->prompt, q->prompt_size), .begin = tc_time_exact()};
-    r.length = standin_length(r.hash, q->kind->max_tokens);
+    prefill_lab_t r = {.hash = stub_prompt_hash(q->prompt, q->prompt_size), .begin = tc_time_exact()};
+    r.length = stub_answer_length(r.hash, q->kind->max_tokens);
     r.cancel_at = cancel_after_ms > 0 ? r.begin + cancel_after_ms : 0;
     out->saw = SAW_LOST;
     g_usleep(2 * CLIENT_DELAY_US);
--- a/programs/load/mix.c
+++ b/programs/load/mix.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "standin.h"
+#include "stub_answer.h"
 
 static const mix_kind_t sahel_kinds[] = {
     {"alert", 0.30, 300, 0, 60, 0, 0.05, NULL},
@@ -71,8 +71,8 @@
     const double stretch = 0.75 + 0.5 * g_rand_double(random);
     const uint32_t own = (uint32_t)((kind->prompt_tokens - kind->prefix_tokens) * stretch);
     GString *const text = g_string_new(NULL);
-    append_words(text, subject * 1000 + request->workspace, (size_t)kind->prefix_tokens * STANDIN_BYTES_PER_TOKEN);
-    append_words(text, number * 7919 + 17, (size_t)own * STANDIN_BYTES_PER_TOKEN);
+    append_words(text, subject * 1000 + request->workspace, (size_t)kind->prefix_tokens * STUB_BYTES_PER_TOKEN);
+    append_words(text, number * 7919 + 17, (size_t)own * STUB_BYTES_PER_TOKEN);
     request->prompt_size = text->len;
     request->prompt = g_string_free(text, FALSE);
 }
--- a/programs/stub/sim.c
+++ b/programs/stub/sim.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "standin.h"
+#include "stub_answer.h"
 
 /* ===== Requests ===== */
 
@@ -104,7 +104,7 @@
 
 static void hash_pieces(sim_request_t *r, const char *prompt, size_t size, const char *salt)
 {
-    const size_t piece = (size_t)SIM_PIECE_TOKENS * STANDIN_BYTES_PER_TOKEN;
+    const size_t piece = (size_t)SIM_PIECE_TOKENS * STUB_BYTES_PER_TOKEN;
     uint64_t hash = XXH3_64bits(salt, strlen(salt));
     for (size_t at = 0; at + piece <= size && r->n_chain < 64; at += piece) {
         hash = XXH3_64bits_withSeed(prompt + at, piece, hash);
@@ -136,10 +136,10 @@
     r->priority = priority;
     r->arrival = ++sim->arrivals;
     engine->started++;
-    r->hash = standin_prompt_hash(prompt, prompt_size);
-    r->prompt_tokens = (uint32_t)(prompt_size / STANDIN_BYTES_PER_TOKEN) + 1;
+    r->hash = stub_prompt_hash(prompt, prompt_size);
+    r->prompt_tokens = (uint32_t)(prompt_size / STUB_BYTES_PER_TOKEN) + 1;
     r->max_tokens = max_tokens;
-    r->length = standin_length(r->hash, max_tokens);
+    r->length = stub_answer_length(r->hash, max_tokens);
     const uint32_t tokens = r->prompt_tokens + (decode ? max_tokens : 0);
     r->pieces = (tokens + SIM_PIECE_TOKENS - 1) / SIM_PIECE_TOKENS;
     hash_pieces(r, prompt, prompt_size, salt);
--- a/programs/stub/stub.c
+++ b/programs/stub/stub.c
@@ -23,8 +23,8 @@
 
 #include "common/codec.h"
 #include "http/http.h"
-#include "standin.h"
 #include "stub/stub.h"
+#include "stub_answer.h"
 
 /* ===== State ===== */
 
@@ -90,9 +90,9 @@
     GString *const ids = g_string_new(NULL);
     g_string_append_printf(out, "id: %u\ndata: {\"choices\":[{\"index\":0,\"text\":\"", end);
     for (uint32_t place = sent; place < end; place++) {
-        char token[STANDIN_TOKEN_SIZE];
+        char token[STUB_TOKEN_BYTES];
         const bool varies = wire->vary_from && place + 1 >= wire->vary_from;
-        standin_token(token, varies ? ~r->hash : r->hash, place);
+        stub_token_text(token, varies ? ~r->hash : r->hash, place);
         g_string_append(out, token);
         g_string_append_printf(ids, "%s%lu", ids->len ? "," : "", strtoul(token + 1, NULL, 16));
     }
--- a/programs/standin.h
+++ b/programs/stub_answer.h
@@ -1,11 +1,11 @@
-/** @file standin.h
+/** @file stub_answer.h
  * What the stand-in engines and the load tool must agree on: the answer to a prompt.
  *
  * Each token depends on the whole prompt and on its place, so that a wrong,
  * mixed, short or doubled answer is seen by whoever knows the prompt.
  */
-#ifndef TRACKCOVE_PROGRAMS_STANDIN_H
-#define TRACKCOVE_PROGRAMS_STANDIN_H
+#ifndef TRACKCOVE_PROGRAMS_STUB_ANSWER_H
+#define TRACKCOVE_PROGRAMS_STUB_ANSWER_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -16,37 +16,37 @@
 #include <xxhash.h>
 
 /** Bytes of text counted as one token. */
-#define STANDIN_BYTES_PER_TOKEN 4u
+#define STUB_BYTES_PER_TOKEN 4u
 /** Size of one token's text with its end mark: a space and seven hex digits. */
-#define STANDIN_TOKEN_SIZE 9
+#define STUB_TOKEN_BYTES 9
 
-static inline uint64_t standin_prompt_hash(const char *prompt, size_t size)
+static inline uint64_t stub_prompt_hash(const char *prompt, size_t size)
 {
     return XXH3_64bits(prompt, size);
 }
 
-static inline void standin_token(char *to, uint64_t prompt_hash, uint32_t place)
+static inline void stub_token_text(char *to, uint64_t prompt_hash, uint32_t place)
 {
     const uint64_t mixed = XXH3_64bits_withSeed(&prompt_hash, sizeof(prompt_hash), place);
-    snprintf(to, STANDIN_TOKEN_SIZE, " %07llx", (unsigned long long)(mixed & 0xfffffff));
+    snprintf(to, STUB_TOKEN_BYTES, " %07llx", (unsigned long long)(mixed & 0xfffffff));
 }
 
 /** Whether @p text is just what follows the first @p got tokens, up to @p place; an event may hold several. */
-static inline bool standin_is_text(const char *text, uint64_t prompt_hash, uint32_t got, uint32_t place)
+static inline bool stub_text_matches(const char *text, uint64_t prompt_hash, uint32_t got, uint32_t place)
 {
-    char token[STANDIN_TOKEN_SIZE];
-    if (!text || strlen(text) != (size_t)(place - got) * (STANDIN_TOKEN_SIZE - 1))
+    char token[STUB_TOKEN_BYTES];
+    if (!text || strlen(text) != (size_t)(place - got) * (STUB_TOKEN_BYTES - 1))
         return false;
-    for (uint32_t i = got; i < place; i++, text += STANDIN_TOKEN_SIZE - 1) {
-        standin_token(token, prompt_hash, i);
-        if (memcmp(text, token, STANDIN_TOKEN_SIZE - 1) != 0)
+    for (uint32_t i = got; i < place; i++, text += STUB_TOKEN_BYTES - 1) {
+        stub_token_text(token, prompt_hash, i);
+        if (memcmp(text, token, STUB_TOKEN_BYTES - 1) != 0)
             return false;
     }
     return true;
 }
 
 /** How long the answer is: 40 to 100 per cent of what the caller allows, fixed by the prompt. */
-static inline uint32_t standin_length(uint64_t prompt_hash, uint32_t max_tokens)
+static inline uint32_t stub_answer_length(uint64_t prompt_hash, uint32_t max_tokens)
 {
     const uint32_t share = 40 + (uint32_t)(prompt_hash >> 20) % 61;
     const uint32_t length = (uint32_t)((uint64_t)max_tokens * share / 100);
--- a/tests/fault/test_callers.c
+++ b/tests/fault/test_callers.c
@@ -9,7 +9,7 @@
 
 #include "backend/http_client.h"
 #include "harness/client.h"
-#include "standin.h"
+#include "stub_answer.h"
 
 enum { OFFSET = 7500 };
 
@@ -52,11 +52,11 @@
 
 static char *expected(const char *prompt, unsigned max_tokens)
 {
-    const uint64_t hash = standin_prompt_hash(prompt, strlen(prompt));
+    const uint64_t hash = stub_prompt_hash(prompt, strlen(prompt));
     GString *const text = g_string_new(NULL);
-    for (unsigned i = 0; i < standin_length(hash, max_tokens); i++) {
-        char token[STANDIN_TOKEN_SIZE];
-        standin_token(token, hash, i);
+    for (unsigned i = 0; i < stub_answer_length(hash, max_tokens); i++) {
+        char token[STUB_TOKEN_BYTES];
+        stub_token_text(token, hash, i);
         g_string_append(text, token);
     }
     return g_string_free(text, FALSE);
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -6,7 +6,7 @@
 
 #include "backend/http_client.h"
 #include "backend/sse.h"
-#include "standin.h"
+#include "stub_answer.h"
 
 /* ===== Streaming ===== */
 
@@ -42,7 +42,7 @@
     const unsigned place = (unsigned)strtoul(event->id, NULL, 10);
     const unsigned got = atomic_load(&c->got);
     c->doubled = c->doubled || place <= got;
-    c->wrong = c->wrong || place <= got || !standin_is_text(text, r->hash, got, place);
+    c->wrong = c->wrong || place <= got || !stub_text_matches(text, r->hash, got, place);
     g_strlcpy(c->event_id, event->id, sizeof(c->event_id));
     atomic_store(&c->got, place);
     json_decref(body);
@@ -64,7 +64,7 @@
 static char *make_prompt(const client_t *c)
 {
     GString *const text = g_string_new(c->id);
-    while (text->len < (size_t)c->prompt_tokens * STANDIN_BYTES_PER_TOKEN)
+    while (text->len < (size_t)c->prompt_tokens * STUB_BYTES_PER_TOKEN)
         g_string_append_printf(text, " word%zu", text->len);
     return g_string_free(text, FALSE);
 }
@@ -88,7 +88,7 @@
         headers[n++] = event;
     if (c->once)
         headers[n] = "X-Trackcove-Repeatable: no";
-    prefill_lab_t reading = {.client = c, .hash = standin_prompt_hash(prompt, strlen(prompt))};
+    prefill_lab_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
     const http_call_t call = {.url = url,
                               .method = "POST",
                               .body = body,
@@ -108,7 +108,7 @@
     sse_free(&reading.sse);
     if (rc == TC_E_REFUSED)
         copy_error(c->error, result.body ? result.body : "", result.body_size);
-    const unsigned length = standin_length(reading.hash, c->max_tokens);
+    const unsigned length = stub_answer_length(reading.hash, c->max_tokens);
     c->wrong = c->wrong || (c->whole && atomic_load(&c->got) != length);
     c->status = result.status;
     free(result.body);
