--- a/lib/http/http.c
+++ b/lib/http/http.c
@@ -10,7 +10,7 @@
 /** A caller that is silent in the middle of a request for this long is cut off. */
 #define REQUEST_TIMEOUT_MS "10000"
 /** An idle kept-alive connection holds a thread; it is closed after this. */
-#define KEEP_ALIVE_MS "3000"
+#define KEEP_ALIVE_TIMEOUT_MS "3000"
 
 struct http_server {
     struct mg_context *context;
@@ -32,7 +32,7 @@
                              "request_timeout_ms",
                              REQUEST_TIMEOUT_MS,
                              "keep_alive_timeout_ms",
-                             KEEP_ALIVE_MS,
+                             KEEP_ALIVE_TIMEOUT_MS,
                              "enable_keep_alive",
                              "yes",
                              "tcp_nodelay",
@@ -90,27 +90,27 @@
     return value ? value : "";
 }
 
-enum { BODY_CHUNK = 16384 };
+enum { BODY_CHUNK_BYTES = 16384 };
 
 char *http_read_body(struct mg_connection *conn, size_t limit, size_t *size, tc_err_t *err)
 {
-    const long long announced = mg_get_request_info(conn)->content_length;
-    if (announced > (long long)limit) {
-        tc_err_set(err, TC_E_FULL, "read body", NULL, "body of %lld bytes, limit %zu", announced, limit);
+    const long long content_length = mg_get_request_info(conn)->content_length;
+    if (content_length > (long long)limit) {
+        tc_err_set(err, TC_E_FULL, "read body", NULL, "body of %lld bytes, limit %zu", content_length, limit);
         return NULL;
     }
-    size_t room = announced > 0 ? (size_t)announced + 1 : BODY_CHUNK;
-    char *body = malloc(room);
+    size_t capacity = content_length > 0 ? (size_t)content_length + 1 : BODY_CHUNK_BYTES;
+    char *body = malloc(capacity);
     *size = 0;
     while (body) {
-        if (room - *size < 2) {
-            room *= 2;
-            char *const larger = realloc(body, room);
+        if (capacity - *size < 2) {
+            capacity *= 2;
+            char *const larger = realloc(body, capacity);
             if (!larger)
                 break;
             body = larger;
         }
-        const int n = mg_read(conn, body + *size, room - *size - 1);
+        const int n = mg_read(conn, body + *size, capacity - *size - 1);
         if (n <= 0)
             break;
         *size += (size_t)n;
@@ -120,9 +120,9 @@
             return NULL;
         }
     }
-    if (!body || (announced >= 0 && *size != (size_t)announced)) {
+    if (!body || (content_length >= 0 && *size != (size_t)content_length)) {
         free(body);
-        tc_err_set(err, TC_E_BROKEN, "read body", NULL, "%zu of %lld bytes came", *size, announced);
+        tc_err_set(err, TC_E_BROKEN, "read body", NULL, "%zu of %lld bytes came", *size, content_length);
         return NULL;
     }
     body[*size] = '\0';
@@ -131,26 +131,26 @@
 
 /* ===== Answers ===== */
 
-static const char *connection_word(void)
+static const char *connection_header(void)
 {
     return atomic_load(&closing_connections) ? "close" : "keep-alive";
 }
 
-static void send_whole(struct mg_connection *conn, int status, const char *type, const char *text,
-                       unsigned retry_after_ms)
+static void send_response(struct mg_connection *conn, int status, const char *type, const char *text,
+                          unsigned retry_after_ms)
 {
     char retry[96] = "";
     if (retry_after_ms)
         snprintf(retry, sizeof(retry), "Retry-After: %u\r\n", (retry_after_ms + 999) / 1000);
     mg_printf(conn, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n%sConnection: %s\r\n\r\n", status,
-              mg_get_response_code_text(conn, status), type, strlen(text), retry, connection_word());
+              mg_get_response_code_text(conn, status), type, strlen(text), retry, connection_header());
     mg_write(conn, text, strlen(text));
 }
 
 int http_send_json(struct mg_connection *conn, int status, json_t *body, unsigned retry_after_ms)
 {
     char *const text = json_dumps(body, JSON_COMPACT);
-    send_whole(conn, status, "application/json", text ? text : "{}", retry_after_ms);
+    send_response(conn, status, "application/json", text ? text : "{}", retry_after_ms);
     free(text);
     json_decref(body);
     return status;
@@ -158,7 +158,7 @@
 
 int http_send_text(struct mg_connection *conn, int status, const char *type, const char *text)
 {
-    send_whole(conn, status, type, text, 0);
+    send_response(conn, status, type, text, 0);
     return status;
 }
 
@@ -172,25 +172,25 @@
     const int n = mg_printf(stream->conn,
                             "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nCache-Control: no-store\r\n"
                             "Transfer-Encoding: chunked\r\nConnection: %s\r\n\r\n",
-                            stream->sse ? "text/event-stream" : "application/json", connection_word());
+                            stream->sse ? "text/event-stream" : "application/json", connection_header());
     stream->broken = stream->broken || n <= 0;
 }
 
 /** One chunk in one write: CivetWeb's own mg_send_chunk makes three, each a packet of its own. */
 static bool send_chunk(struct mg_connection *conn, const char *data, size_t size)
 {
-    enum { ON_STACK = 2048, FRAMING = 32 };
-    char small[ON_STACK];
-    char *const buffer = size + FRAMING <= sizeof(small) ? small : malloc(size + FRAMING);
+    enum { STACK_BUFFER_BYTES = 2048, FRAMING_BYTES = 32 };
+    char stack_buffer[STACK_BUFFER_BYTES];
+    char *const buffer = size + FRAMING_BYTES <= sizeof(stack_buffer) ? stack_buffer : malloc(size + FRAMING_BYTES);
     if (!buffer)
         return false;
-    size_t used = (size_t)snprintf(buffer, FRAMING, "%zx\r\n", size);
+    size_t used = (size_t)snprintf(buffer, FRAMING_BYTES, "%zx\r\n", size);
     memcpy(buffer + used, data, size);
     used += size;
     buffer[used++] = '\r';
     buffer[used++] = '\n';
     const bool sent = mg_write(conn, buffer, used) == (int)used;
-    if (buffer != small)
+    if (buffer != stack_buffer)
         free(buffer);
     return sent;
 }
--- a/lib/http/pages.c
+++ b/lib/http/pages.c
@@ -4,7 +4,7 @@
 
 #include "common/counter.h"
 
-enum { METRICS_SIZE = 65536 };
+enum { METRICS_MAX_BYTES = 65536 };
 
 static int get_health(struct mg_connection *conn, void *arg)
 {
@@ -15,10 +15,10 @@
 static int get_metrics(struct mg_connection *conn, void *arg)
 {
     (void)arg;
-    char *const text = malloc(METRICS_SIZE);
+    char *const text = malloc(METRICS_MAX_BYTES);
     if (!text)
         abort();
-    text[counter_print(text, METRICS_SIZE - 1)] = '\0';
+    text[counter_print(text, METRICS_MAX_BYTES - 1)] = '\0';
     const int status = http_send_text(conn, 200, "text/plain; version=0.0.4", text);
     free(text);
     return status;
--- a/lib/request/api.c
+++ b/lib/request/api.c
@@ -18,7 +18,7 @@
 /* ===== Work ===== */
 
 /** Whether new work may begin here; answers the caller otherwise. */
-static bool open_for_work(entry_t *e, struct mg_connection *conn)
+static bool admit(entry_t *e, struct mg_connection *conn)
 {
     if (entry_may_serve(e))
         return true;
@@ -29,7 +29,7 @@
     return false;
 }
 
-static int refuse_method(struct mg_connection *conn, const char *wanted)
+static int reject_method(struct mg_connection *conn, const char *wanted)
 {
     tc_err_t err = {0};
     tc_err_set(&err, TC_E_INVALID, "read request", "method", "must be %s", wanted);
@@ -39,8 +39,8 @@
 static int serve_completion(entry_t *e, struct mg_connection *conn, bool chat)
 {
     if (!http_method_is(conn, "POST"))
-        return refuse_method(conn, "POST");
-    if (!open_for_work(e, conn))
+        return reject_method(conn, "POST");
+    if (!admit(e, conn))
         return 503;
     atomic_fetch_add(&e->active, 1);
     const int status = completion_serve(e, conn, chat);
@@ -61,7 +61,7 @@
 static int on_service(struct mg_connection *conn, void *arg)
 {
     entry_t *const e = arg;
-    if (!open_for_work(e, conn))
+    if (!admit(e, conn))
         return 503;
     atomic_fetch_add(&e->active, 1);
     const int status = service_serve(e, conn);
@@ -76,7 +76,7 @@
     double rank;
 } ranked_t;
 
-static int by_rank(const void *a, const void *b)
+static int compare_rank(const void *a, const void *b)
 {
     const double x = ((const ranked_t *)a)->rank, y = ((const ranked_t *)b)->rank;
     return x < y ? -1 : (x > y ? 1 : 0);
@@ -98,7 +98,7 @@
         ranked[n].rank = (1 - u) / (m->room + 1) + (dc[0] && strcmp(dc, m->dc) != 0 ? OTHER_DC : 0);
         n++;
     }
-    qsort(ranked, n, sizeof(*ranked), by_rank);
+    qsort(ranked, n, sizeof(*ranked), compare_rank);
     return n;
 }
 
--- a/lib/request/caller.c
+++ b/lib/request/caller.c
@@ -20,19 +20,19 @@
     MAX_TOKENS_LIMIT = 131072,
     MAX_PRIORITY = 9,
     DEFAULT_PRIORITY = 5,
-    PROBE_MS = 100, /* how often a silent caller is asked whether it is there */
-    NETWORK_MS = 10 /* kept back from the time to the first token for the way to the caller */
+    PROBE_INTERVAL_MS = 100, /* how often a silent caller is asked whether it is there */
+    NETWORK_MARGIN_MS = 10   /* kept back from the time to the first token for the way to the caller */
 };
 
-const char *caller_outcome_name(request_outcome_t end)
+const char *caller_outcome_name(request_outcome_t outcome)
 {
     static const char *const names[] = {"ok", "invalid", "not_run", "outcome_unknown", "unauthorized", "cancelled"};
-    return names[end];
+    return names[outcome];
 }
 
 /* ===== Reading ===== */
 
-static int bad(tc_err_t *err, const char *field, const char *reason)
+static int set_field_error(tc_err_t *err, const char *field, const char *reason)
 {
     return tc_err_set(err, TC_E_INVALID, "read request", field, "%s %s", field, reason);
 }
@@ -78,16 +78,16 @@
     char *chat = NULL;
     if (r->chat &&
         (!json_is_array(messages) || json_array_size(messages) == 0 || !(chat = chat_prompt(messages, &size))))
-        return bad(err, "messages", "must be a list of {role, content}");
+        return set_field_error(err, "messages", "must be a list of {role, content}");
     if (!r->chat && (!json_is_string(prompt) || json_string_length(prompt) == 0))
-        return bad(err, "prompt", "must be a string that is not empty");
+        return set_field_error(err, "prompt", "must be a string that is not empty");
     const char *const text = r->chat ? chat : json_string_value(prompt);
     if (!r->chat)
         size = json_string_length(prompt);
     r->prompt_tokens = (uint32_t)(size / BYTES_PER_TOKEN) + 1;
     hash_chain(r, text, size, version);
     const uint64_t seed = XXH3_64bits(r->workspace, strlen(r->workspace)) ^ XXH3_64bits(r->model, strlen(r->model));
-    r->content = XXH3_64bits_withSeed(text, size, seed + r->max_tokens);
+    r->content_hash = XXH3_64bits_withSeed(text, size, seed + r->max_tokens);
     json_t *const string = json_stringn(text, size);
     r->prompt_json = json_dumps(string, JSON_ENCODE_ANY);
     r->prompt_json_size = strlen(r->prompt_json);
@@ -105,13 +105,13 @@
     char reason[64];
     snprintf(reason, sizeof(reason), "must be a whole number from %u to %u", low, high);
     if (!json_is_integer(value) || number < low || number > high)
-        return bad(err, key, reason);
+        return set_field_error(err, key, reason);
     *to = (uint32_t)number;
     return TC_OK;
 }
 
 /** Ids name requests in logs, in engines' URLs and in the replicated log: plain characters only. */
-static bool plain_id(const char *id)
+static bool is_valid_id(const char *id)
 {
     for (const char *c = id; *c; c++)
         if (!g_ascii_isalnum(*c) && *c != '-' && *c != '_' && *c != ':')
@@ -133,8 +133,8 @@
 static int read_headers(struct mg_connection *conn, caller_request_t *r, tc_err_t *err)
 {
     const char *const id = http_header(conn, "Idempotency-Key");
-    if (id[0] && !plain_id(id))
-        return bad(err, "Idempotency-Key", "must be 1 to 64 letters, digits, '-', '_' or ':'");
+    if (id[0] && !is_valid_id(id))
+        return set_field_error(err, "Idempotency-Key", "must be 1 to 64 letters, digits, '-', '_' or ':'");
     if (id[0]) {
         codec_copy_string(r->id, sizeof(r->id), id);
     } else {
@@ -144,7 +144,7 @@
     }
     const char *const workspace = http_header(conn, "X-Trackcove-Workspace");
     if (strlen(workspace) >= sizeof(r->workspace))
-        return bad(err, "X-Trackcove-Workspace", "is too long");
+        return set_field_error(err, "X-Trackcove-Workspace", "is too long");
     codec_copy_string(r->workspace, sizeof(r->workspace), workspace[0] ? workspace : "default");
     r->repeatable = strcmp(http_header(conn, "X-Trackcove-Repeatable"), "no") != 0;
     read_last_event(r, http_header(conn, "Last-Event-ID"));
@@ -155,7 +155,7 @@
 {
     const char *const model = json_string_value(json_object_get(body, "model"));
     if (!model || strlen(model) >= sizeof(r->model))
-        return bad(err, "model", "must be a string");
+        return set_field_error(err, "model", "must be a string");
     codec_copy_string(r->model, sizeof(r->model), model);
     TC_CHECK(read_number(body, "max_tokens", 1, MAX_TOKENS_LIMIT, &r->max_tokens, err));
     TC_CHECK(read_number(body, "priority", 0, MAX_PRIORITY, &r->priority, err));
@@ -166,8 +166,8 @@
         if (strcmp(view_config(view)->engines[i].model, r->model) == 0)
             version = view_config(view)->engines[i].version;
     codec_copy_string(r->salt, sizeof(r->salt), view_salt(view, r->workspace));
-    r->due = r->arrived + view_config(view)->targets.ttft_ms - NETWORK_MS;
-    const int rc = version ? read_prompt(r, body, version, err) : bad(err, "model", "is not served here");
+    r->due = r->arrived + view_config(view)->targets.ttft_ms - NETWORK_MARGIN_MS;
+    const int rc = version ? read_prompt(r, body, version, err) : set_field_error(err, "model", "is not served here");
     view_release(view);
     return rc;
 }
@@ -210,17 +210,17 @@
 /* ===== Digests of an answer ===== */
 
 /** FNV-1a, 64 bits: it goes on byte by byte, so that it does not depend on how a text was cut into events. */
-static const uint64_t HASH_START = 0xcbf29ce484222325, HASH_FACTOR = 0x100000001b3;
+static const uint64_t FNV_OFFSET_BASIS = 0xcbf29ce484222325, FNV_PRIME = 0x100000001b3;
 
-static uint64_t hash_on(uint64_t hash, const char *text)
+static uint64_t hash_append(uint64_t hash, const char *text)
 {
     for (const unsigned char *c = (const unsigned char *)text; *c; c++)
-        hash = (hash ^ *c) * HASH_FACTOR;
+        hash = (hash ^ *c) * FNV_PRIME;
     return hash;
 }
 
 /** What of the hash stands in an event id. */
-static uint32_t digest_of(const caller_t *c)
+static uint32_t event_digest(const caller_t *c)
 {
     return (uint32_t)(c->hash ^ (c->hash >> 32));
 }
@@ -234,8 +234,8 @@
     c->request = request;
     c->text = g_string_new(NULL);
     c->event = g_string_sized_new(256);
-    c->hash = HASH_START;
-    c->probed = tc_time_now();
+    c->hash = FNV_OFFSET_BASIS;
+    c->last_probe = tc_time_now();
 }
 
 void caller_free(caller_t *c)
@@ -247,8 +247,8 @@
 bool caller_is_connected(caller_t *c)
 {
     const tc_time_t now = tc_time_now();
-    if (now - c->probed >= PROBE_MS) {
-        c->probed = now;
+    if (now - c->last_probe >= PROBE_INTERVAL_MS) {
+        c->last_probe = now;
         http_stream_probe(&c->http);
     }
     return !c->http.broken;
@@ -270,11 +270,11 @@
 }
 
 /** Written by hand, not through a JSON tree: this runs for every token that passes through the box. */
-static void send_event(caller_t *c, uint32_t place, const char *text, const char *finish)
+static void send_event(caller_t *c, uint32_t position, const char *text, const char *finish)
 {
     GString *const out = c->event;
-    g_string_printf(out, "id: %u-%08x\ndata: {\"id\":\"%s\",\"object\":\"%s\",\"choices\":[{\"index\":0,%s", place,
-                    digest_of(c), c->request->id, c->request->chat ? "chat.completion.chunk" : "text_completion",
+    g_string_printf(out, "id: %u-%08x\ndata: {\"id\":\"%s\",\"object\":\"%s\",\"choices\":[{\"index\":0,%s", position,
+                    event_digest(c), c->request->id, c->request->chat ? "chat.completion.chunk" : "text_completion",
                     c->request->chat ? "\"delta\":{\"content\":" : "\"text\":");
     append_json(out, text);
     g_string_append(out, c->request->chat ? "},\"finish_reason\":" : ",\"finish_reason\":");
@@ -287,57 +287,58 @@
 }
 
 /** Whether a run's tokens, of which @p known bytes were given before, say the same as what was given. */
-static bool agrees(const caller_t *c, const caller_cursor_t *cursor, uint32_t place, const char *text, size_t known,
-                   bool finished)
+static bool matches_sent_text(const caller_t *c, const caller_cursor_t *cursor, uint32_t position, const char *text,
+                              size_t already_sent, bool finished)
 {
-    if (memcmp(c->text->str + cursor->offset, text, known) != 0)
+    if (memcmp(c->text->str + cursor->offset, text, already_sent) != 0)
         return false;
-    const size_t behind = cursor->offset + strlen(text), out = c->text->len;
-    if (place < c->places)
-        return behind <= out && !finished;
-    if (place == c->places)
-        return behind == out && finished == c->finished;
-    return behind >= out && !c->finished;
+    const size_t end_offset = cursor->offset + strlen(text), sent = c->text->len;
+    if (position < c->n_tokens)
+        return end_offset <= sent && !finished;
+    if (position == c->n_tokens)
+        return end_offset == sent && finished == c->finished;
+    return end_offset >= sent && !c->finished;
 }
 
 /** Promise: the tokens that follow a caller's last event are those of the answer it has. The answer cannot end before
  * that event, and has the same text up to it. */
-static bool is_the_callers(const caller_t *c)
+static bool matches_last_event(const caller_t *c)
 {
     const caller_request_t *const r = c->request;
-    if (c->places < r->last_event)
+    if (c->n_tokens < r->last_event)
         return !c->finished;
-    return c->places > r->last_event || !r->has_digest || digest_of(c) == r->last_digest;
+    return c->n_tokens > r->last_event || !r->has_digest || event_digest(c) == r->last_digest;
 }
 
-int caller_send_tokens(caller_t *c, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish)
+int caller_send_tokens(caller_t *c, caller_cursor_t *cursor, uint32_t position, const char *text, const char *finish)
 {
-    const size_t size = strlen(text), ahead = c->text->len - cursor->offset;
-    const size_t known = size < ahead ? size : ahead;
-    assert(cursor->offset <= c->text->len && place > cursor->place); /* a run cannot be ahead of what all runs gave */
-    if (!agrees(c, cursor, place, text, known, finish != NULL))
+    const size_t size = strlen(text), sent_ahead = c->text->len - cursor->offset;
+    const size_t already_sent = size < sent_ahead ? size : sent_ahead;
+    assert(cursor->offset <= c->text->len &&
+           position > cursor->position); /* a run cannot be ahead of what all runs gave */
+    if (!matches_sent_text(c, cursor, position, text, already_sent, finish != NULL))
         return TC_E_CONFLICT;
-    cursor->place = place;
+    cursor->position = position;
     cursor->offset += size;
-    if (place <= c->places)
+    if (position <= c->n_tokens)
         return TC_OK;
-    const bool within = c->places < c->request->last_event && place > c->request->last_event;
-    c->places = place;
+    const bool spans_last_event = c->n_tokens < c->request->last_event && position > c->request->last_event;
+    c->n_tokens = position;
     c->finished = finish != NULL;
-    g_string_append(c->text, text + known);
-    c->hash = hash_on(c->hash, text + known);
+    g_string_append(c->text, text + already_sent);
+    c->hash = hash_append(c->hash, text + already_sent);
     /* Where the caller's last event ends within this one, what is new in it cannot be told apart. */
-    if (c->request->stream && (within || !is_the_callers(c)))
+    if (c->request->stream && (spans_last_event || !matches_last_event(c)))
         return TC_E_CONFLICT;
-    if (c->request->stream && place > c->request->last_event)
-        send_event(c, place, text + known, finish);
-    c->probed = tc_time_now();
+    if (c->request->stream && position > c->request->last_event)
+        send_event(c, position, text + already_sent, finish);
+    c->last_probe = tc_time_now();
     return c->http.broken ? TC_E_CANCELLED : TC_OK;
 }
 
 bool caller_is_complete(const caller_t *c, const caller_cursor_t *cursor)
 {
-    return c->finished && cursor->place == c->places;
+    return c->finished && cursor->position == c->n_tokens;
 }
 
 void caller_finish(caller_t *c, uint32_t prompt_tokens)
@@ -355,7 +356,7 @@
         choice = json_pack("{s:i,s:s,s:s}", "index", 0, "text", c->text->str, "finish_reason", "stop");
     json_t *const body = json_pack("{s:s,s:s,s:[o],s:{s:i,s:i}}", "id", c->request->id, "object",
                                    c->request->chat ? "chat.completion" : "text_completion", "choices", choice, "usage",
-                                   "prompt_tokens", (int)prompt_tokens, "completion_tokens", (int)c->places);
+                                   "prompt_tokens", (int)prompt_tokens, "completion_tokens", (int)c->n_tokens);
     if (!c->http.open) {
         http_send_json(c->http.conn, 200, body, 0);
         return;
@@ -367,29 +368,29 @@
     free(text);
 }
 
-static json_t *error_body(request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
+static json_t *error_body(request_outcome_t outcome, const tc_err_t *err, uint32_t retry_after_ms)
 {
-    return json_pack("{s:{s:s,s:i,s:s,s:s,s:s,s:i}}", "error", "type", caller_outcome_name(end), "code", err->code,
+    return json_pack("{s:{s:s,s:i,s:s,s:s,s:s,s:i}}", "error", "type", caller_outcome_name(outcome), "code", err->code,
                      "step", err->step ? err->step : "", "peer", err->peer, "message", err->detail, "retry_after_ms",
                      (int)retry_after_ms);
 }
 
-int caller_refuse(struct mg_connection *conn, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
+int caller_refuse(struct mg_connection *conn, request_outcome_t outcome, const tc_err_t *err, uint32_t retry_after_ms)
 {
     static const int statuses[] = {200, 400, 503, 502, 401, 499};
-    const int status = end == OUTCOME_INVALID && err->code == TC_E_FULL ? 413 : statuses[end];
-    return http_send_json(conn, status, error_body(end, err, retry_after_ms), retry_after_ms);
+    const int status = outcome == OUTCOME_INVALID && err->code == TC_E_FULL ? 413 : statuses[outcome];
+    return http_send_json(conn, status, error_body(outcome, err, retry_after_ms), retry_after_ms);
 }
 
-void caller_fail(caller_t *c, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms)
+void caller_fail(caller_t *c, request_outcome_t outcome, const tc_err_t *err, uint32_t retry_after_ms)
 {
     if (c->http.broken)
         return;
     if (!c->http.open) {
-        caller_refuse(c->http.conn, end, err, retry_after_ms);
+        caller_refuse(c->http.conn, outcome, err, retry_after_ms);
         return;
     }
-    json_t *const body = error_body(end, err, retry_after_ms);
+    json_t *const body = error_body(outcome, err, retry_after_ms);
     char *const text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
     if (c->request->stream) {
--- a/lib/request/caller.h
+++ b/lib/request/caller.h
@@ -28,7 +28,7 @@
     tc_time_t arrived, due; /**< due: when the first token is to be out */
     char *prompt_json;      /**< the prompt as a JSON string, heap */
     size_t prompt_json_size;
-    uint64_t content; /**< hash over what is asked, workspace included */
+    uint64_t content_hash; /**< hash over what is asked, workspace included */
     uint64_t *chain;
     uint32_t n_chain;
 } caller_request_t;
@@ -47,19 +47,19 @@
 typedef struct {
     http_stream_t http;
     const caller_request_t *request;
-    GString *text;   /**< tokens sent or collected, to compare a second run with */
-    GString *event;  /**< the event being written */
-    uint32_t places; /**< tokens out */
-    bool finished;   /**< the last of them was said to be the last of the answer */
-    uint64_t hash;   /**< of the text; event ids carry it, so that another entry can tell which answer a caller has */
-    tc_time_t probed;
+    GString *text;     /**< tokens sent or collected, to compare a second run with */
+    GString *event;    /**< the event being written */
+    uint32_t n_tokens; /**< tokens out */
+    bool finished;     /**< the last of them was said to be the last of the answer */
+    uint64_t hash;     /**< of the text; event ids carry it, so that another entry can tell which answer a caller has */
+    tc_time_t last_probe;
 } caller_t;
 
 /** How far one run has brought the answer. It belongs to the run: the answer may be farther, by an earlier one. All
  * zero: a run from the start. */
 typedef struct {
-    uint32_t place; /**< of the last token it brought */
-    size_t offset;  /**< bytes of the answer's text up to there */
+    uint32_t position; /**< of the last token it brought */
+    size_t offset;     /**< bytes of the answer's text up to there */
 } caller_cursor_t;
 
 /* ===== Public functions ===== */
@@ -78,7 +78,8 @@
  * before, by whichever run, is compared, not sent again; runs may put different numbers of tokens into one event.
  * @return 0; TC_E_CANCELLED: the caller is gone; TC_E_CONFLICT: they differ from what was sent, or end where that does
  * not */
-int caller_send_tokens(caller_t *caller, caller_cursor_t *cursor, uint32_t place, const char *text, const char *finish);
+int caller_send_tokens(caller_t *caller, caller_cursor_t *cursor, uint32_t position, const char *text,
+                       const char *finish);
 
 /** Whether a run that stands at @p cursor has brought the whole answer. */
 bool caller_is_complete(const caller_t *caller, const caller_cursor_t *cursor);
@@ -87,11 +88,11 @@
 void caller_finish(caller_t *caller, uint32_t prompt_tokens);
 
 /** End the answer with an error. */
-void caller_fail(caller_t *caller, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms);
+void caller_fail(caller_t *caller, request_outcome_t outcome, const tc_err_t *err, uint32_t retry_after_ms);
 
 /** Send an error to a caller whose answer never began. @return status */
-int caller_refuse(struct mg_connection *conn, request_outcome_t end, const tc_err_t *err, uint32_t retry_after_ms);
+int caller_refuse(struct mg_connection *conn, request_outcome_t outcome, const tc_err_t *err, uint32_t retry_after_ms);
 
-const char *caller_outcome_name(request_outcome_t end);
+const char *caller_outcome_name(request_outcome_t outcome);
 
 #endif
--- a/lib/request/control_client.c
+++ b/lib/request/control_client.c
@@ -13,7 +13,7 @@
 
 /* ===== Constants ===== */
 
-enum { BEAT_LIMIT_MS = 700, FETCH_LIMIT_MS = 2000, CLAIM_END_LIMIT_MS = 500 };
+enum { BEAT_TIMEOUT_MS = 700, FETCH_TIMEOUT_MS = 2000, CLAIM_END_TIMEOUT_MS = 500 };
 
 COUNTER_DEFINE(c_version, "gauge", "trackcove_entry_config_version", "Version of the configuration this box acts on")
 COUNTER_DEFINE(c_beats_lost, "counter", "trackcove_entry_beats_lost_total", "Beats no control leader answered")
@@ -22,10 +22,10 @@
 
 struct control_client {
     entry_t *entry;
-    uint32_t at;                 /* which control box is asked */
+    uint32_t control_index;      /* which control box is asked */
     char leader[CODEC_STR_SIZE]; /* address of the one that answered last; guarded by lock */
     pthread_mutex_t lock;
-    bool beating, fetching, released;
+    bool beat_pending, fetch_pending, released;
     tc_time_t sent_at, next_beat;
     uint64_t members_version, cells_version;
     json_t *config; /* the accepted configuration, to which patches are applied */
@@ -48,11 +48,11 @@
     pthread_mutex_unlock(&c->lock);
 }
 
-static void try_next(control_client_t *c)
+static void select_next_control(control_client_t *c)
 {
     const entry_settings_t *const s = c->entry->settings;
-    c->at = (c->at + 1) % s->control_n;
-    set_leader(c, s->control[c->at].peer);
+    c->control_index = (c->control_index + 1) % s->control_n;
+    set_leader(c, s->control[c->control_index].peer);
 }
 
 /* ===== Configuration ===== */
@@ -78,7 +78,7 @@
     }
 }
 
-static void take_whole(control_client_t *c, const msg_fetch_ack_t *ack)
+static void apply_full_config(control_client_t *c, const msg_fetch_ack_t *ack)
 {
     if (ack->whole_version <= c->version)
         return;
@@ -90,7 +90,7 @@
     publish_config(c, ack->whole_version);
 }
 
-static void take_patches(control_client_t *c, const msg_fetch_ack_t *ack)
+static void apply_patches(control_client_t *c, const msg_fetch_ack_t *ack)
 {
     uint64_t version = c->version;
     for (uint32_t i = 0; i < ack->patches_n; i++) {
@@ -111,26 +111,26 @@
 {
     control_client_t *const c = arg;
     (void)err;
-    c->fetching = false;
+    c->fetch_pending = false;
     if (rc != TC_OK || type != MSG_FETCH_ACK)
         return;
     const msg_fetch_ack_t *const ack = message;
     if (ack->whole_version > 0)
-        take_whole(c, ack);
+        apply_full_config(c, ack);
     else
-        take_patches(c, ack);
+        apply_patches(c, ack);
     c->next_beat = 0; /* say at once that we act on it */
 }
 
 static void fetch(control_client_t *c, uint64_t newest)
 {
-    if (c->fetching || newest <= c->version)
+    if (c->fetch_pending || newest <= c->version)
         return;
-    c->fetching = true;
+    c->fetch_pending = true;
     char addr[CODEC_STR_SIZE];
     get_leader(c, addr);
     const msg_fetch_t message = {.from = c->version};
-    peer_call(c->entry->net, addr, MSG_FETCH, &message, FETCH_LIMIT_MS, on_fetch, c);
+    peer_call(c->entry->net, addr, MSG_FETCH, &message, FETCH_TIMEOUT_MS, on_fetch, c);
 }
 
 /* ===== Beats ===== */
@@ -147,10 +147,10 @@
         abort();
     uint32_t n = 0;
     for (uint32_t i = 0; i < view->n_members; i++) {
-        bool news = false;
-        for (uint32_t k = 0; k < ack->members_n && !news; k++)
-            news = strcmp(view->members[i].box, ack->members[k].box) == 0;
-        if (!news)
+        bool updated = false;
+        for (uint32_t k = 0; k < ack->members_n && !updated; k++)
+            updated = strcmp(view->members[i].box, ack->members[k].box) == 0;
+        if (!updated)
             list[n++] = view->members[i];
     }
     for (uint32_t k = 0; k < ack->members_n; k++)
@@ -160,7 +160,7 @@
     free(list);
 }
 
-static void take_news(control_client_t *c, const msg_beat_ack_t *ack)
+static void apply_membership(control_client_t *c, const msg_beat_ack_t *ack)
 {
     const bool members = ack->members_version != c->members_version;
     const bool cells = ack->cells_version != c->cells_version;
@@ -181,10 +181,10 @@
         entry_renew_now(c->entry);
 }
 
-static void take_ack(control_client_t *c, const msg_beat_ack_t *ack)
+static void handle_beat_ack(control_client_t *c, const msg_beat_ack_t *ack)
 {
     entry_t *const e = c->entry;
-    take_news(c, ack);
+    apply_membership(c, ack);
     if (ack->version == c->version)
         atomic_store(&e->lease_until, c->sent_at + ack->lease_ms);
     scheduler_update_leases(e->scheduler, e->view.current->cells, e->view.current->n_cells,
@@ -197,9 +197,9 @@
 static void on_beat(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
     control_client_t *const c = arg;
-    c->beating = false;
+    c->beat_pending = false;
     if (rc == TC_OK && type == MSG_BEAT_ACK) {
-        take_ack(c, message);
+        handle_beat_ack(c, message);
         return;
     }
     counter_add(&c_beats_lost, 1);
@@ -210,11 +210,11 @@
     }
     if (rc == TC_E_FENCED)
         log_failure(LOG_ERROR, "beat_fenced", err);
-    try_next(c);
+    select_next_control(c);
     c->next_beat = 0;
 }
 
-static uint32_t free_room(const entry_t *e)
+static uint32_t free_capacity(const entry_t *e)
 {
     const uint32_t active = atomic_load(&e->active);
     return e->settings->threads > active ? e->settings->threads - active : 0;
@@ -225,10 +225,10 @@
     control_client_t *const c = arg;
     entry_t *const e = c->entry;
     const tc_time_t now = tc_time_now();
-    if (c->beating || now < c->next_beat)
+    if (c->beat_pending || now < c->next_beat)
         return;
     c->next_beat = now + MEMBERS_HEARTBEAT_MS;
-    c->beating = true;
+    c->beat_pending = true;
     c->sent_at = now;
     const entry_settings_t *const s = e->settings;
     msg_beat_t beat = {.version = c->version,
@@ -241,11 +241,11 @@
     codec_copy_string(beat.self.peer_addr, CODEC_STR_SIZE, s->peer_listen);
     beat.self.incarnation = e->incarnation;
     beat.self.draining = atomic_load(&e->draining);
-    beat.self.room = free_room(e);
+    beat.self.room = free_capacity(e);
     char addr[CODEC_STR_SIZE];
     get_leader(c, addr);
     beat.loads_n = scheduler_collect_loads(e->scheduler, &beat.loads);
-    peer_call(e->net, addr, MSG_BEAT, &beat, BEAT_LIMIT_MS, on_beat, c);
+    peer_call(e->net, addr, MSG_BEAT, &beat, BEAT_TIMEOUT_MS, on_beat, c);
     free(beat.loads);
 }
 
@@ -257,7 +257,7 @@
 
 /* ===== Claims ===== */
 
-static int claim_once(control_client_t *c, const msg_claim_t *claim, tc_time_t limit, msg_claim_ack_t *ack,
+static int send_claim(control_client_t *c, const msg_claim_t *claim, tc_time_t limit, msg_claim_ack_t *ack,
                       tc_err_t *err)
 {
     char addr[CODEC_STR_SIZE];
@@ -271,18 +271,18 @@
     codec_copy_string(claim.id, sizeof(claim.id), id);
     codec_copy_string(claim.box, sizeof(claim.box), c->entry->settings->box);
     const tc_time_t until = tc_time_now() + limit;
-    enum { PAUSE_MS = 50 };
+    enum { RETRY_PAUSE_MS = 50 };
     for (;;) {
         const tc_time_t left = until - tc_time_now();
         if (left <= 0)
             return tc_err_set(err, TC_E_TIMEOUT, "claim", c->leader, "no control leader answered in time");
-        const int rc = claim_once(c, &claim, left, ack, err);
+        const int rc = send_claim(c, &claim, left, ack, err);
         if (rc == TC_OK)
             return ack->won ? TC_OK : tc_err_set(err, TC_E_CONFLICT, "claim", ack->owner, "the id is taken");
         /* Not ours for sure only if nobody took it in: otherwise a second claim would meet our own first. */
         if (rc != TC_E_NOT_LEADER && rc != TC_E_UNREACHABLE)
             return rc;
-        tc_time_sleep(PAUSE_MS);
+        tc_time_sleep(RETRY_PAUSE_MS);
     }
 }
 
@@ -295,7 +295,7 @@
     get_leader(c, addr);
     msg_claim_ack_t ack;
     tc_err_t err = {0};
-    if (peer_call_wait(c->entry->net, addr, MSG_CLAIM_END, &end, CLAIM_END_LIMIT_MS, MSG_CLAIM_ACK, &ack, &err) < 0)
+    if (peer_call_wait(c->entry->net, addr, MSG_CLAIM_END, &end, CLAIM_END_TIMEOUT_MS, MSG_CLAIM_ACK, &ack, &err) < 0)
         log_failure(LOG_WARN, "claim_end_lost", &err); /* it stays "running": a resend is told outcome_unknown */
 }
 
@@ -311,8 +311,8 @@
     c->config = json_object();
     pthread_mutex_init(&c->lock, NULL);
     /* Boxes begin at different control boxes, so that a start of all does not fall on one. */
-    c->at = (uint32_t)(entry->incarnation % entry->settings->control_n);
-    set_leader(c, entry->settings->control[c->at].peer);
+    c->control_index = (uint32_t)(entry->incarnation % entry->settings->control_n);
+    set_leader(c, entry->settings->control[c->control_index].peer);
     loop_add_tick(entry->loop, TICK_MS, on_tick, c);
     return c;
 }
--- a/lib/request/entry.c
+++ b/lib/request/entry.c
@@ -16,8 +16,8 @@
 
 /** A loop that did not run for this long has stood still: less than the lease of a request, more than any load makes.
  */
-enum { STOOD_STILL_MS = 800, AWAKE_TICK_MS = 50, VERIFY_LIMIT_MS = 3000, VERIFY_NAP_MS = 5 };
-enum { WORKERS = 16, DRAIN_TICK_MS = 50, RENEW_LIMIT_MS = 400, CLOSE_MS = 300 };
+enum { STALL_THRESHOLD_MS = 800, WATCHDOG_TICK_MS = 50, VERIFY_TIMEOUT_MS = 3000, VERIFY_POLL_MS = 5 };
+enum { WORKER_THREADS = 16, DRAIN_TICK_MS = 50, RENEW_TIMEOUT_MS = 400, CLOSE_GRACE_MS = 300 };
 
 COUNTER_DEFINE(c_stood_still, "counter", "trackcove_entry_stood_still_total", "Times this process stood still for long")
 COUNTER_DEFINE(c_renews, "counter", "trackcove_entry_renewals_total", "Renewals by count and digest")
@@ -54,29 +54,29 @@
     char addr[CODEC_STR_SIZE];
     uint64_t epoch;
     bool listed;
-} renewing_t;
+} renewal_t;
 
-static void renew_with(entry_t *e, const char *cell, const char *addr, uint64_t epoch, bool listed);
+static void send_renewal(entry_t *e, const char *cell, const char *addr, uint64_t epoch, bool listed);
 
 static void on_renewed(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    renewing_t *const renewing = arg;
+    renewal_t *const renewal = arg;
     (void)err;
     if (rc == TC_OK && type == MSG_RENEW_ACK) {
         const msg_renew_ack_t *const ack = message;
         for (uint32_t i = 0; i < ack->lost_n; i++) {
             counter_add(&c_renew_lost, 1);
-            inflight_mark_lost(&renewing->entry->inflight, ack->lost[i].id, ack->lost[i].attempt);
+            inflight_mark_lost(&renewal->entry->inflight, ack->lost[i].id, ack->lost[i].attempt);
         }
-        if (renewing->listed)
-            atomic_store(&renewing->entry->verifying, false); /* those lost are marked */
+        if (renewal->listed)
+            atomic_store(&renewal->entry->verifying, false); /* those lost are marked */
         if (ack->want_list)
-            renew_with(renewing->entry, renewing->cell, renewing->addr, renewing->epoch, true);
+            send_renewal(renewal->entry, renewal->cell, renewal->addr, renewal->epoch, true);
     }
-    free(renewing);
+    free(renewal);
 }
 
-static void renew_with(entry_t *e, const char *cell, const char *addr, uint64_t epoch, bool listed)
+static void send_renewal(entry_t *e, const char *cell, const char *addr, uint64_t epoch, bool listed)
 {
     msg_renew_t renew = {.incarnation = e->incarnation, .epoch = epoch, .listed = listed};
     codec_copy_string(renew.cell, sizeof(renew.cell), cell);
@@ -84,48 +84,48 @@
     inflight_digest(&e->inflight, cell, &renew.count, &renew.digest);
     if (listed)
         renew.held_n = inflight_collect(&e->inflight, cell, &renew.held);
-    renewing_t *const renewing = calloc(1, sizeof(*renewing));
-    if (!renewing)
+    renewal_t *const renewal = calloc(1, sizeof(*renewal));
+    if (!renewal)
         abort();
-    renewing->entry = e;
-    renewing->epoch = epoch;
-    renewing->listed = listed;
-    codec_copy_string(renewing->cell, sizeof(renewing->cell), cell);
-    codec_copy_string(renewing->addr, sizeof(renewing->addr), addr);
+    renewal->entry = e;
+    renewal->epoch = epoch;
+    renewal->listed = listed;
+    codec_copy_string(renewal->cell, sizeof(renewal->cell), cell);
+    codec_copy_string(renewal->addr, sizeof(renewal->addr), addr);
     if (listed || atomic_load(&e->inflight.count) > 0) {
         counter_add(listed ? &c_renew_lists : &c_renews, 1);
-        peer_call(e->net, addr, MSG_RENEW, &renew, RENEW_LIMIT_MS, on_renewed, renewing);
+        peer_call(e->net, addr, MSG_RENEW, &renew, RENEW_TIMEOUT_MS, on_renewed, renewal);
     } else {
-        free(renewing);
+        free(renewal);
     }
     free(renew.held);
 }
 
-static void renew_all(entry_t *e, bool listed);
+static void send_renewals(entry_t *e, bool listed);
 
 static void on_renew_tick(void *arg)
 {
     entry_t *const e = arg;
-    renew_all(e, atomic_load(&e->verifying));
+    send_renewals(e, atomic_load(&e->verifying));
 }
 
 void entry_renew_now(entry_t *e)
 {
-    renew_all(e, true);
+    send_renewals(e, true);
 }
 
-static void renew_all(entry_t *e, bool listed)
+static void send_renewals(entry_t *e, bool listed)
 {
     const view_t *const view = e->view.current;
     if (view_config(view)->policy == POLICY_SHARE)
         for (uint32_t i = 0; i < view_config(view)->engines_n; i++) {
             const char *const cell = view_config(view)->engines[i].cell;
             if (i == 0 || strcmp(cell, view_config(view)->engines[i - 1].cell) != 0)
-                renew_with(e, cell, e->settings->peer_listen, SCHEDULER_SHARE_EPOCH, listed);
+                send_renewal(e, cell, e->settings->peer_listen, SCHEDULER_SHARE_EPOCH, listed);
         }
     else if (view_config(view)->policy == POLICY_CELL)
         for (uint32_t i = 0; i < view->n_cells; i++)
-            renew_with(e, view->cells[i].cell, view->cells[i].peer_addr, view->cells[i].epoch, listed);
+            send_renewal(e, view->cells[i].cell, view->cells[i].peer_addr, view->cells[i].epoch, listed);
 }
 
 /* ===== Standing still =====
@@ -133,11 +133,11 @@
  * given meanwhile. Promise: no request is answered twice. So nothing is passed on until the schedulers were asked.
  */
 
-static void on_awake_tick(void *arg)
+static void on_watchdog_tick(void *arg)
 {
     entry_t *const e = arg;
     const tc_time_t now = tc_time_now();
-    if (now - atomic_load(&e->last_loop_run) > STOOD_STILL_MS) {
+    if (now - atomic_load(&e->last_loop_run) > STALL_THRESHOLD_MS) {
         atomic_store(&e->verifying, atomic_load(&e->inflight.count) > 0);
         counter_add(&c_stood_still, 1);
         entry_renew_now(e);
@@ -148,13 +148,13 @@
 void entry_wait_verified(entry_t *e)
 {
     const tc_time_t begin = tc_time_now();
-    while (tc_time_now() - atomic_load(&e->last_loop_run) > STOOD_STILL_MS || atomic_load(&e->verifying)) {
-        if (tc_time_now() - begin > VERIFY_LIMIT_MS) {
+    while (tc_time_now() - atomic_load(&e->last_loop_run) > STALL_THRESHOLD_MS || atomic_load(&e->verifying)) {
+        if (tc_time_now() - begin > VERIFY_TIMEOUT_MS) {
             inflight_mark_all_lost(&e->inflight); /* nobody could tell: they may be somebody else's */
             atomic_store(&e->verifying, false);
             return;
         }
-        tc_time_sleep(VERIFY_NAP_MS);
+        tc_time_sleep(VERIFY_POLL_MS);
     }
 }
 
@@ -176,7 +176,7 @@
     entry_t *entry;
     tc_time_t begin;
     bool closing, released;
-    tc_time_t released_at;
+    tc_time_t last_step_at;
 } drain_t;
 
 static drain_t drain; /* one a process */
@@ -195,24 +195,24 @@
         log_end(&line);
     }
     /* Callers may still come with an answer of /v1/entries they keep: serve as long as that, and a beat. */
-    const tc_time_t kept = drain.begin + e->settings->answer_keep_ms + 2 * MEMBERS_HEARTBEAT_MS;
-    if (now < kept)
+    const tc_time_t serve_until = drain.begin + e->settings->answer_keep_ms + 2 * MEMBERS_HEARTBEAT_MS;
+    if (now < serve_until)
         return;
     if (!drain.closing) {
         drain.closing = true;
-        drain.released_at = now;
+        drain.last_step_at = now;
         http_set_closing(true); /* the polite end of kept-alive connections: one answer at a time */
     }
-    const bool idle = atomic_load(&e->active) == 0 && now >= drain.released_at + CLOSE_MS;
+    const bool idle = atomic_load(&e->active) == 0 && now >= drain.last_step_at + CLOSE_GRACE_MS;
     const bool out_of_time = now >= drain.begin + e->settings->drain_limit_ms;
     if (!drain.released && (idle || out_of_time)) {
         drain.released = true;
-        drain.released_at = now;
+        drain.last_step_at = now;
         scheduler_release(e->scheduler);
         control_client_release(e->control); /* the next beat lets another box take our cells at once */
         return;
     }
-    if (drain.released && now >= drain.released_at + 2 * MEMBERS_HEARTBEAT_MS)
+    if (drain.released && now >= drain.last_step_at + 2 * MEMBERS_HEARTBEAT_MS)
         loop_stop(e->loop);
 }
 
@@ -255,12 +255,12 @@
         free(e);
         return NULL;
     }
-    e->workers = g_thread_pool_new(run_job, NULL, WORKERS, FALSE, NULL);
+    e->workers = g_thread_pool_new(run_job, NULL, WORKER_THREADS, FALSE, NULL);
     e->scheduler = scheduler_create(e);
     e->control = control_client_create(e);
     e->reports = reports_create(e);
     atomic_store(&e->last_loop_run, tc_time_now());
-    loop_add_tick(loop, AWAKE_TICK_MS, on_awake_tick, e);
+    loop_add_tick(loop, WATCHDOG_TICK_MS, on_watchdog_tick, e);
     loop_add_tick(loop, SCHED_RENEW_MS, on_renew_tick, e);
     loop_add_tick(loop, DRAIN_TICK_MS, on_drain_tick, e);
     return e;
--- a/lib/request/inflight.c
+++ b/lib/request/inflight.c
@@ -17,7 +17,7 @@
 {
     const inflight_t *other;
     cds_list_for_each_entry(other, &table->list, node) {
-        if (strcmp(other->id, item->id) == 0 && other->content != item->content)
+        if (strcmp(other->id, item->id) == 0 && other->content_hash != item->content_hash)
             return false;
     }
     return true;
@@ -54,7 +54,7 @@
     pthread_mutex_lock(&table->lock);
     item->held = *held;
     codec_copy_string(item->held.id, sizeof(item->held.id), item->id);
-    item->held.content = item->content;
+    item->held.content = item->content_hash;
     pthread_mutex_unlock(&table->lock);
 }
 
@@ -77,13 +77,13 @@
 {
     uint32_t n = 0;
     pthread_mutex_lock(&table->lock);
-    const uint32_t room = atomic_load(&table->count) + 64; /* the count trails the list by a few */
-    held_t *const list = calloc(room, sizeof(*list));
+    const uint32_t capacity = atomic_load(&table->count) + 64; /* the count trails the list by a few */
+    held_t *const list = calloc(capacity, sizeof(*list));
     if (!list)
         abort();
     const inflight_t *item;
     cds_list_for_each_entry(item, &table->list, node) {
-        if (n < room && !atomic_load(&item->lost) && strcmp(item->cell, cell) == 0)
+        if (n < capacity && !atomic_load(&item->lost) && strcmp(item->cell, cell) == 0)
             list[n++] = item->held;
     }
     pthread_mutex_unlock(&table->lock);
--- a/lib/request/inflight.h
+++ b/lib/request/inflight.h
@@ -20,9 +20,9 @@
     struct cds_list_head node;
     char id[CODEC_STR_SIZE];
     char cell[CODEC_STR_SIZE];
-    uint64_t content; /* what is asked */
-    held_t held;      /* guarded by the table's lock */
-    atomic_bool lost; /* somebody else has it now, or its lease lapsed: stop */
+    uint64_t content_hash; /* what is asked */
+    held_t held;           /* guarded by the table's lock */
+    atomic_bool lost;      /* somebody else has it now, or its lease lapsed: stop */
 } inflight_t;
 
 typedef struct {
--- a/lib/request/placer.c
+++ b/lib/request/placer.c
@@ -13,10 +13,10 @@
 /* ===== Constants ===== */
 
 enum {
-    IDLE_MS = 50,
-    REPLAN_LIMIT_MS = 300, /* well under the time a prefill result is kept */
-    CALL_SLACK_MS = 250,   /* the scheduler answers by the due time; the way back takes a moment more */
-    RETRY_MS = 40          /* pause before the next scheduler is looked for */
+    IDLE_INTERVAL_MS = 50,
+    REPLAN_TIMEOUT_MS = 300, /* well under the time a prefill result is kept */
+    REPLY_MARGIN_MS = 250,   /* the scheduler answers by the due time; the way back takes a moment more */
+    RETRY_PAUSE_MS = 40      /* pause before the next scheduler is looked for */
 };
 
 /* ===== Waiting for the scheduler ===== */
@@ -30,7 +30,7 @@
     int rc;
     msg_placed_t placed;
     tc_err_t err;
-    placement_t to; /* whom a grant that comes too late is given back to */
+    placement_t target; /* whom a grant that comes too late is given back to */
     char id[CODEC_STR_SIZE];
 } wait_t;
 
@@ -48,12 +48,12 @@
 }
 
 /** The request's thread gave up: the scheduler must not keep a place for it. */
-static void give_back(entry_t *entry, const char *id, const placement_t *to, uint32_t attempt)
+static void release_placement(entry_t *entry, const char *id, const placement_t *target, uint32_t attempt)
 {
-    msg_progress_t progress = {.attempt = attempt, .phase = PHASE_FAILED, .epoch = to->epoch};
-    codec_copy_string(progress.cell, sizeof(progress.cell), to->cell);
+    msg_progress_t progress = {.attempt = attempt, .phase = PHASE_FAILED, .epoch = target->epoch};
+    codec_copy_string(progress.cell, sizeof(progress.cell), target->cell);
     codec_copy_string(progress.id, sizeof(progress.id), id);
-    send_progress(entry, to, &progress);
+    send_progress(entry, target, &progress);
 }
 
 static void on_placed(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
@@ -67,24 +67,24 @@
     else if (type == MSG_PLACED)
         w->placed = *(const msg_placed_t *)message;
     else
-        w->rc = tc_err_set(&w->err, TC_E_INVALID, "place", w->to.scheduler, "unexpected reply");
+        w->rc = tc_err_set(&w->err, TC_E_INVALID, "place", w->target.scheduler, "unexpected reply");
     const bool abandoned = w->abandoned;
     pthread_cond_signal(&w->changed);
     pthread_mutex_unlock(&w->lock);
     if (!abandoned)
         return;
     if (w->rc == TC_OK && w->placed.granted)
-        give_back(w->entry, w->id, &w->to, w->placed.attempt);
+        release_placement(w->entry, w->id, &w->target, w->placed.attempt);
     free_wait(w);
 }
 
-static wait_t *start_wait(entry_t *entry, const char *id, const placement_t *to)
+static wait_t *start_wait(entry_t *entry, const char *id, const placement_t *target)
 {
     wait_t *const w = calloc(1, sizeof(*w));
     if (!w)
         abort();
     w->entry = entry;
-    w->to = *to;
+    w->target = *target;
     codec_copy_string(w->id, sizeof(w->id), id);
     pthread_mutex_init(&w->lock, NULL);
     tc_cond_init(&w->changed);
@@ -92,13 +92,13 @@
 }
 
 /** Whether the scheduler asked still holds its lease, as far as we know: a box that was cut off does not answer. */
-static bool still_leads(entry_t *entry, const placement_t *to)
+static bool lease_unchanged(entry_t *entry, const placement_t *target)
 {
-    if (to->policy != POLICY_CELL)
+    if (target->policy != POLICY_CELL)
         return true;
     view_t *const view = view_acquire(&entry->view);
-    const cell_lease_t *const cell = view_cell_lease(view, to->cell);
-    const bool same = !cell || cell->epoch == to->epoch;
+    const cell_lease_t *const cell = view_cell_lease(view, target->cell);
+    const bool same = !cell || cell->epoch == target->epoch;
     view_release(view);
     return same;
 }
@@ -108,25 +108,25 @@
 {
     pthread_mutex_lock(&w->lock);
     while (!w->done) {
-        tc_cond_wait_for(&w->changed, &w->lock, IDLE_MS);
+        tc_cond_wait_for(&w->changed, &w->lock, IDLE_INTERVAL_MS);
         if (w->done)
             break;
         pthread_mutex_unlock(&w->lock);
         const bool connected = !on_idle || on_idle(arg);
-        const bool leads = still_leads(w->entry, &w->to);
+        const bool lease_valid = lease_unchanged(w->entry, &w->target);
         pthread_mutex_lock(&w->lock);
-        if ((connected && leads) || w->done)
+        if ((connected && lease_valid) || w->done)
             continue;
         w->abandoned = true;
         entry_t *const entry = w->entry;
-        const placement_t to = w->to;
+        const placement_t target = w->target;
         char id[CODEC_STR_SIZE];
         codec_copy_string(id, sizeof(id), w->id);
         pthread_mutex_unlock(&w->lock);
-        give_back(entry, id, &to, 0); /* it may still be queued */
+        release_placement(entry, id, &target, 0); /* it may still be queued */
         if (!connected)
-            return tc_err_set(err, TC_E_CANCELLED, "place", to.scheduler, "the caller is gone");
-        return tc_err_set(err, TC_E_FENCED, "place", to.scheduler, "another box has the cell now");
+            return tc_err_set(err, TC_E_CANCELLED, "place", target.scheduler, "the caller is gone");
+        return tc_err_set(err, TC_E_FENCED, "place", target.scheduler, "another box has the cell now");
     }
     const int rc = w->rc;
     *placed = w->placed;
@@ -139,7 +139,7 @@
 /* ===== Scheduled policies ===== */
 
 /** Take over what the scheduler chose. */
-static int adopt(entry_t *entry, const char *id, const msg_placed_t *placed, placement_t *p, tc_err_t *err)
+static int apply_placement(entry_t *entry, const char *id, const msg_placed_t *placed, placement_t *p, tc_err_t *err)
 {
     view_t *const view = view_acquire(&entry->view);
     const engine_cfg_t *const prefill = view_engine(view, placed->prefill);
@@ -158,20 +158,20 @@
     sched_engine_id(p->engine_id, sizeof(p->engine_id), id, p->attempt);
     if (known)
         return TC_OK;
-    give_back(entry, id, p, p->attempt); /* our configuration is behind the scheduler's */
+    release_placement(entry, id, p, p->attempt); /* our configuration is behind the scheduler's */
     return tc_err_set(err, TC_E_NOT_FOUND, "place", placed->decode, "engine is not in our configuration yet");
 }
 
-static int ask_scheduler(entry_t *entry, const placer_request_t *r, const char *avoid, tc_time_t left,
-                         placer_idle_fn_t on_idle, void *arg, placement_t *p, tc_err_t *err)
+static int request_placement(entry_t *entry, const placer_request_t *r, const char *avoid, tc_time_t remaining,
+                             placer_idle_fn_t on_idle, void *arg, placement_t *p, tc_err_t *err)
 {
     msg_place_t place = {.epoch = p->epoch,
                          .prompt_tokens = r->prompt_tokens,
                          .max_tokens = r->max_tokens,
                          .priority = r->priority,
-                         .wait_ms = (uint32_t)left,
+                         .wait_ms = (uint32_t)remaining,
                          .repeatable = r->repeatable,
-                         .content = r->content,
+                         .content = r->content_hash,
                          .chain = (uint64_t *)(uintptr_t)r->chain,
                          .chain_n = r->n_chain};
     codec_copy_string(place.cell, sizeof(place.cell), p->cell);
@@ -181,11 +181,11 @@
     codec_copy_string(place.workspace, sizeof(place.workspace), r->workspace);
     codec_copy_string(place.avoid, sizeof(place.avoid), avoid);
     wait_t *const w = start_wait(entry, r->id, p);
-    peer_call(entry->net, p->scheduler, MSG_PLACE, &place, left + CALL_SLACK_MS, on_placed, w);
+    peer_call(entry->net, p->scheduler, MSG_PLACE, &place, remaining + REPLY_MARGIN_MS, on_placed, w);
     msg_placed_t placed = {0};
     TC_CHECK(finish_wait(w, on_idle, arg, &placed, err));
     if (placed.granted)
-        return adopt(entry, r->id, &placed, p, err);
+        return apply_placement(entry, r->id, &placed, p, err);
     p->retry_after_ms = placed.retry_after_ms;
     codec_copy_string(p->reason, sizeof(p->reason), placed.reason);
     return tc_err_set(err, TC_E_REFUSED, "place", p->scheduler, "%s", placed.reason);
@@ -213,29 +213,29 @@
                            placer_idle_fn_t on_idle, void *arg, placement_t *p, tc_err_t *err)
 {
     for (;;) {
-        const tc_time_t left = due - tc_time_now();
-        if (left <= 0) {
+        const tc_time_t remaining = due - tc_time_now();
+        if (remaining <= 0) {
             p->retry_after_ms = 1000;
             codec_copy_string(p->reason, sizeof(p->reason), "no scheduler answered in time");
             return tc_err_set(err, TC_E_REFUSED, "place", p->cell, "%s", p->reason);
         }
         int rc = TC_E_NOT_FOUND;
         if (find_scheduler(entry, p))
-            rc = ask_scheduler(entry, r, avoid, left, on_idle, arg, p, err);
+            rc = request_placement(entry, r, avoid, remaining, on_idle, arg, p, err);
         /* Only what the scheduler itself said counts; whatever happened on the way, nothing was sent to an
          * engine, so the next scheduler may be asked. */
         if (rc == TC_OK || rc == TC_E_REFUSED || rc == TC_E_CANCELLED)
             return rc;
         if (on_idle && !on_idle(arg))
             return tc_err_set(err, TC_E_CANCELLED, "place", p->cell, "the caller is gone");
-        tc_time_sleep(RETRY_MS);
+        tc_time_sleep(RETRY_PAUSE_MS);
     }
 }
 
 /* ===== Baselines ===== */
 
 /** How full an engine looks in its last report; smaller is better. */
-static double looks(entry_t *entry, const engine_cfg_t *e)
+static double load_score(entry_t *entry, const engine_cfg_t *e)
 {
     engine_load_t load;
     if (!reports_get_load(entry->reports, e->name, &load))
@@ -243,8 +243,8 @@
     return e->role == ROLE_PREFILL ? load.queue : (double)load.queue * 1000 - load.pieces_free;
 }
 
-static const engine_cfg_t *pick(entry_t *entry, const view_t *view, const char *model, role_t role, const char *avoid,
-                                bool by_load)
+static const engine_cfg_t *choose_engine(entry_t *entry, const view_t *view, const char *model, role_t role,
+                                         const char *avoid, bool by_load)
 {
     const engine_cfg_t *best = NULL;
     double best_value = 0;
@@ -253,7 +253,7 @@
         if (e->role != role || strcmp(e->model, model) != 0 || strcmp(e->name, avoid) == 0 ||
             view_is_leaving(view, e->name))
             continue;
-        const double value = (by_load ? looks(entry, e) : 0) + g_random_double() * 0.5; /* ties fall by chance */
+        const double value = (by_load ? load_score(entry, e) : 0) + g_random_double() * 0.5; /* ties fall by chance */
         if (best && value >= best_value)
             continue;
         best = e;
@@ -262,13 +262,13 @@
     return best;
 }
 
-static int place_alone(entry_t *entry, const placer_request_t *r, const char *avoid, placement_t *p, tc_err_t *err)
+static int place_baseline(entry_t *entry, const placer_request_t *r, const char *avoid, placement_t *p, tc_err_t *err)
 {
     static atomic_uint attempts;
     const bool by_load = p->policy == POLICY_LEAST_LOADED;
     view_t *const view = view_acquire(&entry->view);
-    const engine_cfg_t *const prefill = pick(entry, view, r->model, ROLE_PREFILL, avoid, by_load);
-    const engine_cfg_t *const decode = pick(entry, view, r->model, ROLE_DECODE, avoid, by_load);
+    const engine_cfg_t *const prefill = choose_engine(entry, view, r->model, ROLE_PREFILL, avoid, by_load);
+    const engine_cfg_t *const decode = choose_engine(entry, view, r->model, ROLE_DECODE, avoid, by_load);
     if (prefill && decode) {
         p->prefill = *prefill;
         p->decode = *decode;
@@ -304,7 +304,7 @@
         return tc_err_set(err, TC_E_NOT_FOUND, "place", request->model, "no engine serves this model");
     switch (placement->policy) {
     case POLICY_RANDOM:
-    case POLICY_LEAST_LOADED: return place_alone(entry, request, avoid, placement, err);
+    case POLICY_LEAST_LOADED: return place_baseline(entry, request, avoid, placement, err);
     case POLICY_SHARE:
     case POLICY_CELL: return place_scheduled(entry, request, avoid, due, on_idle, arg, placement, err);
     case POLICY_COUNT: break;
@@ -312,10 +312,10 @@
     return tc_err_set(err, TC_E_INVALID, "place", NULL, "unknown policy");
 }
 
-static int replan_alone(entry_t *entry, const placer_request_t *r, placement_t *p, tc_err_t *err)
+static int replan_baseline(entry_t *entry, const placer_request_t *r, placement_t *p, tc_err_t *err)
 {
     placement_t other = *p;
-    TC_CHECK(place_alone(entry, r, p->decode.name, &other, err));
+    TC_CHECK(place_baseline(entry, r, p->decode.name, &other, err));
     other.prefill = p->prefill;
     *p = other;
     return TC_OK;
@@ -324,22 +324,22 @@
 int placer_replan(entry_t *entry, const placer_request_t *request, placement_t *placement, tc_err_t *err)
 {
     if (placement->policy <= POLICY_LEAST_LOADED)
-        return replan_alone(entry, request, placement, err);
+        return replan_baseline(entry, request, placement, err);
     msg_replan_t replan = {.attempt = placement->attempt, .epoch = placement->epoch};
     codec_copy_string(replan.cell, sizeof(replan.cell), placement->cell);
     codec_copy_string(replan.id, sizeof(replan.id), request->id);
     codec_copy_string(replan.bad, sizeof(replan.bad), placement->decode.name);
     wait_t *const w = start_wait(entry, request->id, placement);
-    peer_call(entry->net, placement->scheduler, MSG_REPLAN, &replan, REPLAN_LIMIT_MS, on_placed, w);
+    peer_call(entry->net, placement->scheduler, MSG_REPLAN, &replan, REPLAN_TIMEOUT_MS, on_placed, w);
     msg_placed_t placed = {0};
     TC_CHECK(finish_wait(w, NULL, NULL, &placed, err));
     if (!placed.granted)
         return tc_err_set(err, TC_E_REFUSED, "replan", placement->scheduler, "%s", placed.reason);
-    return adopt(entry, request->id, &placed, placement, err);
+    return apply_placement(entry, request->id, &placed, placement, err);
 }
 
 void placer_report_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase,
-                            uint32_t took_ms, const engine_prefill_t *prefill, const char *bad, bool held)
+                            uint32_t took_ms, const engine_prefill_t *prefill, const char *failed_engine, bool held)
 {
     if (placement->policy <= POLICY_LEAST_LOADED)
         return;
@@ -351,6 +351,6 @@
     }
     codec_copy_string(progress.cell, sizeof(progress.cell), placement->cell);
     codec_copy_string(progress.id, sizeof(progress.id), id);
-    codec_copy_string(progress.bad, sizeof(progress.bad), bad);
+    codec_copy_string(progress.bad, sizeof(progress.bad), failed_engine);
     send_progress(entry, placement, &progress);
 }
--- a/lib/request/placer.h
+++ b/lib/request/placer.h
@@ -20,7 +20,7 @@
     const uint64_t *chain;
     uint32_t n_chain;
     bool repeatable;
-    uint64_t content;
+    uint64_t content_hash;
 } placer_request_t;
 
 /** A pair of engines for one attempt. */
@@ -55,6 +55,6 @@
 /** Tell the scheduler where the attempt stands. @param bad engine that failed, or "" @param held whether engines may
  *  still hold memory for it */
 void placer_report_progress(entry_t *entry, const char *id, const placement_t *placement, phase_t phase,
-                            uint32_t took_ms, const engine_prefill_t *prefill, const char *bad, bool held);
+                            uint32_t took_ms, const engine_prefill_t *prefill, const char *failed_engine, bool held);
 
 #endif
--- a/lib/request/reports.c
+++ b/lib/request/reports.c
@@ -9,10 +9,10 @@
 /* ===== Constants ===== */
 
 enum {
-    LIST_EVERY_MS = 1000, /* platform list; a leaving server must get no new work after a few seconds */
-    LOAD_EVERY_MS = 250,  /* engines' load, only for the baseline policies */
-    CALL_LIMIT_MS = 800,
-    NAP_MS = 50
+    PLATFORM_LIST_INTERVAL_MS = 1000, /* platform list; a leaving server must get no new work after a few seconds */
+    LOAD_INTERVAL_MS = 250,           /* engines' load, only for the baseline policies */
+    CALL_TIMEOUT_MS = 800,
+    LOOP_INTERVAL_MS = 50
 };
 
 struct reports {
@@ -34,9 +34,9 @@
 {
     leaving_t *const l = arg;
     entry_t *const e = l->entry;
-    const view_t *const now = e->view.current;
+    const view_t *const current = e->view.current;
     const bool same =
-        now->n_leaving == l->n && (l->n == 0 || memcmp(now->leaving, l->names, l->n * sizeof(*l->names)) == 0);
+        current->n_leaving == l->n && (l->n == 0 || memcmp(current->leaving, l->names, l->n * sizeof(*l->names)) == 0);
     if (!same) {
         view_t *const view = view_copy(&e->view);
         view_set_leaving(view, (const char(*)[CODEC_STR_SIZE])l->names, l->n);
@@ -51,10 +51,10 @@
     free(l);
 }
 
-static void ask_platform(reports_t *r, const char *url)
+static void poll_platform_list(reports_t *r, const char *url)
 {
     const http_call_t call = {
-        .url = url, .method = "GET", .timeout = CALL_LIMIT_MS, .peer = "platform", .step = "platform list"};
+        .url = url, .method = "GET", .timeout = CALL_TIMEOUT_MS, .peer = "platform", .step = "platform list"};
     http_result_t result;
     tc_err_t err = {0};
     json_t *body = NULL;
@@ -86,32 +86,32 @@
     reports_t *reports;
     char engine[CODEC_STR_SIZE];
     char url[CODEC_PATH_SIZE];
-} ask_load_t;
+} load_poll_t;
 
-static void run_ask_load(void *arg)
+static void run_load_poll(void *arg)
 {
-    ask_load_t *const ask = arg;
-    reports_t *const r = ask->reports;
+    load_poll_t *const poll = arg;
+    reports_t *const r = poll->reports;
     engine_load_t load;
     tc_err_t err = {0};
-    if (engine_load(ask->engine, ask->url, CALL_LIMIT_MS, &load, &err) == TC_OK) {
+    if (engine_load(poll->engine, poll->url, CALL_TIMEOUT_MS, &load, &err) == TC_OK) {
         pthread_mutex_lock(&r->lock);
-        g_hash_table_insert(r->loads, g_strdup(ask->engine), g_memdup2(&load, sizeof(load)));
+        g_hash_table_insert(r->loads, g_strdup(poll->engine), g_memdup2(&load, sizeof(load)));
         pthread_mutex_unlock(&r->lock);
     }
-    free(ask);
+    free(poll);
 }
 
-static void ask_loads(reports_t *r, const view_t *view)
+static void poll_loads(reports_t *r, const view_t *view)
 {
     for (uint32_t i = 0; i < view_config(view)->engines_n; i++) {
-        ask_load_t *const ask = calloc(1, sizeof(*ask));
-        if (!ask)
+        load_poll_t *const poll = calloc(1, sizeof(*poll));
+        if (!poll)
             abort();
-        ask->reports = r;
-        codec_copy_string(ask->engine, sizeof(ask->engine), view_config(view)->engines[i].name);
-        codec_copy_string(ask->url, sizeof(ask->url), view_config(view)->engines[i].url);
-        entry_run_job(r->entry, run_ask_load, ask);
+        poll->reports = r;
+        codec_copy_string(poll->engine, sizeof(poll->engine), view_config(view)->engines[i].name);
+        codec_copy_string(poll->url, sizeof(poll->url), view_config(view)->engines[i].url);
+        entry_run_job(r->entry, run_load_poll, poll);
     }
 }
 
@@ -135,15 +135,15 @@
         view_t *const view = view_acquire(&r->entry->view);
         const tc_time_t now = tc_time_now();
         if (now >= list_at && view_config(view)->platform_url[0]) {
-            list_at = now + LIST_EVERY_MS;
-            ask_platform(r, view_config(view)->platform_url);
+            list_at = now + PLATFORM_LIST_INTERVAL_MS;
+            poll_platform_list(r, view_config(view)->platform_url);
         }
         if (now >= load_at && view_config(view)->policy <= POLICY_LEAST_LOADED) {
-            load_at = now + LOAD_EVERY_MS;
-            ask_loads(r, view);
+            load_at = now + LOAD_INTERVAL_MS;
+            poll_loads(r, view);
         }
         view_release(view);
-        tc_time_sleep(NAP_MS);
+        tc_time_sleep(LOOP_INTERVAL_MS);
     }
     return NULL;
 }
--- a/lib/request/scheduler.c
+++ b/lib/request/scheduler.c
@@ -12,10 +12,10 @@
 
 enum {
     TICK_MS = 20,
-    POLL_EVERY_MS = 1000, /* engines' state pages */
-    POLL_SPREAD_MS = 100, /* so that polls of one cell do not stay in step */
-    POLL_LIMIT_MS = 900,
-    CANCEL_LIMIT_MS = 800
+    POLL_INTERVAL_MS = 1000, /* engines' state pages */
+    POLL_JITTER_MS = 100,    /* so that polls of one cell do not stay in step */
+    POLL_TIMEOUT_MS = 900,
+    CANCEL_TIMEOUT_MS = 800
 };
 
 COUNTER_DEFINE(c_granted, "counter", "trackcove_sched_granted_total", "Placements granted")
@@ -29,7 +29,7 @@
 /** One engine's polling. */
 typedef struct {
     char name[CODEC_STR_SIZE];
-    bool busy;
+    bool pending;
     tc_time_t next;
 } poll_t;
 
@@ -42,7 +42,7 @@
     bool suspended; /* the lease ran out: nothing is done until it is extended or somebody else's */
     sched_t *core;
     GArray *polls; /* poll_t */
-} hosted_t;
+} hosted_cell_t;
 
 struct scheduler {
     entry_t *entry;
@@ -52,16 +52,16 @@
 
 /* ===== Hosting ===== */
 
-static hosted_t *find_hosted(const scheduler_t *s, const char *cell, uint64_t epoch)
+static hosted_cell_t *find_hosted(const scheduler_t *s, const char *cell, uint64_t epoch)
 {
-    hosted_t *h;
+    hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node)
         if (strcmp(h->cell, cell) == 0 && h->epoch == epoch)
             return h;
     return NULL;
 }
 
-static void log_hosting(const hosted_t *h, const char *event)
+static void log_hosting(const hosted_cell_t *h, const char *event)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, event);
@@ -78,16 +78,16 @@
 }
 
 /** Those who wait are told to ask the next holder of the lease. */
-static void turn_away(scheduler_t *s, hosted_t *h)
+static void reply_fenced_to_waiting(scheduler_t *s, hosted_cell_t *h)
 {
     sched_token_t token;
     while (sched_pop_waiting(h->core, &token))
         reply_fenced(s, (peer_call_t){.connection = token.a, .call = token.b});
 }
 
-static void drop_hosted(scheduler_t *s, hosted_t *h)
+static void drop_hosted(scheduler_t *s, hosted_cell_t *h)
 {
-    turn_away(s, h);
+    reply_fenced_to_waiting(s, h);
     log_hosting(h, "cell_dropped");
     counter_add(&c_hosted, -1);
     cds_list_del(&h->node);
@@ -96,7 +96,7 @@
     free(h);
 }
 
-static void configure(const scheduler_t *s, hosted_t *h, tc_time_t now)
+static void configure_cell(const scheduler_t *s, hosted_cell_t *h, tc_time_t now)
 {
     const view_t *const view = s->entry->view.current;
     if (h->share)
@@ -123,10 +123,10 @@
     h->polls = polls;
 }
 
-static hosted_t *host(scheduler_t *s, const char *cell, uint64_t epoch, bool share)
+static hosted_cell_t *host_cell(scheduler_t *s, const char *cell, uint64_t epoch, bool share)
 {
     const tc_time_t now = tc_time_now();
-    hosted_t *const h = calloc(1, sizeof(*h));
+    hosted_cell_t *const h = calloc(1, sizeof(*h));
     if (!h)
         abort();
     codec_copy_string(h->cell, sizeof(h->cell), cell);
@@ -137,7 +137,7 @@
     h->core = sched_create(&options, now);
     cds_list_add(&h->node, &s->hosted);
     counter_add(&c_hosted, 1);
-    configure(s, h, now);
+    configure_cell(s, h, now);
     log_hosting(h, "cell_hosted");
     return h;
 }
@@ -148,36 +148,36 @@
     for (uint32_t i = 0; i < view_config(view)->engines_n; i++) {
         const char *const cell = view_config(view)->engines[i].cell;
         if (view_config(view)->policy == POLICY_SHARE && !find_hosted(s, cell, SCHEDULER_SHARE_EPOCH))
-            host(s, cell, SCHEDULER_SHARE_EPOCH, true)->until = TC_TIME_NEVER;
+            host_cell(s, cell, SCHEDULER_SHARE_EPOCH, true)->until = TC_TIME_NEVER;
     }
 }
 
 void scheduler_configure(scheduler_t *s)
 {
-    hosted_t *h;
+    hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node)
-        configure(s, h, tc_time_now());
+        configure_cell(s, h, tc_time_now());
     host_shares(s);
 }
 
 /** Another box has the cell, or we under a later epoch: ours is over for good. */
-static void drop_outdated(scheduler_t *s, const cell_lease_t *cell)
+static void drop_superseded(scheduler_t *s, const cell_lease_t *cell)
 {
-    hosted_t *h, *next;
+    hosted_cell_t *h, *next;
     cds_list_for_each_entry_safe(h, next, &s->hosted, node) {
         if (!h->share && strcmp(h->cell, cell->cell) == 0 && h->epoch != cell->epoch)
             drop_hosted(s, h);
     }
 }
 
-static void extend(const scheduler_t *s, hosted_t *h, tc_time_t until)
+static void extend_lease(const scheduler_t *s, hosted_cell_t *h, tc_time_t until)
 {
     const tc_time_t now = tc_time_now();
     if (h->suspended && now < until) {
         /* Nobody else had the cell, or the epoch would have grown: go on with what we know. */
         h->suspended = false;
         sched_resume(h->core, now);
-        configure(s, h, now);
+        configure_cell(s, h, now);
         log_hosting(h, "cell_resumed");
     }
     h->until = until;
@@ -188,22 +188,22 @@
     if (s->released || view_config(s->entry->view.current)->policy != POLICY_CELL)
         return;
     for (uint32_t i = 0; i < n; i++) {
-        drop_outdated(s, &cells[i]);
+        drop_superseded(s, &cells[i]);
         const bool ours =
             strcmp(cells[i].box, s->entry->settings->box) == 0 && cells[i].incarnation == s->entry->incarnation;
         if (!ours)
             continue;
-        hosted_t *h = find_hosted(s, cells[i].cell, cells[i].epoch);
+        hosted_cell_t *h = find_hosted(s, cells[i].cell, cells[i].epoch);
         if (!h)
-            h = host(s, cells[i].cell, cells[i].epoch, false);
-        extend(s, h, until);
+            h = host_cell(s, cells[i].cell, cells[i].epoch, false);
+        extend_lease(s, h, until);
     }
 }
 
 void scheduler_release(scheduler_t *s)
 {
     s->released = true;
-    hosted_t *h, *next;
+    hosted_cell_t *h, *next;
     cds_list_for_each_entry_safe(h, next, &s->hosted, node)
         if (!h->share)
             drop_hosted(s, h);
@@ -220,10 +220,10 @@
     char engine_id[ENGINE_ID_SIZE]; /* cancel */
     engine_state_t state;           /* poll */
     int rc;
-    tc_time_t asked;
+    tc_time_t started_at;
 } engine_job_t;
 
-static engine_job_t *make_job(scheduler_t *s, const hosted_t *h, const char *engine)
+static engine_job_t *make_job(scheduler_t *s, const hosted_cell_t *h, const char *engine)
 {
     const engine_cfg_t *const cfg = view_engine(s->entry->view.current, engine);
     if (!cfg)
@@ -233,22 +233,22 @@
         abort();
     job->scheduler = s;
     job->epoch = h->epoch;
-    job->asked = tc_time_now();
+    job->started_at = tc_time_now();
     codec_copy_string(job->cell, sizeof(job->cell), h->cell);
     codec_copy_string(job->engine, sizeof(job->engine), engine);
     codec_copy_string(job->url, sizeof(job->url), cfg->url);
     return job;
 }
 
-static void drain_actions(scheduler_t *s, hosted_t *h);
+static void run_actions(scheduler_t *s, hosted_cell_t *h);
 
-static void cancelled(void *arg)
+static void on_cancelled(void *arg)
 {
     engine_job_t *const job = arg;
-    hosted_t *const h = find_hosted(job->scheduler, job->cell, job->epoch);
+    hosted_cell_t *const h = find_hosted(job->scheduler, job->cell, job->epoch);
     if (h) {
         sched_cancelled(h->core, job->engine, job->engine_id, job->rc == TC_OK, tc_time_now());
-        drain_actions(job->scheduler, h);
+        run_actions(job->scheduler, h);
     }
     free(job);
 }
@@ -257,13 +257,13 @@
 {
     engine_job_t *const job = arg;
     tc_err_t err = {0};
-    job->rc = engine_cancel(job->engine, job->url, job->engine_id, CANCEL_LIMIT_MS, &err);
+    job->rc = engine_cancel(job->engine, job->url, job->engine_id, CANCEL_TIMEOUT_MS, &err);
     if (job->rc < 0)
         log_failure(LOG_WARN, "cancel_failed", &err);
-    loop_post(job->scheduler->entry->loop, cancelled, job);
+    loop_post(job->scheduler->entry->loop, on_cancelled, job);
 }
 
-static poll_t *find_poll(const hosted_t *h, const char *engine)
+static poll_t *find_poll(const hosted_cell_t *h, const char *engine)
 {
     for (guint i = 0; i < h->polls->len; i++)
         if (strcmp(g_array_index(h->polls, poll_t, i).name, engine) == 0)
@@ -272,23 +272,23 @@
 }
 
 /** Whether the engine is what the configuration wants it to be. */
-static bool serves(const scheduler_t *s, const engine_job_t *job)
+static bool matches_config(const scheduler_t *s, const engine_job_t *job)
 {
     const engine_cfg_t *const cfg = view_engine(s->entry->view.current, job->engine);
     return cfg && !job->state.loading && strcmp(job->state.role, role_names[cfg->role]) == 0 &&
            strcmp(job->state.model, cfg->model) == 0 && strcmp(job->state.version, cfg->version) == 0;
 }
 
-static void polled(void *arg)
+static void on_polled(void *arg)
 {
     engine_job_t *const job = arg;
     scheduler_t *const s = job->scheduler;
-    hosted_t *const h = find_hosted(s, job->cell, job->epoch);
+    hosted_cell_t *const h = find_hosted(s, job->cell, job->epoch);
     poll_t *const poll = h ? find_poll(h, job->engine) : NULL;
     const tc_time_t now = tc_time_now();
     if (poll) {
-        poll->busy = false;
-        poll->next = now + POLL_EVERY_MS + (tc_time_t)(g_random_int() % POLL_SPREAD_MS);
+        poll->pending = false;
+        poll->next = now + POLL_INTERVAL_MS + (tc_time_t)(g_random_int() % POLL_JITTER_MS);
     }
     if (h && job->rc == TC_OK) {
         sched_engine_request_t *const held = calloc(job->state.n_held + 1, sizeof(*held));
@@ -298,14 +298,15 @@
             codec_copy_string(held[i].engine_id, sizeof(held[i].engine_id), job->state.held[i].id);
             held[i].pieces = job->state.held[i].pieces;
         }
-        sched_on_engine_state(h->core, job->engine, job->state.incarnation, job->state.leaving || !serves(s, job), held,
-                              job->state.n_held, job->asked, now);
+        sched_on_engine_state(h->core, job->engine, job->state.incarnation,
+                              job->state.leaving || !matches_config(s, job), held, job->state.n_held, job->started_at,
+                              now);
         free(held);
     } else if (h) {
         sched_on_engine_timeout(h->core, job->engine, now);
     }
     if (h)
-        drain_actions(s, h);
+        run_actions(s, h);
     engine_state_free(&job->state);
     free(job);
 }
@@ -314,25 +315,25 @@
 {
     engine_job_t *const job = arg;
     tc_err_t err = {0};
-    job->rc = engine_state(job->engine, job->url, POLL_LIMIT_MS, &job->state, &err);
-    loop_post(job->scheduler->entry->loop, polled, job);
+    job->rc = engine_state(job->engine, job->url, POLL_TIMEOUT_MS, &job->state, &err);
+    loop_post(job->scheduler->entry->loop, on_polled, job);
 }
 
-static void poll_engines(scheduler_t *s, const hosted_t *h, tc_time_t now)
+static void poll_engines(scheduler_t *s, const hosted_cell_t *h, tc_time_t now)
 {
     for (guint i = 0; i < h->polls->len; i++) {
         poll_t *const poll = &g_array_index(h->polls, poll_t, i);
-        engine_job_t *const job = !poll->busy && now >= poll->next ? make_job(s, h, poll->name) : NULL;
+        engine_job_t *const job = !poll->pending && now >= poll->next ? make_job(s, h, poll->name) : NULL;
         if (!job)
             continue;
-        poll->busy = true;
+        poll->pending = true;
         entry_run_job(s->entry, run_poll, job);
     }
 }
 
 /* ===== Actions ===== */
 
-static void log_decision(const hosted_t *h, const char *id, const msg_placed_t *p)
+static void log_decision(const hosted_cell_t *h, const char *id, const msg_placed_t *p)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, p->granted ? "placement" : "refusal");
@@ -354,7 +355,7 @@
     log_end(&line);
 }
 
-static void drain_actions(scheduler_t *s, hosted_t *h)
+static void run_actions(scheduler_t *s, hosted_cell_t *h)
 {
     sched_action_t action;
     if (h->suspended)
@@ -381,13 +382,13 @@
 /* ===== Messages ===== */
 
 /** The core to ask, or NULL when this box may not act for the cell (any more). */
-static hosted_t *acting(scheduler_t *s, const char *cell, uint64_t epoch, tc_time_t now)
+static hosted_cell_t *find_active(scheduler_t *s, const char *cell, uint64_t epoch, tc_time_t now)
 {
-    hosted_t *const h = find_hosted(s, cell, epoch);
+    hosted_cell_t *const h = find_hosted(s, cell, epoch);
     return h && now < h->until ? h : NULL;
 }
 
-static void on_renew(scheduler_t *s, hosted_t *h, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
+static void on_renew(scheduler_t *s, hosted_cell_t *h, peer_call_t call, const msg_renew_t *renew, tc_time_t now)
 {
     msg_renew_ack_t ack = {.epoch = h->epoch};
     ack.lost = calloc(renew->held_n + 1, sizeof(*ack.lost));
@@ -398,7 +399,8 @@
     codec_free(&msg_renew_ack_desc, &ack);
 }
 
-static void dispatch(scheduler_t *s, hosted_t *h, peer_call_t call, uint32_t type, const void *message, tc_time_t now)
+static void dispatch(scheduler_t *s, hosted_cell_t *h, peer_call_t call, uint32_t type, const void *message,
+                     tc_time_t now)
 {
     const sched_token_t token = {.a = call.connection, .b = call.call};
     switch (type) {
@@ -434,11 +436,11 @@
     }
     const tc_time_t now = tc_time_now();
     const gint64 begin = g_get_monotonic_time();
-    hosted_t *const h = acting(s, cell, epoch, now);
+    hosted_cell_t *const h = find_active(s, cell, epoch, now);
     if (h) {
         dispatch(s, h, call, type, message, now);
         counter_add(&c_cpu_us, g_get_monotonic_time() - begin);
-        drain_actions(s, h);
+        run_actions(s, h);
     } else {
         reply_fenced(s, call);
     }
@@ -449,17 +451,17 @@
 {
     scheduler_t *const s = arg;
     const tc_time_t now = tc_time_now();
-    hosted_t *h;
+    hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node) {
         if (now >= h->until && !h->suspended) {
             h->suspended = true; /* another box may act from here on */
-            turn_away(s, h);
+            reply_fenced_to_waiting(s, h);
             log_hosting(h, "cell_suspended");
         }
         if (h->suspended)
             continue;
         sched_tick(h->core, now);
-        drain_actions(s, h);
+        run_actions(s, h);
         poll_engines(s, h, now);
     }
 }
@@ -468,11 +470,11 @@
 
 uint32_t scheduler_collect_loads(scheduler_t *s, cell_load_t **loads)
 {
-    uint32_t room = 0, n = 0;
-    const hosted_t *h;
+    uint32_t capacity = 0, n = 0;
+    const hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node)
-        room++;
-    *loads = calloc(room + 1, sizeof(**loads));
+        capacity++;
+    *loads = calloc(capacity + 1, sizeof(**loads));
     if (!*loads)
         abort();
     cds_list_for_each_entry(h, &s->hosted, node) {
@@ -491,14 +493,14 @@
 
 void scheduler_describe(scheduler_t *s, json_t *out)
 {
-    enum { VIEWS = 512 };
-    sched_engine_view_t *const views = calloc(VIEWS, sizeof(*views));
-    const hosted_t *h;
+    enum { VIEWS_MAX = 512 };
+    sched_engine_view_t *const views = calloc(VIEWS_MAX, sizeof(*views));
+    const hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node) {
         const sched_stats_t st = sched_stats(h->core);
         json_t *const engines = json_array();
-        const uint32_t n = views ? sched_list_engines(h->core, views, VIEWS, tc_time_now()) : 0;
-        for (uint32_t i = 0; i < n && i < VIEWS; i++)
+        const uint32_t n = views ? sched_list_engines(h->core, views, VIEWS_MAX, tc_time_now()) : 0;
+        for (uint32_t i = 0; i < n && i < VIEWS_MAX; i++)
             json_array_append_new(engines, json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:f,s:b,s:b}", "name", views[i].name,
                                                      "role", role_names[views[i].role], "pieces", (int)views[i].pieces,
                                                      "reserved", (int)views[i].reserved, "batch", (int)views[i].batch,
--- a/lib/request/service.c
+++ b/lib/request/service.c
@@ -15,16 +15,16 @@
 /* ===== Constants ===== */
 
 enum {
-    TRIES_MAX = 3,
-    CLAIM_LIMIT_MS = 1200,
+    ATTEMPTS_MAX = 3,
+    CLAIM_TIMEOUT_MS = 1200,
     EJECT_FIRST_MS = 1000, /* a worker that failed gets no calls for this long, doubling */
     EJECT_MAX_MS = 30000,
-    LATENCY_FIRST_MS = 20,
+    INITIAL_LATENCY_MS = 20,
     ID_MAX = 64
 };
 
 /** Weight of a new latency in the moving average. */
-static const double LEARN = 0.1;
+static const double LATENCY_EWMA_WEIGHT = 0.1;
 
 COUNTER_DEFINE(c_calls, "counter", "trackcove_service_calls_total", "Calls of plain services")
 COUNTER_DEFINE(c_ejected, "counter", "trackcove_service_ejections_total",
@@ -42,23 +42,23 @@
     uint32_t failures; /* in a row */
     tc_time_t ejected_until;
     availability_t availability;
-} seen_t;
+} worker_stats_t;
 
-static pthread_mutex_t seen_lock = PTHREAD_MUTEX_INITIALIZER;
-static GHashTable *seen_of; /* worker name -> seen_t */
+static pthread_mutex_t stats_lock = PTHREAD_MUTEX_INITIALIZER;
+static GHashTable *stats_by_worker; /* worker name -> worker_stats_t */
 
 /** With the lock held. */
-static seen_t *seen_get(const char *worker)
+static worker_stats_t *get_stats(const char *worker)
 {
-    if (!seen_of)
-        seen_of = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    seen_t *seen = g_hash_table_lookup(seen_of, worker);
-    if (!seen) {
-        seen = g_new0(seen_t, 1);
-        seen->latency_ms = LATENCY_FIRST_MS;
-        g_hash_table_insert(seen_of, g_strdup(worker), seen);
+    if (!stats_by_worker)
+        stats_by_worker = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    worker_stats_t *stats = g_hash_table_lookup(stats_by_worker, worker);
+    if (!stats) {
+        stats = g_new0(worker_stats_t, 1);
+        stats->latency_ms = INITIAL_LATENCY_MS;
+        g_hash_table_insert(stats_by_worker, g_strdup(worker), stats);
     }
-    return seen;
+    return stats;
 }
 
 /** The worker expected to answer first: by calls under way here and measured latency. */
@@ -67,16 +67,16 @@
     const tc_time_t now = tc_time_now();
     const worker_cfg_t *best = NULL;
     double best_cost = 0;
-    pthread_mutex_lock(&seen_lock);
+    pthread_mutex_lock(&stats_lock);
     for (int pass = 0; pass < 2 && !best; pass++) { /* if all are ejected, any is better than none */
         for (uint32_t i = 0; i < service->workers_n; i++) {
             const worker_cfg_t *const w = &service->workers[i];
-            const seen_t *const seen = seen_get(w->name);
+            const worker_stats_t *const stats = get_stats(w->name);
             if (view_is_leaving(view, w->name) || strcmp(w->name, avoid) == 0 ||
-                !availability_accepts(&seen->availability, CALL_NEW_WORK, now) ||
-                (pass == 0 && now < seen->ejected_until))
+                !availability_accepts(&stats->availability, CALL_NEW_WORK, now) ||
+                (pass == 0 && now < stats->ejected_until))
                 continue;
-            const double cost = (seen->outstanding + 1) * seen->latency_ms;
+            const double cost = (stats->outstanding + 1) * stats->latency_ms;
             if (best && cost >= best_cost)
                 continue;
             best = w;
@@ -84,31 +84,31 @@
         }
     }
     if (best) {
-        seen_get(best->name)->outstanding++;
+        get_stats(best->name)->outstanding++;
         *chosen = *best;
     }
-    pthread_mutex_unlock(&seen_lock);
+    pthread_mutex_unlock(&stats_lock);
     return best != NULL;
 }
 
-static void worker_done(const char *worker, bool ok, tc_time_t retry_after, tc_time_t took)
+static void record_worker_result(const char *worker, bool ok, tc_time_t retry_after, tc_time_t took)
 {
-    pthread_mutex_lock(&seen_lock);
-    seen_t *const seen = seen_get(worker);
+    pthread_mutex_lock(&stats_lock);
+    worker_stats_t *const stats = get_stats(worker);
     const availability_notice_t notice = {.retry_after = retry_after};
-    seen->outstanding--;
-    if (availability_update(&seen->availability, &notice, tc_time_now()))
+    stats->outstanding--;
+    if (availability_update(&stats->availability, &notice, tc_time_now()))
         availability_log(worker, &notice);
     if (ok) {
-        seen->failures = 0;
-        seen->latency_ms += LEARN * ((double)took - seen->latency_ms);
+        stats->failures = 0;
+        stats->latency_ms += LATENCY_EWMA_WEIGHT * ((double)took - stats->latency_ms);
     } else {
-        const tc_time_t span = (tc_time_t)EJECT_FIRST_MS << (seen->failures < 5 ? seen->failures : 5);
-        seen->failures++;
-        seen->ejected_until = tc_time_now() + (span < EJECT_MAX_MS ? span : EJECT_MAX_MS);
+        const tc_time_t eject_ms = (tc_time_t)EJECT_FIRST_MS << (stats->failures < 5 ? stats->failures : 5);
+        stats->failures++;
+        stats->ejected_until = tc_time_now() + (eject_ms < EJECT_MAX_MS ? eject_ms : EJECT_MAX_MS);
         counter_add(&c_ejected, 1);
     }
-    pthread_mutex_unlock(&seen_lock);
+    pthread_mutex_unlock(&stats_lock);
 }
 
 /* ===== One call ===== */
@@ -119,14 +119,14 @@
     view_t *view;
     const service_cfg_t *service;
     char id[CODEC_STR_SIZE];
-    bool repeatable, claimed, touched;
+    bool repeatable, claimed, maybe_started;
     char *body;
     size_t body_size;
     http_result_t result;
     tc_err_t err;
 } call_t;
 
-static void log_choice(const call_t *call, const char *worker)
+static void log_worker_choice(const call_t *call, const char *worker)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "service_call");
@@ -155,12 +155,12 @@
                               .peer = worker->name,
                               .step = "service call",
                               .no_resend = true};
-    log_choice(call, worker->name);
+    log_worker_choice(call, worker->name);
     const tc_time_t begin = tc_time_now();
     const int rc = http_call(&http, &call->result, &call->err);
     const bool answered = rc == TC_OK || rc == TC_E_REFUSED;
-    worker_done(worker->name, answered, call->result.retry_after, tc_time_now() - begin);
-    call->touched = call->touched || rc != TC_E_UNREACHABLE;
+    record_worker_result(worker->name, answered, call->result.retry_after, tc_time_now() - begin);
+    call->maybe_started = call->maybe_started || rc != TC_E_UNREACHABLE;
     return answered ? TC_OK : rc;
 }
 
@@ -169,9 +169,9 @@
 {
     char avoid[CODEC_STR_SIZE] = "";
     int rc = tc_err_set(&call->err, TC_E_UNREACHABLE, "choose worker", call->service->name, "no worker is left");
-    for (int tries = 0; tries < TRIES_MAX; tries++) {
+    for (int attempts = 0; attempts < ATTEMPTS_MAX; attempts++) {
         worker_cfg_t worker;
-        if (tries > 0 && !budget_spend(&call->entry->budget))
+        if (attempts > 0 && !budget_spend(&call->entry->budget))
             break;
         if (!choose_worker(call->view, call->service, avoid, &worker))
             break;
@@ -192,7 +192,7 @@
     budget_earn(&call->entry->budget);
     if (!call->repeatable) {
         msg_claim_ack_t ack = {0};
-        const int rc = control_client_claim(call->entry->control, call->id, CLAIM_LIMIT_MS, &ack, &call->err);
+        const int rc = control_client_claim(call->entry->control, call->id, CLAIM_TIMEOUT_MS, &ack, &call->err);
         if (rc == TC_E_CONFLICT)
             return OUTCOME_UNKNOWN;
         if (rc < 0)
@@ -200,25 +200,26 @@
         call->claimed = true;
     }
     const int rc = try_workers(call);
-    const request_outcome_t end = rc == TC_OK ? OUTCOME_OK : (call->touched ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
+    const request_outcome_t outcome =
+        rc == TC_OK ? OUTCOME_OK : (call->maybe_started ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
     if (call->claimed)
         control_client_claim_end(call->entry->control, call->id,
-                                 call->touched ? CLAIM_STATE_DONE : CLAIM_STATE_NOT_RUN);
-    return end;
+                                 call->maybe_started ? CLAIM_STATE_DONE : CLAIM_STATE_NOT_RUN);
+    return outcome;
 }
 
 /* ===== The caller's side ===== */
 
-static int answer(call_t *call, request_outcome_t end)
+static int send_answer(call_t *call, request_outcome_t outcome)
 {
     enum { RETRY_AFTER_MS = 1000 };
-    if (end == OUTCOME_OK)
+    if (outcome == OUTCOME_OK)
         return http_send_text(call->conn, call->result.status, "application/json",
                               call->result.body ? call->result.body : "");
-    if (end == OUTCOME_UNKNOWN)
+    if (outcome == OUTCOME_UNKNOWN)
         counter_add(&c_unknown, 1);
     log_failure(LOG_WARN, "service_failed", &call->err);
-    return caller_refuse(call->conn, end, &call->err, end == OUTCOME_NOT_RUN ? RETRY_AFTER_MS : 0);
+    return caller_refuse(call->conn, outcome, &call->err, outcome == OUTCOME_NOT_RUN ? RETRY_AFTER_MS : 0);
 }
 
 static bool read_id(call_t *call)
@@ -251,7 +252,7 @@
     call->body = http_read_body(call->conn, call->entry->settings->max_body_bytes, &call->body_size, &call->err);
     if (!call->body)
         return caller_refuse(call->conn, OUTCOME_INVALID, &call->err, 0);
-    return answer(call, run(call));
+    return send_answer(call, run(call));
 }
 
 int service_serve(entry_t *entry, struct mg_connection *conn)
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -9,46 +9,46 @@
 typedef struct {
     caller_request_t request;
     caller_t caller;
-} lab_t;
+} fixture_t;
 
 /** A caller who wants the answer in one piece: nothing goes out before its end. */
-static void lab_begin(lab_t *lab)
+static void fixture_init(fixture_t *fixture)
 {
-    *lab = (lab_t){.request = {.id = "answer"}};
-    caller_begin(&lab->caller, NULL, &lab->request);
+    *fixture = (fixture_t){.request = {.id = "answer"}};
+    caller_begin(&fixture->caller, NULL, &fixture->request);
 }
 
-static void lab_end(lab_t *lab)
+static void fixture_free(fixture_t *fixture)
 {
-    caller_free(&lab->caller);
+    caller_free(&fixture->caller);
 }
 
 /** Bring tokens of one letter each. */
-static int bring(lab_t *lab, caller_cursor_t *run, const char *tokens, const char *finish)
+static int send_tokens(fixture_t *fixture, caller_cursor_t *run, const char *tokens, const char *finish)
 {
-    return caller_send_tokens(&lab->caller, run, run->place + (uint32_t)strlen(tokens), tokens, finish);
+    return caller_send_tokens(&fixture->caller, run, run->position + (uint32_t)strlen(tokens), tokens, finish);
 }
 
-static void assert_out(const lab_t *lab, const char *text)
+static void assert_sent(const fixture_t *fixture, const char *text)
 {
-    g_assert_cmpstr(lab->caller.text->str, ==, text);
-    g_assert_cmpuint(lab->caller.places, ==, strlen(text));
+    g_assert_cmpstr(fixture->caller.text->str, ==, text);
+    g_assert_cmpuint(fixture->caller.n_tokens, ==, strlen(text));
 }
 
 /* ===== Tests ===== */
 
 static void test_one_run(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t run = {0};
-    lab_begin(&lab);
-    g_assert_cmpint(bring(&lab, &run, "a", NULL), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &run, "bcd", NULL), ==, TC_OK);
-    g_assert_false(caller_is_complete(&lab.caller, &run));
-    g_assert_cmpint(bring(&lab, &run, "e", "stop"), ==, TC_OK);
-    g_assert_true(caller_is_complete(&lab.caller, &run));
-    assert_out(&lab, "abcde");
-    lab_end(&lab);
+    fixture_init(&fixture);
+    g_assert_cmpint(send_tokens(&fixture, &run, "a", NULL), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &run, "bcd", NULL), ==, TC_OK);
+    g_assert_false(caller_is_complete(&fixture.caller, &run));
+    g_assert_cmpint(send_tokens(&fixture, &run, "e", "stop"), ==, TC_OK);
+    g_assert_true(caller_is_complete(&fixture.caller, &run));
+    assert_sent(&fixture, "abcde");
+    fixture_free(&fixture);
 }
 
 /** Two runs of one answer, cut into events at every pair of places. */
@@ -60,16 +60,16 @@
             char first[16], second[16];
             g_strlcpy(first, answer, ended + 1);
             g_strlcpy(second, answer, cut + 1);
-            lab_t lab;
+            fixture_t fixture;
             caller_cursor_t runs[2] = {{0}, {0}};
-            lab_begin(&lab);
-            g_assert_cmpint(bring(&lab, &runs[0], first, NULL), ==, TC_OK);
-            g_assert_cmpint(bring(&lab, &runs[1], second, NULL), ==, TC_OK);
-            g_assert_cmpint(bring(&lab, &runs[1], answer + cut, "stop"), ==, TC_OK);
-            assert_out(&lab, answer);
-            g_assert_true(caller_is_complete(&lab.caller, &runs[1]));
-            g_assert_false(caller_is_complete(&lab.caller, &runs[0]));
-            lab_end(&lab);
+            fixture_init(&fixture);
+            g_assert_cmpint(send_tokens(&fixture, &runs[0], first, NULL), ==, TC_OK);
+            g_assert_cmpint(send_tokens(&fixture, &runs[1], second, NULL), ==, TC_OK);
+            g_assert_cmpint(send_tokens(&fixture, &runs[1], answer + cut, "stop"), ==, TC_OK);
+            assert_sent(&fixture, answer);
+            g_assert_true(caller_is_complete(&fixture.caller, &runs[1]));
+            g_assert_false(caller_is_complete(&fixture.caller, &runs[0]));
+            fixture_free(&fixture);
         }
     }
 }
@@ -79,91 +79,92 @@
 {
     static const char answer[] = "abcdefgh";
     for (size_t differs = 0; differs < 6; differs++) {
-        lab_t lab;
+        fixture_t fixture;
         caller_cursor_t runs[2] = {{0}, {0}};
-        lab_begin(&lab);
-        g_assert_cmpint(bring(&lab, &runs[0], "abcdef", NULL), ==, TC_OK);
+        fixture_init(&fixture);
+        g_assert_cmpint(send_tokens(&fixture, &runs[0], "abcdef", NULL), ==, TC_OK);
         int rc = TC_OK;
         for (size_t i = 0; i < sizeof(answer) - 1 && rc == TC_OK; i++) {
             const char token[2] = {i == differs ? 'x' : answer[i], '\0'};
-            rc = bring(&lab, &runs[1], token, NULL);
+            rc = send_tokens(&fixture, &runs[1], token, NULL);
         }
         g_assert_cmpint(rc, ==, TC_E_CONFLICT);
-        g_assert_cmpuint(runs[1].place, ==, differs);
-        assert_out(&lab, "abcdef");
-        lab_end(&lab);
+        g_assert_cmpuint(runs[1].position, ==, differs);
+        assert_sent(&fixture, "abcdef");
+        fixture_free(&fixture);
     }
 }
 
 /** The same bytes, but in another number of tokens. */
 static void test_other_lengths(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t runs[3] = {{0}, {0}, {0}};
-    lab_begin(&lab);
-    g_assert_cmpint(bring(&lab, &runs[0], "abc", NULL), ==, TC_OK);
-    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[1], 2, "abcd", NULL), ==, TC_E_CONFLICT);
-    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[1], 3, "ab", NULL), ==, TC_E_CONFLICT);
-    g_assert_cmpint(caller_send_tokens(&lab.caller, &runs[2], 4, "ab", NULL), ==, TC_E_CONFLICT);
-    assert_out(&lab, "abc");
-    lab_end(&lab);
+    fixture_init(&fixture);
+    g_assert_cmpint(send_tokens(&fixture, &runs[0], "abc", NULL), ==, TC_OK);
+    g_assert_cmpint(caller_send_tokens(&fixture.caller, &runs[1], 2, "abcd", NULL), ==, TC_E_CONFLICT);
+    g_assert_cmpint(caller_send_tokens(&fixture.caller, &runs[1], 3, "ab", NULL), ==, TC_E_CONFLICT);
+    g_assert_cmpint(caller_send_tokens(&fixture.caller, &runs[2], 4, "ab", NULL), ==, TC_E_CONFLICT);
+    assert_sent(&fixture, "abc");
+    fixture_free(&fixture);
 }
 
 /** A run that ends before or behind where another one did is another answer, also when its tokens agree. */
 static void test_other_ends(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t runs[4] = {{0}, {0}, {0}, {0}};
-    lab_begin(&lab);
-    g_assert_cmpint(bring(&lab, &runs[0], "abcd", NULL), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &runs[1], "ab", "stop"), ==, TC_E_CONFLICT);
-    g_assert_cmpint(bring(&lab, &runs[2], "abcd", "stop"), ==, TC_E_CONFLICT); /* the first said more would come */
-    g_assert_cmpint(bring(&lab, &runs[0], "e", "stop"), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &runs[3], "abcdef", NULL), ==, TC_E_CONFLICT);
-    assert_out(&lab, "abcde");
-    lab_end(&lab);
+    fixture_init(&fixture);
+    g_assert_cmpint(send_tokens(&fixture, &runs[0], "abcd", NULL), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &runs[1], "ab", "stop"), ==, TC_E_CONFLICT);
+    g_assert_cmpint(send_tokens(&fixture, &runs[2], "abcd", "stop"), ==,
+                    TC_E_CONFLICT); /* the first said more would come */
+    g_assert_cmpint(send_tokens(&fixture, &runs[0], "e", "stop"), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &runs[3], "abcdef", NULL), ==, TC_E_CONFLICT);
+    assert_sent(&fixture, "abcde");
+    fixture_free(&fixture);
 }
 
 /** A run that ends without a last token did not bring the answer, whatever an earlier one had. */
 static void test_not_whole(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t runs[2] = {{0}, {0}};
-    lab_begin(&lab);
-    g_assert_false(caller_is_complete(&lab.caller, &runs[0]));
-    g_assert_cmpint(bring(&lab, &runs[0], "abcd", "stop"), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &runs[1], "ab", NULL), ==, TC_OK);
-    g_assert_false(caller_is_complete(&lab.caller, &runs[1]));
-    g_assert_true(caller_is_complete(&lab.caller, &runs[0]));
-    lab_end(&lab);
+    fixture_init(&fixture);
+    g_assert_false(caller_is_complete(&fixture.caller, &runs[0]));
+    g_assert_cmpint(send_tokens(&fixture, &runs[0], "abcd", "stop"), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &runs[1], "ab", NULL), ==, TC_OK);
+    g_assert_false(caller_is_complete(&fixture.caller, &runs[1]));
+    g_assert_true(caller_is_complete(&fixture.caller, &runs[0]));
+    fixture_free(&fixture);
 }
 
 /** A caller who has the answer up to a place within an event cannot be given the rest of that event. */
 static void test_last_event_within(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t run = {0};
-    lab_begin(&lab);
-    lab.request.stream = true;
-    lab.request.last_event = 3;
-    g_assert_cmpint(bring(&lab, &run, "ab", NULL), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &run, "cd", NULL), ==, TC_E_CONFLICT);
-    lab_end(&lab);
+    fixture_init(&fixture);
+    fixture.request.stream = true;
+    fixture.request.last_event = 3;
+    g_assert_cmpint(send_tokens(&fixture, &run, "ab", NULL), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &run, "cd", NULL), ==, TC_E_CONFLICT);
+    fixture_free(&fixture);
 }
 
 /** Whoever goes on behind a caller's last event has the same text up to there, or is refused where it ends. */
 static void test_last_event_of_another_answer(void)
 {
-    lab_t first, second;
+    fixture_t first, second;
     caller_cursor_t run = {0};
-    lab_begin(&first);
-    g_assert_cmpint(bring(&first, &run, "abc", NULL), ==, TC_OK);
+    fixture_init(&first);
+    g_assert_cmpint(send_tokens(&first, &run, "abc", NULL), ==, TC_OK);
     const uint32_t digest = (uint32_t)(first.caller.hash ^ (first.caller.hash >> 32));
-    lab_end(&first);
+    fixture_free(&first);
     static const char *const texts[] = {"abc", "abd", "xbc"};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
         for (size_t cut = 0; cut < 3; cut++) { /* however the text is cut into events */
-            lab_begin(&second);
+            fixture_init(&second);
             second.request.stream = true;
             second.request.last_event = 3;
             second.request.has_digest = true;
@@ -171,9 +172,9 @@
             run = (caller_cursor_t){0};
             char head[8];
             g_strlcpy(head, texts[i], cut + 1);
-            g_assert_cmpint(cut ? bring(&second, &run, head, NULL) : TC_OK, ==, TC_OK);
-            g_assert_cmpint(bring(&second, &run, texts[i] + cut, NULL), ==, i == 0 ? TC_OK : TC_E_CONFLICT);
-            lab_end(&second);
+            g_assert_cmpint(cut ? send_tokens(&second, &run, head, NULL) : TC_OK, ==, TC_OK);
+            g_assert_cmpint(send_tokens(&second, &run, texts[i] + cut, NULL), ==, i == 0 ? TC_OK : TC_E_CONFLICT);
+            fixture_free(&second);
         }
     }
 }
@@ -181,14 +182,14 @@
 /** An answer that ends before a caller's last event is not the one the caller has. */
 static void test_last_event_behind_the_end(void)
 {
-    lab_t lab;
+    fixture_t fixture;
     caller_cursor_t run = {0};
-    lab_begin(&lab);
-    lab.request.stream = true;
-    lab.request.last_event = 5;
-    g_assert_cmpint(bring(&lab, &run, "ab", NULL), ==, TC_OK);
-    g_assert_cmpint(bring(&lab, &run, "c", "stop"), ==, TC_E_CONFLICT);
-    lab_end(&lab);
+    fixture_init(&fixture);
+    fixture.request.stream = true;
+    fixture.request.last_event = 5;
+    g_assert_cmpint(send_tokens(&fixture, &run, "ab", NULL), ==, TC_OK);
+    g_assert_cmpint(send_tokens(&fixture, &run, "c", "stop"), ==, TC_E_CONFLICT);
+    fixture_free(&fixture);
 }
 
 int main(int argc, char **argv)
