--- a/lib/http/http.c
+++ b/lib/http/http.c
@@ -7,9 +7,9 @@
 
 /* ===== Constants ===== */
 
-/** A caller that is silent in the middle of a request for this long is cut off. */
+/** Time that a caller may be silent within a request before its connection is closed. */
 #define REQUEST_TIMEOUT_MS "10000"
-/** An idle kept-alive connection holds a thread; it is closed after this. */
+/** Time after which an idle kept-alive connection is closed, because it occupies a thread. */
 #define KEEP_ALIVE_TIMEOUT_MS "3000"
 
 struct http_server {
@@ -129,7 +129,7 @@
     return body;
 }
 
-/* ===== Answers ===== */
+/* ===== Responses ===== */
 
 static const char *connection_header(void)
 {
@@ -176,7 +176,7 @@
     stream->broken = stream->broken || n <= 0;
 }
 
-/** One chunk in one write: CivetWeb's own mg_send_chunk makes three, each a packet of its own. */
+/** Sends a chunk with a single write. CivetWeb's mg_send_chunk() makes three, each sent as its own packet. */
 static bool send_chunk(struct mg_connection *conn, const char *data, size_t size)
 {
     enum { STACK_BUFFER_BYTES = 2048, FRAMING_BYTES = 32 };
--- a/lib/request/api.c
+++ b/lib/request/api.c
@@ -15,9 +15,9 @@
 
 enum { RETRY_AFTER_MS = 500, ENTRIES_MAX = 512 };
 
-/* ===== Work ===== */
+/* ===== Requests ===== */
 
-/** Whether new work may begin here; answers the caller otherwise. */
+/** Whether new requests may be accepted. Otherwise sends a 503 response. */
 static bool admit(entry_t *e, struct mg_connection *conn)
 {
     if (entry_may_serve(e))
@@ -69,7 +69,7 @@
     return status;
 }
 
-/* ===== Which entry to use ===== */
+/* ===== Choice of entry box ===== */
 
 typedef struct {
     const member_t *member;
@@ -82,8 +82,8 @@
     return x < y ? -1 : (x > y ? 1 : 0);
 }
 
-/** Order of preference: weighted rendezvous, so that callers spread over boxes by their free room and keep their
- *  order when one box leaves; the caller's own data centre first. */
+/** Orders the entry boxes for a caller by weighted rendezvous hashing, so that callers spread over boxes by free
+ * capacity and keep their order when a box leaves. Boxes of the caller's data centre come first. */
 static uint32_t rank_entries(const view_t *view, const char *caller, const char *dc, ranked_t *ranked)
 {
     static const double OTHER_DC = 1e6;
@@ -127,7 +127,7 @@
                           json_pack("{s:o,s:i}", "entries", list, "keep_ms", (int)e->settings->answer_keep_ms), 0);
 }
 
-/* ===== For operators and monitors ===== */
+/* ===== Status ===== */
 
 typedef struct {
     entry_t *entry;
--- a/lib/request/api.h
+++ b/lib/request/api.h
@@ -1,5 +1,5 @@
 /** @file api.h
- * The callers' interface of an entry box.
+ * HTTP interface of an entry box.
  *
  *   POST /v1/completions /v1/chat/completions
  *   GET  /v1/entries?dc=DC
@@ -11,7 +11,7 @@
 
 #include "request/entry.h"
 
-/** Route the interface on @p server; both must outlive it. */
+/** Registers the handlers on @p server. @p entry must outlive the server. */
 void api_route(entry_t *entry, http_server_t *server);
 
 #endif
--- a/lib/request/caller.c
+++ b/lib/request/caller.c
@@ -15,13 +15,13 @@
 /* ===== Constants ===== */
 
 enum {
-    BYTES_PER_TOKEN = 4, /* estimate for placement; engines count exactly */
+    BYTES_PER_TOKEN = 4, /* estimate for placement only; engines report exact counts */
     DEFAULT_MAX_TOKENS = 128,
     MAX_TOKENS_LIMIT = 131072,
     MAX_PRIORITY = 9,
     DEFAULT_PRIORITY = 5,
-    PROBE_INTERVAL_MS = 100, /* how often a silent caller is asked whether it is there */
-    NETWORK_MARGIN_MS = 10   /* kept back from the time to the first token for the way to the caller */
+    PROBE_INTERVAL_MS = 100, /* interval between connection probes while no token is sent */
+    NETWORK_MARGIN_MS = 10   /* reserved from the time-to-first-token target for the network to the caller */
 };
 
 const char *caller_outcome_name(request_outcome_t outcome)
@@ -30,7 +30,7 @@
     return names[outcome];
 }
 
-/* ===== Reading ===== */
+/* ===== Request parsing ===== */
 
 static int set_field_error(tc_err_t *err, const char *field, const char *reason)
 {
@@ -110,7 +110,8 @@
     return TC_OK;
 }
 
-/** Ids name requests in logs, in engines' URLs and in the replicated log: plain characters only. */
+/** Ids appear in logs, in engine URLs and in the replicated log, so only characters that need no escaping are allowed.
+ */
 static bool is_valid_id(const char *id)
 {
     for (const char *c = id; *c; c++)
@@ -119,7 +120,7 @@
     return strlen(id) > 0 && strlen(id) <= 64;
 }
 
-/** "PLACE-DIGEST" as send_event writes it; a place alone says how far the caller is, not with which answer. */
+/** Parses "POSITION-DIGEST" as send_event() writes it. A position without a digest does not identify the answer. */
 static void read_last_event(caller_request_t *r, const char *id)
 {
     char *end;
@@ -207,9 +208,9 @@
     r->chain = NULL;
 }
 
-/* ===== Digests of an answer ===== */
+/* ===== Answer digests ===== */
 
-/** FNV-1a, 64 bits: it goes on byte by byte, so that it does not depend on how a text was cut into events. */
+/** FNV-1a, 64 bits: computed byte by byte, so that the result does not depend on how the text is split into events. */
 static const uint64_t FNV_OFFSET_BASIS = 0xcbf29ce484222325, FNV_PRIME = 0x100000001b3;
 
 static uint64_t hash_append(uint64_t hash, const char *text)
@@ -219,13 +220,13 @@
     return hash;
 }
 
-/** What of the hash stands in an event id. */
+/** The 32-bit digest that event ids carry. */
 static uint32_t event_digest(const caller_t *c)
 {
     return (uint32_t)(c->hash ^ (c->hash >> 32));
 }
 
-/* ===== Answering ===== */
+/* ===== Responses ===== */
 
 void caller_begin(caller_t *c, struct mg_connection *conn, const caller_request_t *request)
 {
@@ -254,7 +255,7 @@
     return !c->http.broken;
 }
 
-/** Append a JSON string; texts of tokens are short and mostly plain. */
+/** Appends @p text as a JSON string. Token texts are short and rarely need escaping. */
 static void append_json(GString *out, const char *text)
 {
     g_string_append_c(out, '"');
@@ -269,7 +270,7 @@
     g_string_append_c(out, '"');
 }
 
-/** Written by hand, not through a JSON tree: this runs for every token that passes through the box. */
+/** Formats the event directly instead of through a JSON tree, because this runs for every token. */
 static void send_event(caller_t *c, uint32_t position, const char *text, const char *finish)
 {
     GString *const out = c->event;
@@ -286,7 +287,8 @@
     http_stream_send(&c->http, out->str, out->len);
 }
 
-/** Whether a run's tokens, of which @p known bytes were given before, say the same as what was given. */
+/** Whether a run's tokens agree with the response so far. @param already_sent leading bytes of @p text that were sent
+ * before */
 static bool matches_sent_text(const caller_t *c, const caller_cursor_t *cursor, uint32_t position, const char *text,
                               size_t already_sent, bool finished)
 {
@@ -300,8 +302,8 @@
     return end_offset >= sent && !c->finished;
 }
 
-/** Promise: the tokens that follow a caller's last event are those of the answer it has. The answer cannot end before
- * that event, and has the same text up to it. */
+/** Guarantees that the tokens after a caller's last event continue the answer that the caller has: the answer does not
+ * end before that event and has the same text up to it. */
 static bool matches_last_event(const caller_t *c)
 {
     const caller_request_t *const r = c->request;
@@ -314,8 +316,7 @@
 {
     const size_t size = strlen(text), sent_ahead = c->text->len - cursor->offset;
     const size_t already_sent = size < sent_ahead ? size : sent_ahead;
-    assert(cursor->offset <= c->text->len &&
-           position > cursor->position); /* a run cannot be ahead of what all runs gave */
+    assert(cursor->offset <= c->text->len && position > cursor->position); /* a run cannot be ahead of the response */
     if (!matches_sent_text(c, cursor, position, text, already_sent, finish != NULL))
         return TC_E_CONFLICT;
     cursor->position = position;
@@ -327,7 +328,7 @@
     c->finished = finish != NULL;
     g_string_append(c->text, text + already_sent);
     c->hash = hash_append(c->hash, text + already_sent);
-    /* Where the caller's last event ends within this one, what is new in it cannot be told apart. */
+    /* When the caller's last event ends within these tokens, their new part cannot be determined. */
     if (c->request->stream && (spans_last_event || !matches_last_event(c)))
         return TC_E_CONFLICT;
     if (c->request->stream && position > c->request->last_event)
--- a/lib/request/completion.c
+++ b/lib/request/completion.c
@@ -12,14 +12,14 @@
 /* ===== Constants ===== */
 
 enum {
-    ATTEMPTS_MAX = 4,               /* runs of one request, the first included */
-    REPLANS_MAX = 2,                /* other decode engines tried for one prefill result */
-    PREFILL_GRACE_MS = 3000,        /* beyond the time to the first token, before a silent prefill engine is given up */
-    HANDOVER_TIMEOUT_BASE_MS = 350, /* a handover without a token after this, plus twice the estimate, is stalled: it
-                               leaves time for another within the hold time of a prefill result */
-    TOKEN_GAP_TIMEOUT_MS = 3000,    /* a decode engine silent for this long in the middle of an answer is lost */
+    ATTEMPTS_MAX = 4,        /* attempts per request, the first included */
+    REPLANS_MAX = 2,         /* further decode engines tried for one prefill result */
+    PREFILL_GRACE_MS = 3000, /* time beyond the first-token deadline after which a silent prefill engine has failed */
+    HANDOVER_TIMEOUT_BASE_MS = 350, /* plus half the estimated time to first token; short enough for a second handover
+                                       while the engine still holds the prefill result */
+    TOKEN_GAP_TIMEOUT_MS = 3000,    /* a decode engine that sends no token for this long has failed */
     CLAIM_TIMEOUT_MS = 1200,
-    BASELINE_FIRST_TOKEN_TIMEOUT_MS = 5000, /* the baselines wait in the decode engine's queue */
+    BASELINE_FIRST_TOKEN_TIMEOUT_MS = 5000, /* baselines queue in the decode engine */
     CANCEL_TIMEOUT_MS = 500
 };
 
@@ -37,43 +37,43 @@
 
 /* ===== Types ===== */
 
-/** One request being served: what outlives an attempt. */
+/** State of one request across its attempts. */
 typedef struct {
     entry_t *entry;
     const caller_request_t *request;
     caller_t caller;
     inflight_t inflight;
-    char avoid[CODEC_STR_SIZE]; /* the engine that the last attempt failed on */
+    char avoid[CODEC_STR_SIZE]; /* engine that the last attempt failed on, or "" */
     bool claimed;
-    bool maybe_started; /* a back end may have begun work for it */
+    bool maybe_started; /* a back end may have started work on the request */
     uint32_t attempts;
     uint32_t prompt_tokens;
-    uint32_t retry_after_ms; /* said by the last placement */
-    int64_t place_us;        /* waited for the first placement */
+    uint32_t retry_after_ms; /* from the last placement */
+    int64_t place_us;        /* wait for the first placement, us */
     tc_err_t err;
 } completion_t;
 
-/** One attempt on engines of one placement. It ends in one place, attempt(), and nothing of it is left then. */
+/** One attempt on the engines of one placement. Only attempt() ends it, and releases everything it holds. */
 typedef struct {
     completion_t *completion;
     placement_t placement;
-    tc_time_t begin, due;           /* due: when its first token is to be out */
-    bool token_seen;                /* its first token came */
-    bool tokens_differ;             /* it gave other tokens than an earlier one: nobody can go on with the answer */
-    uint32_t unused_prefill_tokens; /* tokens of a prefill result that no decode engine used yet */
+    tc_time_t begin, due;           /* due: deadline of the first token */
+    bool token_seen;                /* the first token has arrived */
+    bool tokens_differ;             /* its tokens differ from those of an earlier run: the answer cannot be continued */
+    uint32_t unused_prefill_tokens; /* prompt tokens computed for a prefill result that no decode engine has used */
 } attempt_t;
 
-/** Reading one run of the answer, over one connection or, where that breaks, over several. Another run of the same
- * attempt, on another decode engine, gets its own. */
+/** Reader of one decode run, over one or, after broken connections, several connections. Each decode engine of an
+ * attempt has its own reader. */
 typedef struct {
     attempt_t *at;
     caller_cursor_t cursor;
-    int rc; /* why its tokens were given up */
+    int rc; /* error of caller_send_tokens() */
 } run_reader_t;
 
 typedef enum { NEXT_DONE, NEXT_RETRY, NEXT_FAIL } next_t;
 
-/* ===== Small steps ===== */
+/* ===== Helpers ===== */
 
 static bool on_idle(void *arg)
 {
@@ -124,7 +124,7 @@
                               .priority = r->priority};
 }
 
-/** The baselines have no scheduler that frees engines: each entry cancels for itself. */
+/** Baseline policies have no scheduler that releases engines, so each entry cancels its own requests. */
 static void cancel_baseline(const placement_t *p, const engine_cfg_t *engine)
 {
     tc_err_t err = {0};
@@ -132,7 +132,7 @@
         (void)engine_cancel(engine->name, engine->url, p->engine_id, CANCEL_TIMEOUT_MS, &err);
 }
 
-/** The attempt is over without a whole answer. */
+/** Ends an attempt that did not complete the answer. @param failed name of the engine that failed, or "" */
 static void abort_attempt(attempt_t *at, const char *failed)
 {
     completion_t *const completion = at->completion;
@@ -155,7 +155,7 @@
     log_end(&line);
 }
 
-/** Whether the error says that the caller left or that the request is somebody else's now. */
+/** Whether the caller has disconnected or another entry owns the request now. */
 static bool is_abandoned(const completion_t *completion)
 {
     return completion->caller.http.broken || atomic_load(&completion->inflight.lost);
@@ -166,7 +166,7 @@
 static void on_first_token(attempt_t *at)
 {
     at->token_seen = true;
-    at->unused_prefill_tokens = 0; /* decode uses the prefill result */
+    at->unused_prefill_tokens = 0; /* the decode engine has used the prefill result */
     update_phase(at, PHASE_DECODE);
     placer_report_progress(at->completion->entry, at->completion->request->id, &at->placement, PHASE_DECODE, 0, NULL,
                            "", false);
@@ -202,8 +202,8 @@
                              .next_token_timeout = TOKEN_GAP_TIMEOUT_MS};
 }
 
-/** Connections break and the engine keeps the stream: the rest is fetched from it, behind what this run brought, which
- * may be less than the caller has. As long as each connection brings something. */
+/** Resumes a stream whose connection broke: the engine keeps it, and reading continues after the last token of this
+ * run, which may be behind what the caller has. Stops when a connection delivers no token. */
 static int resume_broken_stream(run_reader_t *run_reader, int rc, tc_time_t timeout)
 {
     attempt_t *const at = run_reader->at;
@@ -217,7 +217,7 @@
     return rc;
 }
 
-/** Read a run from its start to its end. @param prefill NULL when the engine has the run already */
+/** Reads a run from its start to its end. @param prefill NULL when the run already exists on the engine */
 static int read_run(attempt_t *at, const engine_prefill_t *prefill, tc_time_t timeout)
 {
     run_reader_t run_reader = {.at = at, .rc = TC_OK};
@@ -236,7 +236,7 @@
     return rc;
 }
 
-/** What a decode that did not end well means. */
+/** Next step after a decode run that ended with @p rc. */
 static next_t next_after_decode(const attempt_t *at, int rc)
 {
     if (rc == TC_OK)
@@ -245,8 +245,8 @@
                                                                                                      : NEXT_RETRY;
 }
 
-/** Whether another decode engine may be tried with the same prefill result: no token came, and, if the request
- *  must not run twice, the first engine has seen nothing. */
+/** Whether another decode engine may be tried with the same prefill result: no token has arrived, and a request that
+ * must not run twice has not reached the first engine. */
 static bool may_replan(const attempt_t *at, int rc)
 {
     if (at->token_seen || is_abandoned(at->completion) || rc == TC_E_CONFLICT)
@@ -260,8 +260,8 @@
     if (at->placement.policy <= POLICY_LEAST_LOADED)
         return BASELINE_FIRST_TOKEN_TIMEOUT_MS;
     const tc_time_t since = tc_time_now() - at->begin;
-    const tc_time_t left = at->placement.est_ttft_ms > since ? at->placement.est_ttft_ms : 0;
-    return HANDOVER_TIMEOUT_BASE_MS + left / 2;
+    const tc_time_t estimate = at->placement.est_ttft_ms > since ? at->placement.est_ttft_ms : 0;
+    return HANDOVER_TIMEOUT_BASE_MS + estimate / 2;
 }
 
 static next_t decode(attempt_t *at, const engine_prefill_t *prefill)
@@ -271,12 +271,13 @@
     for (int replans = 0; rc < 0 && replans < REPLANS_MAX && may_replan(at, rc); replans++) {
         log_attempt_error(at, "handover_failed");
         const placer_request_t request = placer_request(completion);
-        const placement_t left = at->placement;
-        tc_err_t refused; /* the attempt fails on the engine, not on whoever refuses another */
+        const placement_t previous = at->placement;
+        tc_err_t refused; /* discarded: the attempt reports the engine's error, not the refusal of a replan */
         if (placer_replan(completion->entry, &request, &at->placement, &refused) < 0)
             break;
         counter_add(&c_replans, 1);
-        cancel_baseline(&left, &left.decode); /* known there by an id that goes with the placement */
+        /* The previous engine knows the run by the engine id of the previous placement. */
+        cancel_baseline(&previous, &previous.decode);
         update_phase(at, PHASE_TRANSFER);
         rc = read_run(at, prefill, first_token_timeout(at));
     }
@@ -289,7 +290,7 @@
 {
     at->completion->maybe_started = true;
     update_phase(at, PHASE_DECODE);
-    /* From the start, so that what the caller has and what comes fit together; places it has are not sent again. */
+    /* Reads from the start to compare the run with what the caller has; tokens that it has are not sent again. */
     return next_after_decode(at, read_run(at, NULL, HANDOVER_TIMEOUT_BASE_MS));
 }
 
@@ -309,8 +310,9 @@
     const engine_request_t request = engine_request(at, &at->placement.prefill);
     engine_prefill_t prefill = {0};
     const tc_time_t begin = tc_time_now();
-    const tc_time_t left = at->due > begin ? at->due - begin : 0;
-    const int rc = engine_prefill(&request, left + PREFILL_GRACE_MS, on_idle, completion, &prefill, &completion->err);
+    const tc_time_t remaining = at->due > begin ? at->due - begin : 0;
+    const int rc =
+        engine_prefill(&request, remaining + PREFILL_GRACE_MS, on_idle, completion, &prefill, &completion->err);
     completion->maybe_started = completion->maybe_started || (rc != TC_E_UNREACHABLE && rc != TC_E_FULL);
     if (rc < 0)
         return prefill_failed(at, rc);
@@ -324,7 +326,7 @@
     return next;
 }
 
-/** Which engine the last error is about: it is not chosen again at once. */
+/** Engine that the last error names, or "". The next attempt avoids it. */
 static const char *failed_engine(const attempt_t *at)
 {
     const completion_t *const completion = at->completion;
@@ -348,7 +350,7 @@
     return rc;
 }
 
-/** A second attempt has as much time as the first had, counted from its own beginning. */
+/** Each attempt has the full time to its first token. A retry counts it from its own start. */
 static attempt_t begin_attempt(completion_t *completion)
 {
     const caller_request_t *const r = completion->request;
@@ -380,14 +382,14 @@
 {
     if (is_abandoned(completion))
         return OUTCOME_CANCELLED;
-    /* Promise: "not run" only if no back end can have begun. */
-    /* A request sent before, perhaps through an entry that is gone, may have begun there. */
+    /* Guarantees that "not run" is reported only if no back end can have started. A resent request may have started
+     * through another entry, which may no longer exist. */
     return completion->maybe_started || completion->caller.n_tokens > 0 || completion->request->resend
                ? OUTCOME_UNKNOWN
                : OUTCOME_NOT_RUN;
 }
 
-/** Claim the id of a request that must not run twice. @return OUTCOME_OK or how it ends */
+/** Claims the id of a request that must not run twice. @return OUTCOME_OK, or the outcome of the request */
 static request_outcome_t claim(completion_t *completion)
 {
     msg_claim_ack_t ack = {0};
@@ -398,7 +400,8 @@
     completion->claimed = rc == TC_OK;
     if (rc == TC_OK)
         return OUTCOME_OK;
-    /* Taken by someone: it may run or have run. Not reachable: this box has sent nothing, so it has not run here. */
+    /* Conflict: another claim exists, so the request may run or have run. Otherwise this box has sent nothing, so the
+     * request has not run here. */
     return rc == TC_E_CONFLICT ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN;
 }
 
--- a/lib/request/control_client.c
+++ b/lib/request/control_client.c
@@ -22,17 +22,17 @@
 
 struct control_client {
     entry_t *entry;
-    uint32_t control_index;      /* which control box is asked */
-    char leader[CODEC_STR_SIZE]; /* address of the one that answered last; guarded by lock */
+    uint32_t control_index;      /* index of the control box in use */
+    char leader[CODEC_STR_SIZE]; /* address that calls go to; guarded by lock */
     pthread_mutex_t lock;
     bool beat_pending, fetch_pending, released;
     tc_time_t sent_at, next_beat;
     uint64_t members_version, cells_version;
-    json_t *config; /* the accepted configuration, to which patches are applied */
+    json_t *config; /* accepted configuration; patches apply to it */
     uint64_t version;
 };
 
-/* ===== Finding the leader ===== */
+/* ===== Leader address ===== */
 
 static void set_leader(control_client_t *c, const char *addr)
 {
@@ -59,12 +59,13 @@
 
 static void publish_config(control_client_t *c, uint64_t version)
 {
-    /* Promise: an accepted configuration never reverts. */
+    /* Invariant: an accepted configuration never reverts. */
     assert(version > c->version || c->version == 0);
     view_t *const view = view_copy(&c->entry->view);
     tc_err_t err = {0};
     if (view_set_config(view, version, c->config, &err) < 0) {
-        log_failure(LOG_ERROR, "config_refused", &err); /* a newer schema than ours: keep the old, and lag */
+        /* Newer schema than this build knows: keep the old configuration and fall behind. */
+        log_failure(LOG_ERROR, "config_refused", &err);
         view_release(view);
     } else {
         c->version = version;
@@ -95,7 +96,7 @@
     uint64_t version = c->version;
     for (uint32_t i = 0; i < ack->patches_n; i++) {
         if (ack->patches[i].version != version + 1)
-            continue; /* known already */
+            continue; /* already applied */
         json_t *const patch = json_loadb(ack->patches[i].text, ack->patches[i].text_n, 0, NULL);
         json_t *const next = merge_apply(c->config, patch);
         json_decref(patch);
@@ -119,7 +120,7 @@
         apply_full_config(c, ack);
     else
         apply_patches(c, ack);
-    c->next_beat = 0; /* say at once that we act on it */
+    c->next_beat = 0; /* report the new version without delay */
 }
 
 static void fetch(control_client_t *c, uint64_t newest)
@@ -133,9 +134,9 @@
     peer_call(c->entry->net, addr, MSG_FETCH, &message, FETCH_TIMEOUT_MS, on_fetch, c);
 }
 
-/* ===== Beats ===== */
+/* ===== Heartbeats ===== */
 
-/** Put news of boxes into a snapshot's list. */
+/** Merges the membership changes of a heartbeat reply into a snapshot. */
 static void merge_members(view_t *view, const msg_beat_ack_t *ack)
 {
     if (ack->members_all) {
@@ -174,9 +175,9 @@
     view_publish(&c->entry->view, view);
     c->members_version = ack->members_version;
     c->cells_version = ack->cells_version;
+    /* Shares, and the reports that a new scheduler waits for, depend on the live boxes. */
     if (members)
-        scheduler_configure(
-            c->entry->scheduler); /* shares, and whom a new scheduler waits for, follow the live boxes */
+        scheduler_configure(c->entry->scheduler);
     if (cells)
         entry_renew_now(c->entry);
 }
@@ -273,13 +274,14 @@
     const tc_time_t until = tc_time_now() + limit;
     enum { RETRY_PAUSE_MS = 50 };
     for (;;) {
-        const tc_time_t left = until - tc_time_now();
-        if (left <= 0)
+        const tc_time_t remaining = until - tc_time_now();
+        if (remaining <= 0)
             return tc_err_set(err, TC_E_TIMEOUT, "claim", c->leader, "no control leader answered in time");
-        const int rc = send_claim(c, &claim, left, ack, err);
+        const int rc = send_claim(c, &claim, remaining, ack, err);
         if (rc == TC_OK)
             return ack->won ? TC_OK : tc_err_set(err, TC_E_CONFLICT, "claim", ack->owner, "the id is taken");
-        /* Not ours for sure only if nobody took it in: otherwise a second claim would meet our own first. */
+        /* Retry only when no control box can have accepted the claim: otherwise a retry would conflict with our own
+         * first claim. */
         if (rc != TC_E_NOT_LEADER && rc != TC_E_UNREACHABLE)
             return rc;
         tc_time_sleep(RETRY_PAUSE_MS);
@@ -296,10 +298,10 @@
     msg_claim_ack_t ack;
     tc_err_t err = {0};
     if (peer_call_wait(c->entry->net, addr, MSG_CLAIM_END, &end, CLAIM_END_TIMEOUT_MS, MSG_CLAIM_ACK, &ack, &err) < 0)
-        log_failure(LOG_WARN, "claim_end_lost", &err); /* it stays "running": a resend is told outcome_unknown */
+        log_failure(LOG_WARN, "claim_end_lost", &err); /* the claim stays "running": a resend gets outcome_unknown */
 }
 
-/* ===== Life ===== */
+/* ===== Creation ===== */
 
 control_client_t *control_client_create(entry_t *entry)
 {
@@ -310,7 +312,7 @@
     c->entry = entry;
     c->config = json_object();
     pthread_mutex_init(&c->lock, NULL);
-    /* Boxes begin at different control boxes, so that a start of all does not fall on one. */
+    /* Entry boxes start with different control boxes, so that a simultaneous start does not overload one. */
     c->control_index = (uint32_t)(entry->incarnation % entry->settings->control_n);
     set_leader(c, entry->settings->control[c->control_index].peer);
     loop_add_tick(entry->loop, TICK_MS, on_tick, c);
--- a/lib/request/entry.c
+++ b/lib/request/entry.c
@@ -14,10 +14,17 @@
 
 /* ===== Constants ===== */
 
-/** A loop that did not run for this long has stood still: less than the lease of a request, more than any load makes.
- */
-enum { STALL_THRESHOLD_MS = 800, WATCHDOG_TICK_MS = 50, VERIFY_TIMEOUT_MS = 3000, VERIFY_POLL_MS = 5 };
-enum { WORKER_THREADS = 16, DRAIN_TICK_MS = 50, RENEW_TIMEOUT_MS = 400, CLOSE_GRACE_MS = 300 };
+enum {
+    STALL_THRESHOLD_MS = 800, /* a loop that has not run for this long means that the process was suspended: shorter
+                                 than the lease of a request, longer than any delay under load */
+    WATCHDOG_TICK_MS = 50,
+    VERIFY_TIMEOUT_MS = 3000,
+    VERIFY_POLL_MS = 5,
+    WORKER_THREADS = 16,
+    DRAIN_TICK_MS = 50,
+    RENEW_TIMEOUT_MS = 400,
+    CLOSE_GRACE_MS = 300 /* least time from the start of closing connections to the release of the cells */
+};
 
 COUNTER_DEFINE(c_stood_still, "counter", "trackcove_entry_stood_still_total", "Times this process stood still for long")
 COUNTER_DEFINE(c_renews, "counter", "trackcove_entry_renewals_total", "Renewals by count and digest")
@@ -45,9 +52,9 @@
     g_thread_pool_push(e->workers, job, NULL);
 }
 
-/* ===== Renewing ===== */
+/* ===== Lease renewal ===== */
 
-/** A renewal on its way. */
+/** A renewal that waits for its reply. */
 typedef struct {
     entry_t *entry;
     char cell[CODEC_STR_SIZE];
@@ -69,7 +76,7 @@
             inflight_mark_lost(&renewal->entry->inflight, ack->lost[i].id, ack->lost[i].attempt);
         }
         if (renewal->listed)
-            atomic_store(&renewal->entry->verifying, false); /* those lost are marked */
+            atomic_store(&renewal->entry->verifying, false); /* lost requests have been marked */
         if (ack->want_list)
             send_renewal(renewal->entry, renewal->cell, renewal->addr, renewal->epoch, true);
     }
@@ -128,9 +135,10 @@
             send_renewal(e, view->cells[i].cell, view->cells[i].peer_addr, view->cells[i].epoch, listed);
 }
 
-/* ===== Standing still =====
- * A process that was stopped for longer than a lease wakes with answers in its buffers that another entry may have
- * given meanwhile. Promise: no request is answered twice. So nothing is passed on until the schedulers were asked.
+/* ===== Suspension of the process =====
+ * A process that was suspended for longer than a lease resumes with answers in its buffers that another entry may have
+ * sent in the meantime. No request may be answered twice, so no token is forwarded until the schedulers have confirmed
+ * which requests this box still owns.
  */
 
 static void on_watchdog_tick(void *arg)
@@ -150,7 +158,7 @@
     const tc_time_t begin = tc_time_now();
     while (tc_time_now() - atomic_load(&e->last_loop_run) > STALL_THRESHOLD_MS || atomic_load(&e->verifying)) {
         if (tc_time_now() - begin > VERIFY_TIMEOUT_MS) {
-            inflight_mark_all_lost(&e->inflight); /* nobody could tell: they may be somebody else's */
+            inflight_mark_all_lost(&e->inflight); /* not confirmed in time: other entries may own them */
             atomic_store(&e->verifying, false);
             return;
         }
@@ -179,7 +187,7 @@
     tc_time_t last_step_at;
 } drain_t;
 
-static drain_t drain; /* one a process */
+static drain_t drain; /* one per process */
 
 static void on_drain_tick(void *arg)
 {
@@ -194,14 +202,14 @@
         log_int(&line, "active", atomic_load(&e->active));
         log_end(&line);
     }
-    /* Callers may still come with an answer of /v1/entries they keep: serve as long as that, and a beat. */
+    /* Callers may still use a cached /v1/entries response: serve until it expires, plus two heartbeats. */
     const tc_time_t serve_until = drain.begin + e->settings->answer_keep_ms + 2 * MEMBERS_HEARTBEAT_MS;
     if (now < serve_until)
         return;
     if (!drain.closing) {
         drain.closing = true;
         drain.last_step_at = now;
-        http_set_closing(true); /* the polite end of kept-alive connections: one answer at a time */
+        http_set_closing(true); /* each kept-alive connection closes after its next response */
     }
     const bool idle = atomic_load(&e->active) == 0 && now >= drain.last_step_at + CLOSE_GRACE_MS;
     const bool out_of_time = now >= drain.begin + e->settings->drain_limit_ms;
@@ -209,7 +217,7 @@
         drain.released = true;
         drain.last_step_at = now;
         scheduler_release(e->scheduler);
-        control_client_release(e->control); /* the next beat lets another box take our cells at once */
+        control_client_release(e->control); /* the next heartbeat lets another box take over the cells at once */
         return;
     }
     if (drain.released && now >= drain.last_step_at + 2 * MEMBERS_HEARTBEAT_MS)
@@ -226,7 +234,7 @@
     return tc_time_now() < atomic_load(&e->lease_until);
 }
 
-/* ===== Life ===== */
+/* ===== Creation ===== */
 
 entry_t *entry_create(loop_t *loop, const entry_settings_t *settings, tc_err_t *err)
 {
--- a/lib/request/entry.h
+++ b/lib/request/entry.h
@@ -1,5 +1,5 @@
 /** @file entry.h
- * An entry box: what its parts share, and its life.
+ * An entry box: the state that its parts share, its start and its planned stop.
  */
 #ifndef TRACKCOVE_REQUEST_ENTRY_H
 #define TRACKCOVE_REQUEST_ENTRY_H
@@ -22,27 +22,27 @@
 typedef struct scheduler scheduler_t;
 typedef struct reports reports_t;
 
-/** Shared by the parts of an entry box. Fields say which thread writes them. */
+/** Shared state of an entry box. Fields name the thread that writes them. */
 typedef struct {
     const entry_settings_t *settings;
     uint64_t incarnation;
     loop_t *loop;
     peer_net_t *net;
-    view_slot_t view; /**< written by the loop */
+    view_slot_t view; /**< written by the loop's thread */
     inflight_table_t inflight;
-    _Atomic tc_time_t lease_until;   /**< the configuration may be acted on until then; written by the loop */
-    _Atomic tc_time_t last_loop_run; /**< when the loop ran last: a gap means that this process stood still */
-    atomic_bool verifying;           /**< it stood still: what it holds may be somebody else's by now */
-    atomic_bool draining;            /**< a planned stop began */
-    atomic_uint active;              /**< callers being served */
-    budget_t budget;                 /**< for second attempts */
+    _Atomic tc_time_t lease_until;   /**< end of the configuration's lease; written by the loop's thread */
+    _Atomic tc_time_t last_loop_run; /**< last time the loop ran; a gap means that the process was suspended */
+    atomic_bool verifying;           /**< the process was suspended, and other entries may own its requests now */
+    atomic_bool draining;            /**< a planned stop has begun */
+    atomic_uint active;              /**< requests being served */
+    budget_t budget;                 /**< retry budget */
     control_client_t *control;
     scheduler_t *scheduler;
     reports_t *reports;
-    GThreadPool *workers; /**< small calls to backend servers: jobs are job_t */
+    GThreadPool *workers; /**< threads for short calls to backend servers; items are job_t */
 } entry_t;
 
-/** A small blocking job for entry_t.workers. */
+/** A short blocking job for entry_t.workers. */
 typedef struct {
     void (*run)(void *arg);
     void *arg;
@@ -50,25 +50,26 @@
 
 /* ===== Public functions ===== */
 
-/** Start an entry box. @return NULL with @p err */
+/** Starts an entry box. @p settings must outlive it. @return NULL with @p err set on failure */
 entry_t *entry_create(loop_t *loop, const entry_settings_t *settings, tc_err_t *err);
 
-/** Begin a planned stop: out of /v1/entries first, served on for as long as callers may keep the answer, then
- *  connections are closed politely, cells handed over, and the loop stopped. Any thread. */
+/** Begins a planned stop. The box leaves /v1/entries first and serves requests for as long as callers may cache that
+ * list; then it asks callers to close their connections, hands over its cells and stops the loop. Any thread. */
 void entry_drain(entry_t *entry);
 
-/** Tell every scheduler now, not at the next tick, all that this box holds, also when it is nothing: a cell has a new
- *  one, which waits for it. Loop's thread. */
+/** Sends every scheduler the full list of this box's requests now instead of at the next tick, even when it is empty:
+ * the new scheduler of a cell waits for it. Loop's thread. */
 void entry_renew_now(entry_t *entry);
 
-/** Run a small blocking job in a worker thread. */
+/** Runs a short blocking job in a worker thread. */
 void entry_run_job(entry_t *entry, void (*run)(void *arg), void *arg);
 
-/** Before a token is passed on: if this process stood still (stopped, or its machine paused), wait until the schedulers
- *  said which requests are still ours. Any thread but the loop's. */
+/** Call before a token is forwarded. After a suspension of the process (stopped, or its machine paused), blocks until
+ * the schedulers have confirmed which requests this box still owns, or for 3 s, after which all of them are marked
+ * lost. Any thread but the loop's. */
 void entry_wait_verified(entry_t *entry);
 
-/** Whether new work may be taken: a configuration whose lease runs. */
+/** Whether new requests may be accepted: the lease of the configuration has not expired. */
 bool entry_may_serve(const entry_t *entry);
 
 #endif
--- a/lib/request/inflight.c
+++ b/lib/request/inflight.c
@@ -12,7 +12,7 @@
     atomic_init(&table->count, 0);
 }
 
-/** With the lock held. */
+/** Call with the lock held. */
 static bool id_is_free(const inflight_table_t *table, const inflight_t *item)
 {
     const inflight_t *other;
@@ -77,7 +77,8 @@
 {
     uint32_t n = 0;
     pthread_mutex_lock(&table->lock);
-    const uint32_t capacity = atomic_load(&table->count) + 64; /* the count trails the list by a few */
+    /* The count is updated outside the lock and may lag the list by a few. */
+    const uint32_t capacity = atomic_load(&table->count) + 64;
     held_t *const list = calloc(capacity, sizeof(*list));
     if (!list)
         abort();
--- a/lib/request/inflight.h
+++ b/lib/request/inflight.h
@@ -1,5 +1,5 @@
 /** @file inflight.h
- * Requests whose callers this entry box holds: the ground for renewing their reservations.
+ * Table of the requests that this entry box is serving; their reservations are renewed from it.
  */
 #ifndef TRACKCOVE_REQUEST_INFLIGHT_H
 #define TRACKCOVE_REQUEST_INFLIGHT_H
@@ -15,14 +15,14 @@
 
 /* ===== Types ===== */
 
-/** One request; owned by the thread that serves it. */
+/** One request. Owned by the thread that serves it. */
 typedef struct {
     struct cds_list_head node;
     char id[CODEC_STR_SIZE];
     char cell[CODEC_STR_SIZE];
-    uint64_t content_hash; /* what is asked */
-    held_t held;           /* guarded by the table's lock */
-    atomic_bool lost;      /* somebody else has it now, or its lease lapsed: stop */
+    uint64_t content_hash; /* caller_request_t.content_hash */
+    held_t held;           /* state last reported; guarded by the table's lock */
+    atomic_bool lost;      /* another entry owns it now, or its lease has expired: stop serving it */
 } inflight_t;
 
 typedef struct {
@@ -35,24 +35,25 @@
 
 void inflight_init(inflight_table_t *table);
 
-/** Add @p item; an earlier one with the same id is marked lost, since the caller has come again.
- * @return false, and nothing is added, when the id is under way for another request */
+/** Adds @p item. An earlier request with the same id is marked lost, because the caller has resent it.
+ * @return false, with nothing added, when a request with the same id and other content is in flight */
 bool inflight_add(inflight_table_t *table, inflight_t *item);
 void inflight_remove(inflight_table_t *table, inflight_t *item);
 
-/** Say where the request stands now. */
+/** Records the current state of the request. */
 void inflight_update(inflight_table_t *table, inflight_t *item, const held_t *held);
 
-/** Count and digest of a cell's placed requests, as sched_digest has it. */
+/** Count of a cell's placed requests that are not lost, and the XOR of their sched_digest(). */
 void inflight_digest(inflight_table_t *table, const char *cell, uint32_t *count, uint64_t *digest);
 
-/** Copies of all requests of a cell, in a heap array for free(). @return how many */
+/** Copies the requests of a cell that are not lost to a heap array, which the caller frees with free().
+ * @return their number */
 uint32_t inflight_collect(inflight_table_t *table, const char *cell, held_t **held);
 
-/** Mark everything lost that was placed. */
+/** Marks all placed requests lost. */
 void inflight_mark_all_lost(inflight_table_t *table);
 
-/** Mark one attempt lost. */
+/** Marks one attempt of a request lost. */
 void inflight_mark_lost(inflight_table_t *table, const char *id, uint32_t attempt);
 
 #endif
--- a/lib/request/placer.c
+++ b/lib/request/placer.c
@@ -14,14 +14,14 @@
 
 enum {
     IDLE_INTERVAL_MS = 50,
-    REPLAN_TIMEOUT_MS = 300, /* well under the time a prefill result is kept */
-    REPLY_MARGIN_MS = 250,   /* the scheduler answers by the due time; the way back takes a moment more */
-    RETRY_PAUSE_MS = 40      /* pause before the next scheduler is looked for */
+    REPLAN_TIMEOUT_MS = 300, /* well below the time that engines hold a prefill result */
+    REPLY_MARGIN_MS = 250,   /* the scheduler replies by the deadline; allows for the reply's network delay */
+    RETRY_PAUSE_MS = 40      /* pause before the scheduler is looked up again */
 };
 
 /* ===== Waiting for the scheduler ===== */
 
-/** Shared by the waiting thread and the loop; freed by whoever is last. */
+/** A pending placement, shared by the waiting thread and the loop's thread. The last of the two frees it. */
 typedef struct {
     entry_t *entry;
     pthread_mutex_t lock;
@@ -30,7 +30,7 @@
     int rc;
     msg_placed_t placed;
     tc_err_t err;
-    placement_t target; /* whom a grant that comes too late is given back to */
+    placement_t target; /* scheduler to which a late grant is returned */
     char id[CODEC_STR_SIZE];
 } wait_t;
 
@@ -47,7 +47,7 @@
         peer_send(entry->net, p->scheduler, MSG_PROGRESS, progress);
 }
 
-/** The request's thread gave up: the scheduler must not keep a place for it. */
+/** Releases a placement that the request's thread no longer waits for. @param attempt 0: it may still be queued */
 static void release_placement(entry_t *entry, const char *id, const placement_t *target, uint32_t attempt)
 {
     msg_progress_t progress = {.attempt = attempt, .phase = PHASE_FAILED, .epoch = target->epoch};
@@ -91,7 +91,8 @@
     return w;
 }
 
-/** Whether the scheduler asked still holds its lease, as far as we know: a box that was cut off does not answer. */
+/** Whether the scheduler still holds its lease as far as this box knows. A partitioned box does not reply, so waiting
+ * for it would last until the timeout. */
 static bool lease_unchanged(entry_t *entry, const placement_t *target)
 {
     if (target->policy != POLICY_CELL)
@@ -103,7 +104,7 @@
     return same;
 }
 
-/** Wait for the answer. Frees @p w, now or when the answer comes. */
+/** Waits for the reply. Frees @p w, or leaves that to on_placed() when the wait is abandoned. */
 static int finish_wait(wait_t *w, placer_idle_fn_t on_idle, void *arg, msg_placed_t *placed, tc_err_t *err)
 {
     pthread_mutex_lock(&w->lock);
@@ -123,7 +124,7 @@
         char id[CODEC_STR_SIZE];
         codec_copy_string(id, sizeof(id), w->id);
         pthread_mutex_unlock(&w->lock);
-        release_placement(entry, id, &target, 0); /* it may still be queued */
+        release_placement(entry, id, &target, 0); /* the request may still be queued */
         if (!connected)
             return tc_err_set(err, TC_E_CANCELLED, "place", target.scheduler, "the caller is gone");
         return tc_err_set(err, TC_E_FENCED, "place", target.scheduler, "another box has the cell now");
@@ -138,7 +139,7 @@
 
 /* ===== Scheduled policies ===== */
 
-/** Take over what the scheduler chose. */
+/** Fills in the engines that the scheduler chose. */
 static int apply_placement(entry_t *entry, const char *id, const msg_placed_t *placed, placement_t *p, tc_err_t *err)
 {
     view_t *const view = view_acquire(&entry->view);
@@ -158,7 +159,7 @@
     sched_engine_id(p->engine_id, sizeof(p->engine_id), id, p->attempt);
     if (known)
         return TC_OK;
-    release_placement(entry, id, p, p->attempt); /* our configuration is behind the scheduler's */
+    release_placement(entry, id, p, p->attempt); /* the configuration here is older than the scheduler's */
     return tc_err_set(err, TC_E_NOT_FOUND, "place", placed->decode, "engine is not in our configuration yet");
 }
 
@@ -191,7 +192,7 @@
     return tc_err_set(err, TC_E_REFUSED, "place", p->scheduler, "%s", placed.reason);
 }
 
-/** Fill in whom to ask. @return false while nobody is known to hold the lease */
+/** Sets the scheduler to ask. @return false while no holder of the lease is known */
 static bool find_scheduler(entry_t *entry, placement_t *p)
 {
     if (p->policy == POLICY_SHARE) {
@@ -222,8 +223,8 @@
         int rc = TC_E_NOT_FOUND;
         if (find_scheduler(entry, p))
             rc = request_placement(entry, r, avoid, remaining, on_idle, arg, p, err);
-        /* Only what the scheduler itself said counts; whatever happened on the way, nothing was sent to an
-         * engine, so the next scheduler may be asked. */
+        /* Only a reply of the scheduler is final. After any other failure nothing was sent to an engine, so the next
+         * scheduler may be asked. */
         if (rc == TC_OK || rc == TC_E_REFUSED || rc == TC_E_CANCELLED)
             return rc;
         if (on_idle && !on_idle(arg))
@@ -234,7 +235,7 @@
 
 /* ===== Baselines ===== */
 
-/** How full an engine looks in its last report; smaller is better. */
+/** Load of an engine by its last report; lower is better. 0 without a report. */
 static double load_score(entry_t *entry, const engine_cfg_t *e)
 {
     engine_load_t load;
@@ -253,7 +254,7 @@
         if (e->role != role || strcmp(e->model, model) != 0 || strcmp(e->name, avoid) == 0 ||
             view_is_leaving(view, e->name))
             continue;
-        const double value = (by_load ? load_score(entry, e) : 0) + g_random_double() * 0.5; /* ties fall by chance */
+        const double value = (by_load ? load_score(entry, e) : 0) + g_random_double() * 0.5; /* breaks ties at random */
         if (best && value >= best_value)
             continue;
         best = e;
--- a/lib/request/reports.c
+++ b/lib/request/reports.c
@@ -9,8 +9,8 @@
 /* ===== Constants ===== */
 
 enum {
-    PLATFORM_LIST_INTERVAL_MS = 1000, /* platform list; a leaving server must get no new work after a few seconds */
-    LOAD_INTERVAL_MS = 250,           /* engines' load, only for the baseline policies */
+    PLATFORM_LIST_INTERVAL_MS = 1000, /* a leaving server must get no new work after a few seconds */
+    LOAD_INTERVAL_MS = 250,           /* polled under the baseline policies only */
     CALL_TIMEOUT_MS = 800,
     LOOP_INTERVAL_MS = 50
 };
@@ -62,7 +62,7 @@
         body = json_loadb(result.body ? result.body : "", result.body_size, 0, NULL);
     free(result.body);
     const json_t *const names = json_object_get(body, "leaving");
-    if (json_is_array(names)) { /* no list is no news: what we know stays */
+    if (json_is_array(names)) { /* without a valid list the last one stays in force */
         leaving_t *const l = calloc(1, sizeof(*l));
         if (!l)
             abort();
@@ -80,7 +80,7 @@
     json_decref(body);
 }
 
-/* ===== Loads ===== */
+/* ===== Engine load ===== */
 
 typedef struct {
     reports_t *reports;
@@ -125,7 +125,7 @@
     return found != NULL;
 }
 
-/* ===== Life ===== */
+/* ===== Polling thread ===== */
 
 static void *run(void *arg)
 {
--- a/lib/request/reports.h
+++ b/lib/request/reports.h
@@ -1,5 +1,5 @@
 /** @file reports.h
- * What others report, late: the platform's list of leaving servers, and engines' load for the baseline policies.
+ * Polling of the platform's list of leaving servers and, for the baseline policies, of engine load.
  */
 #ifndef TRACKCOVE_REQUEST_REPORTS_H
 #define TRACKCOVE_REQUEST_REPORTS_H
@@ -7,10 +7,10 @@
 #include "backend/engine.h"
 #include "request/entry.h"
 
-/** Start the thread that asks. */
+/** Starts the polling thread. */
 reports_t *reports_create(entry_t *entry);
 
-/** Newest load report of an engine. @return false when there is none */
+/** Gets the latest load report of an engine. Any thread. @return false when there is none */
 bool reports_get_load(reports_t *reports, const char *engine, engine_load_t *load);
 
 #endif
--- a/lib/request/scheduler.c
+++ b/lib/request/scheduler.c
@@ -12,8 +12,8 @@
 
 enum {
     TICK_MS = 20,
-    POLL_INTERVAL_MS = 1000, /* engines' state pages */
-    POLL_JITTER_MS = 100,    /* so that polls of one cell do not stay in step */
+    POLL_INTERVAL_MS = 1000, /* interval between polls of an engine's state */
+    POLL_JITTER_MS = 100,    /* keeps polls of a cell's engines from synchronising */
     POLL_TIMEOUT_MS = 900,
     CANCEL_TIMEOUT_MS = 800
 };
@@ -26,7 +26,7 @@
 
 /* ===== Types ===== */
 
-/** One engine's polling. */
+/** Polling state of one engine. */
 typedef struct {
     char name[CODEC_STR_SIZE];
     bool pending;
@@ -37,9 +37,9 @@
     struct cds_list_head node;
     char cell[CODEC_STR_SIZE];
     uint64_t epoch;
-    bool share; /* our own part of the cell, not the leased whole */
+    bool share; /* this box's share under policy "share", not a leased cell */
     tc_time_t until;
-    bool suspended; /* the lease ran out: nothing is done until it is extended or somebody else's */
+    bool suspended; /* the lease has expired: no action until it is extended or granted to another box */
     sched_t *core;
     GArray *polls; /* poll_t */
 } hosted_cell_t;
@@ -77,7 +77,7 @@
     peer_reply_error(s->entry->net, call, &err);
 }
 
-/** Those who wait are told to ask the next holder of the lease. */
+/** Rejects all waiting requests, so that their entries ask the next holder of the lease. */
 static void reply_fenced_to_waiting(scheduler_t *s, hosted_cell_t *h)
 {
     sched_token_t token;
@@ -108,7 +108,7 @@
         const engine_cfg_t *const e = &view_config(view)->engines[i];
         if (strcmp(e->cell, h->cell) != 0)
             continue;
-        /* The first look at once: what engines hold for others must be known before anything is granted. */
+        /* Polls a new engine at once: the requests that it already holds must be known before anything is granted. */
         poll_t fresh = {.next = now};
         codec_copy_string(fresh.name, sizeof(fresh.name), e->name);
         for (guint k = 0; k < h->polls->len; k++) {
@@ -160,7 +160,7 @@
     host_shares(s);
 }
 
-/** Another box has the cell, or we under a later epoch: ours is over for good. */
+/** Drops a cell that was leased again under another epoch, to another box or to this one. */
 static void drop_superseded(scheduler_t *s, const cell_lease_t *cell)
 {
     hosted_cell_t *h, *next;
@@ -174,7 +174,7 @@
 {
     const tc_time_t now = tc_time_now();
     if (h->suspended && now < until) {
-        /* Nobody else had the cell, or the epoch would have grown: go on with what we know. */
+        /* The epoch is unchanged, so no other box held the cell meanwhile: the state here is still valid. */
         h->suspended = false;
         sched_resume(h->core, now);
         configure_cell(s, h, now);
@@ -217,8 +217,8 @@
     uint64_t epoch;
     char engine[CODEC_STR_SIZE];
     char url[CODEC_PATH_SIZE];
-    char engine_id[ENGINE_ID_SIZE]; /* cancel */
-    engine_state_t state;           /* poll */
+    char engine_id[ENGINE_ID_SIZE]; /* set for a cancel */
+    engine_state_t state;           /* result of a poll */
     int rc;
     tc_time_t started_at;
 } engine_job_t;
@@ -271,7 +271,7 @@
     return NULL;
 }
 
-/** Whether the engine is what the configuration wants it to be. */
+/** Whether the engine's role, model and version are those of the configuration. */
 static bool matches_config(const scheduler_t *s, const engine_job_t *job)
 {
     const engine_cfg_t *const cfg = view_engine(s->entry->view.current, job->engine);
@@ -359,7 +359,7 @@
 {
     sched_action_t action;
     if (h->suspended)
-        return; /* they are done when the lease is extended, or never */
+        return; /* deferred until the lease is extended, or dropped with the cell */
     while (sched_next_action(h->core, &action)) {
         if (action.kind == SCHED_ACT_ANSWER) {
             const peer_call_t call = {.connection = action.u.answer.token.a, .call = action.u.answer.token.b};
@@ -369,7 +369,7 @@
             continue;
         }
         engine_job_t *const job = make_job(s, h, action.u.cancel.engine);
-        if (!job) { /* gone from the configuration: whatever it holds is no longer ours to free */
+        if (!job) { /* no longer configured: this cell does not release its requests any more */
             sched_cancelled(h->core, action.u.cancel.engine, action.u.cancel.engine_id, true, tc_time_now());
             continue;
         }
@@ -381,7 +381,7 @@
 
 /* ===== Messages ===== */
 
-/** The core to ask, or NULL when this box may not act for the cell (any more). */
+/** The hosted cell, or NULL when this box does not hold a valid lease on it. */
 static hosted_cell_t *find_active(scheduler_t *s, const char *cell, uint64_t epoch, tc_time_t now)
 {
     hosted_cell_t *const h = find_hosted(s, cell, epoch);
@@ -454,7 +454,7 @@
     hosted_cell_t *h;
     cds_list_for_each_entry(h, &s->hosted, node) {
         if (now >= h->until && !h->suspended) {
-            h->suspended = true; /* another box may act from here on */
+            h->suspended = true; /* another box may act for the cell from now on */
             reply_fenced_to_waiting(s, h);
             log_hosting(h, "cell_suspended");
         }
@@ -466,7 +466,7 @@
     }
 }
 
-/* ===== Views and life ===== */
+/* ===== Status and creation ===== */
 
 uint32_t scheduler_collect_loads(scheduler_t *s, cell_load_t **loads)
 {
--- a/lib/request/service.c
+++ b/lib/request/service.c
@@ -17,13 +17,13 @@
 enum {
     ATTEMPTS_MAX = 3,
     CLAIM_TIMEOUT_MS = 1200,
-    EJECT_FIRST_MS = 1000, /* a worker that failed gets no calls for this long, doubling */
+    EJECT_FIRST_MS = 1000, /* ejection after the first failure; doubles with each further one */
     EJECT_MAX_MS = 30000,
     INITIAL_LATENCY_MS = 20,
     ID_MAX = 64
 };
 
-/** Weight of a new latency in the moving average. */
+/** Weight of a new sample in the moving average of the latency. */
 static const double LATENCY_EWMA_WEIGHT = 0.1;
 
 COUNTER_DEFINE(c_calls, "counter", "trackcove_service_calls_total", "Calls of plain services")
@@ -35,11 +35,11 @@
 
 /* ===== Workers ===== */
 
-/** What this box has seen of a worker. */
+/** Statistics of a worker, from the calls of this box. */
 typedef struct {
     uint32_t outstanding;
     double latency_ms;
-    uint32_t failures; /* in a row */
+    uint32_t failures; /* consecutive */
     tc_time_t ejected_until;
     availability_t availability;
 } worker_stats_t;
@@ -47,7 +47,7 @@
 static pthread_mutex_t stats_lock = PTHREAD_MUTEX_INITIALIZER;
 static GHashTable *stats_by_worker; /* worker name -> worker_stats_t */
 
-/** With the lock held. */
+/** Call with stats_lock held. */
 static worker_stats_t *get_stats(const char *worker)
 {
     if (!stats_by_worker)
@@ -61,14 +61,15 @@
     return stats;
 }
 
-/** The worker expected to answer first: by calls under way here and measured latency. */
+/** Chooses the worker with the lowest expected time to answer: outstanding calls of this box times the average latency.
+ */
 static bool choose_worker(const view_t *view, const service_cfg_t *service, const char *avoid, worker_cfg_t *chosen)
 {
     const tc_time_t now = tc_time_now();
     const worker_cfg_t *best = NULL;
     double best_cost = 0;
     pthread_mutex_lock(&stats_lock);
-    for (int pass = 0; pass < 2 && !best; pass++) { /* if all are ejected, any is better than none */
+    for (int pass = 0; pass < 2 && !best; pass++) { /* the second pass includes ejected workers */
         for (uint32_t i = 0; i < service->workers_n; i++) {
             const worker_cfg_t *const w = &service->workers[i];
             const worker_stats_t *const stats = get_stats(w->name);
@@ -133,7 +134,7 @@
     log_str(&line, "request", call->id);
     log_str(&line, "service", call->service->name);
     log_str(&line, "worker", worker);
-    log_str(&line, "reason", "fewest calls under way by latency");
+    log_str(&line, "reason", "lowest outstanding calls times latency");
     log_end(&line);
 }
 
@@ -164,7 +165,7 @@
     return answered ? TC_OK : rc;
 }
 
-/** Try workers until one answers, or none may be tried any more. */
+/** Tries workers until one answers or no further attempt is allowed. */
 static int try_workers(call_t *call)
 {
     char avoid[CODEC_STR_SIZE] = "";
@@ -179,7 +180,7 @@
         rc = call_worker(call, &worker);
         if (rc == TC_OK)
             return rc;
-        /* Promise: a call that may not be repeated is sent again only if nobody has seen a byte of it. */
+        /* Guarantees that a call that must not be repeated is resent only if no worker has received a byte of it. */
         if (!call->repeatable && rc != TC_E_UNREACHABLE)
             return rc;
         codec_copy_string(avoid, sizeof(avoid), worker.name);
--- a/lib/request/view.c
+++ b/lib/request/view.c
@@ -83,7 +83,7 @@
     atomic_init(&view->refs, 1);
     json_t *const empty = json_object();
     view->shared = make_config(empty, NULL);
-    assert(view->shared); /* every field of a configuration has a default */
+    assert(view->shared); /* every configuration field has a default, so an empty object is valid */
     json_decref(empty);
     slot->current = view;
 }
@@ -123,7 +123,7 @@
 {
     view_t *const old = slot->current;
     rcu_assign_pointer(slot->current, view);
-    urcu_bp_synchronize_rcu(); /* whoever read the old pointer has its reference now */
+    urcu_bp_synchronize_rcu(); /* all readers of the old pointer have taken their reference */
     view_release(old);
 }
 
@@ -162,7 +162,7 @@
     view->n_leaving = n;
 }
 
-/* ===== Questions ===== */
+/* ===== Lookups ===== */
 
 const engine_cfg_t *view_engine(const view_t *view, const char *name)
 {
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -1,17 +1,18 @@
-/* The answer that goes to a caller, as several runs bring it: each token once, and never the tokens of two answers. */
+/* Assembly of one response from several engine runs. A retry or a resumed stream delivers tokens again, split into
+ * other events: the caller must get each token once and never a mix of the tokens of two different answers. */
 
 #include <glib.h>
 
 #include "request/caller.h"
 
-/* ===== Lab ===== */
+/* ===== Fixture ===== */
 
 typedef struct {
     caller_request_t request;
     caller_t caller;
 } fixture_t;
 
-/** A caller who wants the answer in one piece: nothing goes out before its end. */
+/** Starts a response that is not streamed, so that nothing is written before its end. */
 static void fixture_init(fixture_t *fixture)
 {
     *fixture = (fixture_t){.request = {.id = "answer"}};
@@ -23,7 +24,7 @@
     caller_free(&fixture->caller);
 }
 
-/** Bring tokens of one letter each. */
+/** Delivers tokens of one letter each. */
 static int send_tokens(fixture_t *fixture, caller_cursor_t *run, const char *tokens, const char *finish)
 {
     return caller_send_tokens(&fixture->caller, run, run->position + (uint32_t)strlen(tokens), tokens, finish);
@@ -51,7 +52,7 @@
     fixture_free(&fixture);
 }
 
-/** Two runs of one answer, cut into events at every pair of places. */
+/** Two runs of the same answer, for every pair of positions at which they are split. */
 static void test_same_again(void)
 {
     static const char answer[] = "abcdefgh";
@@ -74,7 +75,7 @@
     }
 }
 
-/** A second run that differs at any place is refused there, and nothing of it goes out. */
+/** A second run that differs at any position is rejected there, and none of its text is sent. */
 static void test_other_tokens(void)
 {
     static const char answer[] = "abcdefgh";
@@ -95,7 +96,7 @@
     }
 }
 
-/** The same bytes, but in another number of tokens. */
+/** The same bytes in a different number of tokens are a different answer. */
 static void test_other_lengths(void)
 {
     fixture_t fixture;
@@ -109,7 +110,7 @@
     fixture_free(&fixture);
 }
 
-/** A run that ends before or behind where another one did is another answer, also when its tokens agree. */
+/** A run that ends at another position than an earlier run is a different answer, even when its tokens agree. */
 static void test_other_ends(void)
 {
     fixture_t fixture;
@@ -117,15 +118,15 @@
     fixture_init(&fixture);
     g_assert_cmpint(send_tokens(&fixture, &runs[0], "abcd", NULL), ==, TC_OK);
     g_assert_cmpint(send_tokens(&fixture, &runs[1], "ab", "stop"), ==, TC_E_CONFLICT);
-    g_assert_cmpint(send_tokens(&fixture, &runs[2], "abcd", "stop"), ==,
-                    TC_E_CONFLICT); /* the first said more would come */
+    /* The first run had no finish reason at this position. */
+    g_assert_cmpint(send_tokens(&fixture, &runs[2], "abcd", "stop"), ==, TC_E_CONFLICT);
     g_assert_cmpint(send_tokens(&fixture, &runs[0], "e", "stop"), ==, TC_OK);
     g_assert_cmpint(send_tokens(&fixture, &runs[3], "abcdef", NULL), ==, TC_E_CONFLICT);
     assert_sent(&fixture, "abcde");
     fixture_free(&fixture);
 }
 
-/** A run that ends without a last token did not bring the answer, whatever an earlier one had. */
+/** A run that ends without a last token is incomplete, even when an earlier run was complete. */
 static void test_not_whole(void)
 {
     fixture_t fixture;
@@ -139,7 +140,7 @@
     fixture_free(&fixture);
 }
 
-/** A caller who has the answer up to a place within an event cannot be given the rest of that event. */
+/** When the caller's last event ends within an event of the run, the rest of that event cannot be sent. */
 static void test_last_event_within(void)
 {
     fixture_t fixture;
@@ -152,7 +153,8 @@
     fixture_free(&fixture);
 }
 
-/** Whoever goes on behind a caller's last event has the same text up to there, or is refused where it ends. */
+/** A run that continues after the caller's last event must have the same text up to it; otherwise it is rejected there.
+ */
 static void test_last_event_of_another_answer(void)
 {
     fixture_t first, second;
@@ -163,7 +165,7 @@
     fixture_free(&first);
     static const char *const texts[] = {"abc", "abd", "xbc"};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-        for (size_t cut = 0; cut < 3; cut++) { /* however the text is cut into events */
+        for (size_t cut = 0; cut < 3; cut++) { /* for every split of the text into events */
             fixture_init(&second);
             second.request.stream = true;
             second.request.last_event = 3;
@@ -179,7 +181,7 @@
     }
 }
 
-/** An answer that ends before a caller's last event is not the one the caller has. */
+/** An answer that ends before the caller's last event is not the one that the caller has. */
 static void test_last_event_behind_the_end(void)
 {
     fixture_t fixture;
