--- a/tests/harness/fake_disk.c
+++ b/tests/harness/fake_disk.c
@@ -18,9 +18,9 @@
 
 void fake_disk_append(fake_disk_t *d, const log_entry_t *entry)
 {
-    if (d->n == d->room) {
-        d->room = d->room ? d->room * 2 : 64;
-        d->entries = realloc(d->entries, d->room * sizeof(*d->entries));
+    if (d->n == d->capacity) {
+        d->capacity = d->capacity ? d->capacity * 2 : 64;
+        d->entries = realloc(d->entries, d->capacity * sizeof(*d->entries));
         if (!d->entries)
             abort();
     }
--- a/tests/harness/fake_disk.h
+++ b/tests/harness/fake_disk.h
@@ -8,7 +8,7 @@
 
 typedef struct {
     log_entry_t *entries; /* index i + 1 lies at i, behind the snapshot */
-    uint32_t n, room;
+    uint32_t n, capacity;
     uint64_t term, vote;
     raft_image_t snapshot;
 } fake_disk_t;
--- a/tests/harness/raft_sim.c
+++ b/tests/harness/raft_sim.c
@@ -10,7 +10,14 @@
 
 /* ===== Types ===== */
 
-enum { NODES_MAX = 5, STEP_MS = 10, LINK_MAX = 4000, HEAL_STEPS = 1500, COMPACT_EVERY = 25, REQUESTS = 400 };
+enum {
+    NODES_MAX = 5,
+    STEP_MS = 10,
+    LINK_MAX_PACKETS = 4000,
+    HEAL_STEPS = 1500,
+    COMPACT_EVERY_ENTRIES = 25,
+    MAX_REQUESTS = 400
+};
 
 typedef struct {
     unsigned number;
@@ -39,14 +46,14 @@
     unsigned node;
     uint64_t index, term;
     unsigned request;
-} waiting_t;
+} pending_proposal_t;
 
 /** What the oracle knows of a request. */
 typedef struct {
     bool answered;
     int code;
     uint64_t version;
-} known_t;
+} request_outcome_t;
 
 typedef struct {
     raft_sim_options_t options;
@@ -54,11 +61,11 @@
     node_t nodes[NODES_MAX];
     tc_time_t now;
     GArray *link;    /* packet_t */
-    GArray *waiting; /* waiting_t */
-    bool cut[NODES_MAX][NODES_MAX];
+    GArray *pending; /* pending_proposal_t */
+    bool partitioned[NODES_MAX][NODES_MAX];
     bool healing;
     uint64_t next_id;
-    known_t requests[REQUESTS];
+    request_outcome_t requests[MAX_REQUESTS];
     unsigned next_request;
     GArray *accepted; /* request number by version - 1 */
     raft_sim_result_t result;
@@ -109,9 +116,9 @@
     state_destroy(n->state);
     n->raft = NULL;
     n->state = NULL;
-    for (guint i = 0; i < sim->waiting->len;) {
-        if (g_array_index(sim->waiting, waiting_t, i).node == n->number)
-            g_array_remove_index_fast(sim->waiting, i); /* its client will ask again */
+    for (guint i = 0; i < sim->pending->len;) {
+        if (g_array_index(sim->pending, pending_proposal_t, i).node == n->number)
+            g_array_remove_index_fast(sim->pending, i); /* its client will ask again */
         else
             i++;
     }
@@ -142,7 +149,7 @@
     }
 }
 
-static void learn_accepted(raft_sim_t *sim, uint64_t version, unsigned request)
+static void record_accepted(raft_sim_t *sim, uint64_t version, unsigned request)
 {
     const int none = -1;
     while (sim->accepted->len < version)
@@ -154,18 +161,18 @@
 }
 
 /** The client of a request is told its answer. */
-static void tell_client(raft_sim_t *sim, unsigned request, const result_t *result)
+static void record_client_result(raft_sim_t *sim, unsigned request, const result_t *result)
 {
-    known_t *const known = &sim->requests[request];
+    request_outcome_t *const outcome = &sim->requests[request];
     sim->result.checks++;
-    if (known->answered && (known->code != (int)result->code || known->version != result->version))
+    if (outcome->answered && (outcome->code != (int)result->code || outcome->version != result->version))
         report_violation(sim, "a resent request got another answer");
-    known->answered = true;
-    known->code = (int)result->code;
-    known->version = result->version;
+    outcome->answered = true;
+    outcome->code = (int)result->code;
+    outcome->version = result->version;
     if (result->code != TC_OK)
         return;
-    learn_accepted(sim, result->version, request);
+    record_accepted(sim, result->version, request);
     sim->result.accepted++;
 }
 
@@ -192,29 +199,29 @@
         packet.at +=
             choose(sim->chooser, 8) == 0 ? (tc_time_t)choose(sim->chooser, 300) : (tc_time_t)choose(sim->chooser, 5);
     }
-    if (sim->link->len >= LINK_MAX || (!sim->healing && once_in(sim->chooser, 30))) {
+    if (sim->link->len >= LINK_MAX_PACKETS || (!sim->healing && once_in(sim->chooser, 30))) {
         return; /* lost; the action still owns the message */
     }
     g_array_append_val(sim->link, packet);
     action->message = NULL;
 }
 
-static void applied(raft_sim_t *sim, node_t *n, const log_entry_t *entry)
+static void apply_entry(raft_sim_t *sim, node_t *n, const log_entry_t *entry)
 {
     result_t result;
     const uint64_t before = state_version(n->state);
     state_apply(n->state, entry->data, entry->data_n, &result);
     if (state_version(n->state) < before)
         report_violation(sim, "a version went back");
-    for (guint i = 0; i < sim->waiting->len;) {
-        const waiting_t wait = g_array_index(sim->waiting, waiting_t, i);
-        if (wait.node != n->number || wait.index != entry->index) {
+    for (guint i = 0; i < sim->pending->len;) {
+        const pending_proposal_t proposal = g_array_index(sim->pending, pending_proposal_t, i);
+        if (proposal.node != n->number || proposal.index != entry->index) {
             i++;
             continue;
         }
-        if (wait.term == entry->term)
-            tell_client(sim, wait.request, &result);
-        g_array_remove_index_fast(sim->waiting, i);
+        if (proposal.term == entry->term)
+            record_client_result(sim, proposal.request, &result);
+        g_array_remove_index_fast(sim->pending, i);
     }
     codec_free(&result_desc, &result);
     n->state_index = entry->index;
@@ -222,7 +229,7 @@
     check_history(sim, n);
 }
 
-static void act(raft_sim_t *sim, node_t *n, raft_action_t *action)
+static void run_action(raft_sim_t *sim, node_t *n, raft_action_t *action)
 {
     switch (action->kind) {
     case RAFT_ACT_META:
@@ -255,23 +262,23 @@
         break;
     case RAFT_ACT_APPLY:
         sync_node(sim, n);
-        applied(sim, n, &action->entry);
+        apply_entry(sim, n, &action->entry);
         break;
     case RAFT_ACT_LEADERSHIP_LOST: break;
     }
 }
 
-static void pump(raft_sim_t *sim, node_t *n)
+static void run_actions(raft_sim_t *sim, node_t *n)
 {
     raft_action_t action;
     while (n->raft && raft_next_action(n->raft, &action)) {
-        act(sim, n, &action);
+        run_action(sim, n, &action);
         raft_action_free(&action);
         if (!sim->healing && once_in(sim->chooser, 4000)) {
             n->crash_now = true; /* in the middle of its work: what is not synced is gone */
             return;
         }
-        if (n->since_snapshot < COMPACT_EVERY)
+        if (n->since_snapshot < COMPACT_EVERY_ENTRIES)
             continue;
         size_t size;
         char *const image = state_save(n->state, &size);
@@ -309,13 +316,13 @@
         snprintf(command.request_id, sizeof(command.request_id), "r%u", request);
         data = state_pack_command(&command, &size);
         const uint64_t term = raft_view(n->raft).term;
-        const waiting_t wait = {
+        const pending_proposal_t proposal = {
             .node = n->number, .index = raft_view(n->raft).last_index + 1, .term = term, .request = request};
-        g_array_append_val(sim->waiting, wait);
+        g_array_append_val(sim->pending, proposal);
         raft_propose(n->raft, data, size, sim->now);
         free(data);
         sim->result.operations++;
-        pump(sim, n);
+        run_actions(sim, n);
         return;
     }
 }
@@ -338,9 +345,9 @@
             i++;
             continue;
         }
-        if (to && to->raft && !sim->cut[packet.from_node][to->number]) {
+        if (to && to->raft && !sim->partitioned[packet.from_node][to->number]) {
             raft_receive(to->raft, packet.type, packet.message, sim->now);
-            pump(sim, to);
+            run_actions(sim, to);
         }
         if (twice) {
             g_array_index(sim->link, packet_t, i).at = sim->now + 1 + (tc_time_t)choose(sim->chooser, 400);
@@ -352,7 +359,7 @@
     }
 }
 
-static bool all_settled(const raft_sim_t *sim)
+static bool is_stable(const raft_sim_t *sim)
 {
     unsigned settled = 0;
     for (unsigned i = 0; i < sim->options.nodes; i++) {
@@ -370,9 +377,9 @@
 }
 
 /** A disk is replaced by an empty one, at a moment when all voters are there: also right after a repair. */
-static void lose_disk(raft_sim_t *sim, node_t *n)
+static void replace_disk(raft_sim_t *sim, node_t *n)
 {
-    if (!all_settled(sim))
+    if (!is_stable(sim))
         return;
     stop_node(sim, n);
     fake_disk_free(&n->synced);
@@ -390,7 +397,7 @@
     sim->result.crashes++;
 }
 
-static void disturb(raft_sim_t *sim)
+static void inject_fault(raft_sim_t *sim)
 {
     node_t *const n = &sim->nodes[choose(sim->chooser, sim->options.nodes)];
     const unsigned other = choose(sim->chooser, sim->options.nodes);
@@ -400,20 +407,20 @@
         if (n->raft)
             crash(sim, n);
         break;
-    case 1: sim->cut[n->number][other] = !sim->cut[n->number][other]; break;
+    case 1: sim->partitioned[n->number][other] = !sim->partitioned[n->number][other]; break;
     case 2: /* cut off whole, silently */
         for (unsigned i = 0; i < sim->options.nodes; i++)
-            sim->cut[n->number][i] = sim->cut[i][n->number] = true;
+            sim->partitioned[n->number][i] = sim->partitioned[i][n->number] = true;
         break;
     case 3:
-    case 4: memset(sim->cut, 0, sizeof(sim->cut)); break;
+    case 4: memset(sim->partitioned, 0, sizeof(sim->partitioned)); break;
     case 5: n->frozen_until = sim->now + (tc_time_t)choose(sim->chooser, 4000); break;
-    case 6: lose_disk(sim, n); break;
+    case 6: replace_disk(sim, n); break;
     default: /* a planned stop begins */
         if (!n->raft || n->frozen_until > sim->now)
             break;
         (void)raft_resign(n->raft, sim->now);
-        pump(sim, n);
+        run_actions(sim, n);
         break;
     }
 }
@@ -427,18 +434,18 @@
     if (!n->raft || n->frozen_until > sim->now)
         return;
     raft_tick(n->raft, sim->now);
-    pump(sim, n);
+    run_actions(sim, n);
     const bool placed = n->raft && raft_is_voter(n->raft, n->id) && raft_view(n->raft).leader != 0;
     if (!n->raft || placed || sim->now < n->join_at)
         return;
     n->join_at = sim->now + 200;
     for (unsigned i = 0; i < sim->options.nodes; i++) {
         node_t *const leader = &sim->nodes[i];
-        const bool reachable = leader->raft && leader->frozen_until <= sim->now && !sim->cut[n->number][i];
+        const bool reachable = leader->raft && leader->frozen_until <= sim->now && !sim->partitioned[n->number][i];
         if (!reachable || !raft_has_lease(leader->raft, sim->now))
             continue;
         raft_join(leader->raft, &n->self, sim->now);
-        pump(sim, leader);
+        run_actions(sim, leader);
     }
 }
 
@@ -453,7 +460,7 @@
 
 /* ===== Runs ===== */
 
-static void found(raft_sim_t *sim)
+static void bootstrap_cluster(raft_sim_t *sim)
 {
     for (unsigned i = 0; i < sim->options.nodes; i++) {
         node_t *const n = &sim->nodes[i];
@@ -462,31 +469,31 @@
         start_node(sim, n);
     }
     raft_bootstrap(sim->nodes[0].raft, &sim->nodes[0].self, sim->now);
-    pump(sim, &sim->nodes[0]);
+    run_actions(sim, &sim->nodes[0]);
     sim->healing = true; /* no faults until the cluster stands */
-    for (unsigned i = 0; i < 2000 && !all_settled(sim); i++) {
+    for (unsigned i = 0; i < 2000 && !is_stable(sim); i++) {
         step(sim);
         node_t *const founder = &sim->nodes[0];
         if (founder->raft && raft_view(founder->raft).last_index == 0) { /* it crashed before anything was synced */
             raft_bootstrap(founder->raft, &founder->self, sim->now);
-            pump(sim, founder);
+            run_actions(sim, founder);
         }
     }
     sim->healing = false;
-    if (!all_settled(sim))
+    if (!is_stable(sim))
         report_violation(sim, "the cluster did not come up");
 }
 
-static void disturbed_run(raft_sim_t *sim)
+static void run_with_faults(raft_sim_t *sim)
 {
     for (unsigned i = 0; i < sim->options.steps && !sim->result.violation && !chooser_empty(sim->chooser); i++) {
         step(sim);
-        if (once_in(sim->chooser, 6) && sim->next_request < REQUESTS)
+        if (once_in(sim->chooser, 6) && sim->next_request < MAX_REQUESTS)
             propose(sim, sim->next_request++);
         if (once_in(sim->chooser, 12) && sim->next_request > 0) /* an answer was lost: the operator asks again */
             propose(sim, choose(sim->chooser, sim->next_request));
         if (once_in(sim->chooser, 40))
-            disturb(sim);
+            inject_fault(sim);
     }
 }
 
@@ -516,24 +523,24 @@
     }
 }
 
-static void heal(raft_sim_t *sim)
+static void run_without_faults(raft_sim_t *sim)
 {
     sim->healing = true;
-    memset(sim->cut, 0, sizeof(sim->cut));
+    memset(sim->partitioned, 0, sizeof(sim->partitioned));
     for (unsigned i = 0; i < sim->options.nodes; i++) {
         sim->nodes[i].frozen_until = 0;
         sim->nodes[i].up_at = sim->now;
     }
     for (unsigned i = 0; i < HEAL_STEPS; i++)
         step(sim);
-    if (!all_settled(sim)) /* also while nothing is proposed */
+    if (!is_stable(sim)) /* also while nothing is proposed */
         report_violation(sim, "the cluster did not heal");
     /* Whoever lost an answer asks once more. */
     for (unsigned r = 0; r < sim->next_request; r += 7)
         propose(sim, r);
     for (unsigned i = 0; i < 200; i++)
         step(sim);
-    if (!all_settled(sim))
+    if (!is_stable(sim))
         report_violation(sim, "the cluster did not heal");
     check_end(sim);
 }
@@ -547,13 +554,13 @@
     sim->chooser = chooser;
     sim->now = 1000;
     sim->link = g_array_new(FALSE, FALSE, sizeof(packet_t));
-    sim->waiting = g_array_new(FALSE, FALSE, sizeof(waiting_t));
+    sim->pending = g_array_new(FALSE, FALSE, sizeof(pending_proposal_t));
     sim->accepted = g_array_new(FALSE, FALSE, sizeof(int));
-    found(sim);
+    bootstrap_cluster(sim);
     if (!sim->result.violation)
-        disturbed_run(sim);
+        run_with_faults(sim);
     if (!sim->result.violation)
-        heal(sim);
+        run_without_faults(sim);
     const raft_sim_result_t result = sim->result;
     for (unsigned i = 0; i < options->nodes; i++) {
         stop_node(sim, &sim->nodes[i]);
@@ -566,7 +573,7 @@
         free(p->message);
     }
     g_array_free(sim->link, TRUE);
-    g_array_free(sim->waiting, TRUE);
+    g_array_free(sim->pending, TRUE);
     g_array_free(sim->accepted, TRUE);
     free(sim);
     return result;
--- a/tests/random/test_raft_random.c
+++ b/tests/random/test_raft_random.c
@@ -51,7 +51,7 @@
 }
 
 /** Seed 68 crashed the founder between writing its term and its first entry: it could never found again. */
-static void test_crash_while_founding(void)
+static void test_crash_during_bootstrap(void)
 {
     g_assert_null(run(3, 3000, 68, false).violation);
 }
@@ -70,7 +70,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/raft/random/three", test_three);
     g_test_add_func("/raft/random/five", test_five);
-    g_test_add_func("/raft/random/crash-while-founding", test_crash_while_founding);
+    g_test_add_func("/raft/random/crash-during-bootstrap", test_crash_during_bootstrap);
     g_test_add_func("/raft/random/finds-missing-sync", test_finds_missing_sync);
     return g_test_run();
 }
--- a/tests/unit/test_planner.c
+++ b/tests/unit/test_planner.c
@@ -22,7 +22,8 @@
     return config;
 }
 
-static void hear(planner_t *p, const config_t *config, double prefill, double decode, uint64_t epoch, tc_time_t now)
+static void report_load(planner_t *p, const config_t *config, double prefill, double decode, uint64_t epoch,
+                        tc_time_t now)
 {
     cell_load_t load = {.epoch = epoch, .prefill_busy = prefill, .decode_busy = decode};
     codec_copy_string(load.cell, sizeof(load.cell), "main");
@@ -30,11 +31,11 @@
 }
 
 /** Report the same load for a while. @return when a move came, or -1 */
-static tc_time_t report(planner_t *p, const config_t *config, double prefill, double decode, tc_time_t from,
-                        tc_time_t to, planner_move_t *move)
+static tc_time_t report_until_move(planner_t *p, const config_t *config, double prefill, double decode, tc_time_t from,
+                                   tc_time_t to, planner_move_t *move)
 {
     for (tc_time_t now = from; now <= to; now += 100) {
-        hear(p, config, prefill, decode, 1, now);
+        report_load(p, config, prefill, decode, 1, now);
         if (planner_decide(p, config, move, now))
             return now;
     }
@@ -47,11 +48,12 @@
     planner_t *const p = planner_create();
     planner_move_t move;
     planner_reset(p, 0);
-    g_assert_cmpint(report(p, &config, 0.95, 0.3, 100, 4900, &move), ==, -1); /* minimum stay since the leader began */
-    g_assert_cmpint(report(p, &config, 0.95, 0.3, 5000, 9000, &move), ==, 5000); /* sustained already */
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 100, 4900, &move), ==,
+                    -1); /* minimum stay since the leader began */
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 5000, 9000, &move), ==, 5000); /* sustained already */
     g_assert_cmpint(move.to, ==, ROLE_PREFILL);
     g_assert_cmpstr(move.engine, ==, "d1");
-    g_assert_cmpint(report(p, &config, 0.95, 0.3, 5100, 9900, &move), ==, -1); /* minimum stay of the cell */
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 5100, 9900, &move), ==, -1); /* minimum stay of the cell */
     planner_destroy(p);
     codec_free(&config_desc, &config);
 }
@@ -62,10 +64,11 @@
     planner_t *const p = planner_create();
     planner_move_t move;
     planner_reset(p, 0);
-    g_assert_cmpint(report(p, &config, 0.95, 0.8, 100, 20000, &move), ==, -1);  /* the other role is not cold */
-    g_assert_cmpint(report(p, &config, 0.8, 0.1, 20100, 40000, &move), ==, -1); /* not hot */
-    for (tc_time_t now = 40100; now < 60000; now += 500) {                      /* never hot for long enough */
-        hear(p, &config, now / 500 % 2 ? 0.99 : 0.2, 0.2, 1, now);
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.8, 100, 20000, &move), ==,
+                    -1); /* the other role is not cold */
+    g_assert_cmpint(report_until_move(p, &config, 0.8, 0.1, 20100, 40000, &move), ==, -1); /* not hot */
+    for (tc_time_t now = 40100; now < 60000; now += 500) { /* never hot for long enough */
+        report_load(p, &config, now / 500 % 2 ? 0.99 : 0.2, 0.2, 1, now);
         g_assert_false(planner_decide(p, &config, &move, now));
     }
     planner_destroy(p);
@@ -78,28 +81,28 @@
     planner_t *const p = planner_create();
     planner_move_t move;
     planner_reset(p, 0);
-    g_assert_cmpint(report(p, &config, 0.95, 0.1, 100, 9000, &move), >=, 0);
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 100, 9000, &move), >=, 0);
     g_assert_cmpstr(move.engine, ==, "d0"); /* d1's hardware may not prefill */
     config.engines[2].role = ROLE_PREFILL;  /* d0 has moved: d1 is the last */
-    g_assert_cmpint(report(p, &config, 0.95, 0.1, 20000, 40000, &move), ==, -1);
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 20000, 40000, &move), ==, -1);
     planner_destroy(p);
     codec_free(&config_desc, &config);
 }
 
-static void test_old_news(void)
+static void test_stale_reports(void)
 {
     config_t config = make_config("");
     planner_t *const p = planner_create();
     planner_move_t move;
     planner_reset(p, 0);
-    hear(p, &config, 0.1, 0.1, 2, 6000);
+    report_load(p, &config, 0.1, 0.1, 2, 6000);
     for (tc_time_t now = 6100; now < 9000; now += 100) /* a scheduler whose lease is over */
-        hear(p, &config, 0.95, 0.1, 1, now);
+        report_load(p, &config, 0.95, 0.1, 1, now);
     g_assert_false(planner_decide(p, &config, &move, 9000));
-    g_assert_cmpint(report(p, &config, 0.95, 0.1, 9000, 9500, &move), ==, -1);
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 9000, 9500, &move), ==, -1);
     g_assert_false(planner_decide(p, &config, &move, 30000)); /* nothing heard for long */
     config.planner.enabled = false;
-    g_assert_cmpint(report(p, &config, 0.95, 0.1, 31000, 60000, &move), ==, -1);
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 31000, 60000, &move), ==, -1);
     planner_destroy(p);
     codec_free(&config_desc, &config);
 }
@@ -110,6 +113,6 @@
     g_test_add_func("/planner/moves", test_moves);
     g_test_add_func("/planner/hysteresis", test_hysteresis);
     g_test_add_func("/planner/last-of-role", test_last_of_role);
-    g_test_add_func("/planner/old-news", test_old_news);
+    g_test_add_func("/planner/stale-reports", test_stale_reports);
     return g_test_run();
 }
--- a/tests/unit/test_resign.c
+++ b/tests/unit/test_resign.c
@@ -9,7 +9,7 @@
 
 typedef struct {
     raft_t *raft[MEMBERS];
-    bool cut[MEMBERS]; /* hears and says nothing */
+    bool partitioned[MEMBERS]; /* hears and says nothing */
 } fixture_t;
 
 static void set_up(fixture_t *f, gconstpointer data)
@@ -38,7 +38,7 @@
 }
 
 /** Pass messages on until there are none. */
-static void settle(fixture_t *f, tc_time_t now)
+static void deliver_all(fixture_t *f, tc_time_t now)
 {
     bool quiet = false;
     while (!quiet) {
@@ -48,7 +48,7 @@
             while (raft_next_action(f->raft[i], &action)) {
                 quiet = false;
                 const int to = (int)action.to - 1;
-                if (action.kind == RAFT_ACT_SEND && !f->cut[i] && !f->cut[to])
+                if (action.kind == RAFT_ACT_SEND && !f->partitioned[i] && !f->partitioned[to])
                     raft_receive(f->raft[to], action.type, action.message, now);
                 raft_action_free(&action);
             }
@@ -74,7 +74,7 @@
 {
     const tc_time_t now = RAFT_ELECTION_MAX_MS + 1;
     raft_tick(f->raft[0], now);
-    settle(f, now);
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), ==, 0);
     return now;
 }
@@ -86,23 +86,23 @@
     g_assert_false(raft_resign(f->raft[1], now));
     g_assert_true(raft_resign(f->raft[0], now));
     g_assert_cmpint(leader(f, now), ==, -1); /* it leads no more before anybody else can */
-    settle(f, now);
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), >, 0);
 }
 
 /** The member that is to stand is cut off: the others elect in the usual way. */
-static void test_lost_word(fixture_t *f, gconstpointer data)
+static void test_lost_yield(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const tc_time_t now = elect(f);
-    f->cut[1] = f->cut[2] = true;
+    f->partitioned[1] = f->partitioned[2] = true;
     g_assert_true(raft_resign(f->raft[0], now));
-    settle(f, now);
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), ==, -1);
-    f->cut[1] = f->cut[2] = false;
+    f->partitioned[1] = f->partitioned[2] = false;
     const tc_time_t later = now + RAFT_ELECTION_MAX_MS + 1;
     raft_tick(f->raft[2], later);
-    settle(f, later);
+    deliver_all(f, later);
     g_assert_cmpint(leader(f, later), ==, 2);
 }
 
@@ -111,7 +111,7 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/resign/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("successor-leads-at-once", test_successor_leads_at_once);
-    TEST("lost-word", test_lost_word);
+    TEST("lost-yield", test_lost_yield);
 #undef TEST
     return g_test_run();
 }
--- a/tests/unit/test_snapshot_pieces.c
+++ b/tests/unit/test_snapshot_pieces.c
@@ -8,71 +8,71 @@
 #include "common/codec.h"
 #include "control/raft.h"
 
-enum { SELF = 1, LEADERS = 3, SNAPSHOTS = 2, PIECE = 64, ROUNDS = 400, STEPS = 120 };
+enum { SELF = 1, LEADERS = 3, SNAPSHOTS_PER_LEADER = 2, PIECE_BYTES = 64, ROUNDS = 400, STEPS = 120 };
 
 /** A snapshot as one leader sends it. */
 typedef struct {
     uint64_t term, from, last_index;
-    char state[PIECE * 8];
+    char state[PIECE_BYTES * 8];
     char *packed;
     size_t size;
-} sent_t;
+} leader_snapshot_t;
 
 typedef struct {
     GRand *random;
     raft_t *raft;
     int length; /* of all states: pieces of two would make one of the right length */
-    sent_t sent[LEADERS][SNAPSHOTS];
+    leader_snapshot_t sent[LEADERS][SNAPSHOTS_PER_LEADER];
     uint64_t next_offset; /* as the last answer names it */
     uint64_t answered_index;
     bool done;
-    const sent_t *installed;
-} world_t;
+    const leader_snapshot_t *installed;
+} fixture_t;
 
-static void make_snapshot(world_t *w, int leader, int n)
+static void make_snapshot(fixture_t *f, int leader, int n)
 {
-    sent_t *const s = &w->sent[leader][n];
+    leader_snapshot_t *const s = &f->sent[leader][n];
     s->term = (uint64_t)leader + 2;
     s->from = (uint64_t)leader + 2;
     /* Leaders of different terms have snapshots of the same index, whose bytes differ as members may. */
     s->last_index = (uint64_t)n * 10 + 10;
-    for (int i = 0; i < w->length; i++) /* which one, and where in it */
-        s->state[i] = (char)(i % 2 ? 'a' + leader * SNAPSHOTS + n : '!' + i / 2 % PIECE);
+    for (int i = 0; i < f->length; i++) /* which one, and where in it */
+        s->state[i] = (char)(i % 2 ? 'a' + leader * SNAPSHOTS_PER_LEADER + n : '!' + i / 2 % PIECE_BYTES);
     const raft_image_t image = {
-        .last_index = s->last_index, .last_term = 1, .state = s->state, .state_n = (uint32_t)w->length};
+        .last_index = s->last_index, .last_term = 1, .state = s->state, .state_n = (uint32_t)f->length};
     s->packed = codec_pack_bytes(&raft_image_desc, &image, &s->size);
 }
 
-static void check_installed(world_t *w, const raft_image_t *image)
+static void check_installed(fixture_t *f, const raft_image_t *image)
 {
-    const sent_t *found = NULL;
+    const leader_snapshot_t *found = NULL;
     for (int leader = 0; leader < LEADERS; leader++)
-        for (int n = 0; n < SNAPSHOTS; n++)
-            if (strcmp(w->sent[leader][n].state, image->state) == 0 &&
-                w->sent[leader][n].last_index == image->last_index)
-                found = &w->sent[leader][n];
+        for (int n = 0; n < SNAPSHOTS_PER_LEADER; n++)
+            if (strcmp(f->sent[leader][n].state, image->state) == 0 &&
+                f->sent[leader][n].last_index == image->last_index)
+                found = &f->sent[leader][n];
     g_assert_nonnull(found); /* no snapshot is put together from two */
-    g_assert_true(!w->installed || found->last_index > w->installed->last_index);
-    w->installed = found;
+    g_assert_true(!f->installed || found->last_index > f->installed->last_index);
+    f->installed = found;
 }
 
-static void take_actions(world_t *w)
+static void run_actions(fixture_t *f)
 {
     raft_action_t action;
-    while (raft_next_action(w->raft, &action)) {
+    while (raft_next_action(f->raft, &action)) {
         if (action.kind == RAFT_ACT_SNAPSHOT)
-            check_installed(w, &action.snapshot);
+            check_installed(f, &action.snapshot);
         if (action.kind == RAFT_ACT_SEND && action.type == MSG_SNAPSHOT_ACK) {
             const msg_snapshot_ack_t *const ack = action.message;
-            w->next_offset = ack->next_offset;
-            w->answered_index = ack->last_index;
-            w->done = ack->done;
+            f->next_offset = ack->next_offset;
+            f->answered_index = ack->last_index;
+            f->done = ack->done;
         }
         raft_action_free(&action);
     }
 }
 
-static void give_piece(world_t *w, const sent_t *s, size_t offset)
+static void deliver_piece(fixture_t *f, const leader_snapshot_t *s, size_t offset)
 {
     const size_t left = s->size - offset;
     const msg_snapshot_t piece = {.term = s->term,
@@ -83,68 +83,68 @@
                                   .to = SELF,
                                   .from = s->from,
                                   .data = s->packed + offset,
-                                  .data_n = (uint32_t)MIN(left, PIECE)};
-    raft_receive(w->raft, MSG_SNAPSHOT, &piece, 0);
-    take_actions(w);
+                                  .data_n = (uint32_t)MIN(left, PIECE_BYTES)};
+    raft_receive(f->raft, MSG_SNAPSHOT, &piece, 0);
+    run_actions(f);
 }
 
-static sent_t *any_snapshot(world_t *w)
+static leader_snapshot_t *random_snapshot(fixture_t *f)
 {
-    return &w->sent[g_rand_int_range(w->random, 0, LEADERS)][g_rand_int_range(w->random, 0, SNAPSHOTS)];
+    return &f->sent[g_rand_int_range(f->random, 0, LEADERS)][g_rand_int_range(f->random, 0, SNAPSHOTS_PER_LEADER)];
 }
 
 /** Pieces as they may come: the one that the member asks for, or any again. */
-static void play(world_t *w)
+static void receive_random_pieces(fixture_t *f)
 {
-    sent_t *s = any_snapshot(w);
+    leader_snapshot_t *s = random_snapshot(f);
     for (int step = 0; step < STEPS; step++) {
-        if (g_rand_int_range(w->random, 0, 8) == 0)
-            s = any_snapshot(w);
-        const bool goes_on = w->answered_index == s->last_index && w->next_offset < s->size;
-        const size_t pieces = (s->size + PIECE - 1) / PIECE;
-        const bool again = g_rand_int_range(w->random, 0, 6) == 0;
+        if (g_rand_int_range(f->random, 0, 8) == 0)
+            s = random_snapshot(f);
+        const bool goes_on = f->answered_index == s->last_index && f->next_offset < s->size;
+        const size_t pieces = (s->size + PIECE_BYTES - 1) / PIECE_BYTES;
+        const bool again = g_rand_int_range(f->random, 0, 6) == 0;
         if (again || !goes_on)
-            give_piece(w, s, (size_t)g_rand_int_range(w->random, 0, (gint32)pieces) * PIECE);
+            deliver_piece(f, s, (size_t)g_rand_int_range(f->random, 0, (gint32)pieces) * PIECE_BYTES);
         else
-            give_piece(w, s, w->next_offset);
+            deliver_piece(f, s, f->next_offset);
     }
 }
 
 /** The newest leader sends its newest snapshot in order: it is installed, whatever came before. */
-static void finish(world_t *w)
+static void install_last(fixture_t *f)
 {
-    const sent_t *const last = &w->sent[LEADERS - 1][SNAPSHOTS - 1];
-    w->done = false;
-    for (size_t offset = 0; offset < last->size; offset += PIECE) {
-        give_piece(w, last, offset);
-        g_assert_cmpuint(w->answered_index, ==, last->last_index);
+    const leader_snapshot_t *const last = &f->sent[LEADERS - 1][SNAPSHOTS_PER_LEADER - 1];
+    f->done = false;
+    for (size_t offset = 0; offset < last->size; offset += PIECE_BYTES) {
+        deliver_piece(f, last, offset);
+        g_assert_cmpuint(f->answered_index, ==, last->last_index);
     }
-    g_assert_true(w->done);
-    g_assert_cmpuint(w->installed->last_index, ==, last->last_index);
+    g_assert_true(f->done);
+    g_assert_cmpuint(f->installed->last_index, ==, last->last_index);
 }
 
-static void play_round(guint32 seed)
+static void run_round(guint32 seed)
 {
-    world_t w = {.random = g_rand_new_with_seed(seed)};
-    w.length = g_rand_int_range(w.random, PIECE, (int)sizeof(w.sent[0][0].state));
+    fixture_t f = {.random = g_rand_new_with_seed(seed)};
+    f.length = g_rand_int_range(f.random, PIECE_BYTES, (int)sizeof(f.sent[0][0].state));
     for (int leader = 0; leader < LEADERS; leader++)
-        for (int n = 0; n < SNAPSHOTS; n++)
-            make_snapshot(&w, leader, n);
+        for (int n = 0; n < SNAPSHOTS_PER_LEADER; n++)
+            make_snapshot(&f, leader, n);
     const raft_start_t start = {.id = SELF};
-    w.raft = raft_create(&start, 0);
-    play(&w);
-    finish(&w);
-    raft_destroy(w.raft);
+    f.raft = raft_create(&start, 0);
+    receive_random_pieces(&f);
+    install_last(&f);
+    raft_destroy(f.raft);
     for (int leader = 0; leader < LEADERS; leader++)
-        for (int n = 0; n < SNAPSHOTS; n++)
-            free(w.sent[leader][n].packed);
-    g_rand_free(w.random);
+        for (int n = 0; n < SNAPSHOTS_PER_LEADER; n++)
+            free(f.sent[leader][n].packed);
+    g_rand_free(f.random);
 }
 
 static void test_in_any_order(void)
 {
     for (guint32 seed = 1; seed <= ROUNDS; seed++)
-        play_round(seed);
+        run_round(seed);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -92,7 +92,7 @@
 }
 
 /** Found by fuzzing: a founding command without a patch. */
-static void test_found_without_patch(void)
+static void test_initial_without_patch(void)
 {
     state_t *const s = state_create();
     g_assert_cmpint(run(s, COMMAND_KIND_FOUND, "f", "", NULL, 0), ==, TC_OK);
@@ -149,8 +149,8 @@
     state_destroy(s);
 }
 
-static void beat(members_t *m, const char *box, uint64_t incarnation, uint64_t version, bool released, tc_time_t now,
-                 int wanted)
+static void heartbeat(members_t *m, const char *box, uint64_t incarnation, uint64_t version, bool released,
+                      tc_time_t now, int wanted)
 {
     msg_beat_t message = {.version = version, .released = released};
     message.self.incarnation = incarnation;
@@ -163,21 +163,21 @@
     char lag[CODEC_STR_SIZE];
     members_t *const m = members_create();
     members_start_term(m, 0);
-    beat(m, "a", 5, 1, false, 100, TC_OK);
-    beat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* its former self */
-    beat(m, "b", 1, 2, false, 100, TC_OK);
+    heartbeat(m, "a", 5, 1, false, 100, TC_OK);
+    heartbeat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* its former self */
+    heartbeat(m, "b", 1, 2, false, 100, TC_OK);
     g_assert_false(members_in_force(m, 2, 4000, lag, 200)); /* leases of the former leader may run */
-    beat(m, "a", 5, 1, false, 3900, TC_OK);
-    beat(m, "b", 1, 2, false, 3900, TC_OK);
+    heartbeat(m, "a", 5, 1, false, 3900, TC_OK);
+    heartbeat(m, "b", 1, 2, false, 3900, TC_OK);
     g_assert_false(members_in_force(m, 2, 4000, lag, 4200));
     g_assert_cmpstr(lag, ==, "a");
     g_assert_true(members_in_force(m, 2, 4000, lag, 7900)); /* a's lease has run out: it cannot act on version 1 */
     g_assert_false(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS));
     g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS));
-    beat(m, "a", 5, 2, false, 7950, TC_OK);
+    heartbeat(m, "a", 5, 2, false, 7950, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 4, 7951)); /* the lease was its former self's */
     g_assert_false(members_holder_gone(m, "a", 5, 7951));
-    beat(m, "a", 5, 2, true, 8000, TC_OK);
+    heartbeat(m, "a", 5, 2, true, 8000, TC_OK);
     g_assert_true(members_holder_gone(m, "a", 5, 8001)); /* given up */
     members_tick(m, 8000 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     member_t *list;
@@ -185,7 +185,7 @@
     g_assert_cmpuint(members_list_changes(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
     g_assert_true(all);
     free(list);
-    beat(m, "c", 1, 2, false, 9600, TC_OK);
+    heartbeat(m, "c", 1, 2, false, 9600, TC_OK);
     const uint64_t seen = members_version(m);
     g_assert_cmpuint(members_list_changes(m, seen, &list, &all), ==, 0);
     g_assert_false(all);
@@ -217,7 +217,7 @@
     g_test_add_func("/state/race", test_race);
     g_test_add_func("/state/resend", test_resend);
     g_test_add_func("/state/refuses", test_refuses);
-    g_test_add_func("/state/found-without-patch", test_found_without_patch);
+    g_test_add_func("/state/initial-without-patch", test_initial_without_patch);
     g_test_add_func("/state/rollback", test_rollback);
     g_test_add_func("/state/claims", test_claims);
     g_test_add_func("/members/leases", test_members);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -244,7 +244,7 @@
 
 /** Killed between writing a received snapshot and starting the segment behind it: the log of before, with @p kept of
  *  its records, ends before the snapshot does, and the next record is the one behind the snapshot. */
-static void snapshot_and_killed(uint64_t kept)
+static void check_kill_after_snapshot(uint64_t kept)
 {
     enum { INDEX = 20 };
     char *const other = g_dir_make_tmp("trackcove-store-XXXXXX", NULL);
@@ -275,10 +275,10 @@
     remove_dir();
 }
 
-static void test_killed_within_snapshot(void)
+static void test_killed_during_snapshot(void)
 {
     for (uint64_t kept = 0; kept <= ENTRIES; kept++)
-        snapshot_and_killed(kept);
+        check_kill_after_snapshot(kept);
 }
 
 /** A record whose text tells its index. */
@@ -350,6 +350,6 @@
     g_test_add_func("/store/full-snapshot", test_full_snapshot);
     g_test_add_func("/store/snapshot", test_snapshot);
     g_test_add_func("/store/torn-at-each-byte", test_torn_at_each_byte);
-    g_test_add_func("/store/killed-within-snapshot", test_killed_within_snapshot);
+    g_test_add_func("/store/killed-during-snapshot", test_killed_during_snapshot);
     return g_test_run();
 }
