--- a/lib/control/control.c
+++ b/lib/control/control.c
@@ -7,7 +7,7 @@
 #include "backend/http_client.h"
 #include "control/control_internal.h"
 
-/* ===== Time ===== */
+/* ===== Periodic work ===== */
 
 static void on_tick(void *arg)
 {
@@ -26,7 +26,7 @@
                                   "not accepted in time; the outcome is unknown: ask again with the same request id");
 }
 
-/* ===== From other threads ===== */
+/* ===== Calls from other threads ===== */
 
 typedef struct {
     control_t *control;
@@ -100,7 +100,7 @@
     loop_post_wait(c->loop, run_read, &request);
 }
 
-/* ===== Life ===== */
+/* ===== Creation and shutdown ===== */
 
 static int fill_self(control_t *c, uint64_t id, tc_err_t *err)
 {
@@ -114,7 +114,7 @@
         codec_copy_string(c->self.http, sizeof(c->self.http), s->voters[i].http);
         return TC_OK;
     }
-    return tc_err_set(err, TC_E_INVALID, "read settings", "voters", "this box, %s, is not among them", s->box);
+    return tc_err_set(err, TC_E_INVALID, "read settings", "voters", "do not list this box, %s", s->box);
 }
 
 control_t *control_create(loop_t *loop, const control_settings_t *settings, uint64_t incarnation, tc_err_t *err)
--- a/lib/control/control_join.c
+++ b/lib/control/control_join.c
@@ -1,4 +1,4 @@
-/* Becoming a member: joining, and founding a cluster when all others are empty. */
+/* Joining a cluster, and bootstrapping a new one when all other control boxes are empty. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 #include "common/log.h"
 #include "control/control_internal.h"
 
-/* ===== Joining and founding ===== */
+/* ===== Joining and bootstrapping ===== */
 
 static void on_bootstrap_reply(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
@@ -23,7 +23,7 @@
         return;
     c->bootstrapping = false;
     const raft_view_t view = raft_view(c->raft);
-    /* A founder whose disk was lost must not found a second cluster: all others have to be empty. */
+    /* A bootstrapping box that has lost its disk must not create a second cluster, so all others have to be empty. */
     if (c->bootstrap_empty == c->settings->voters_n - 1 && view.last_index == 0) {
         raft_bootstrap(c->raft, &c->self, tc_time_now());
         control_pump(c);
@@ -46,11 +46,12 @@
 void control_join_or_bootstrap(control_t *c, tc_time_t now)
 {
     const raft_view_t view = raft_view(c->raft);
-    /* A box that was silent for long may have lost its place to another and not know it: it hears no leader then. */
+    /* A box that was unreachable for long may have been replaced as a voter without knowing it. It then receives no
+     * messages of a leader. */
     if (now < c->join_at || (raft_is_voter(c->raft, c->self.id) && view.leader != 0))
         return;
     c->join_at = now + JOIN_INTERVAL_MS;
-    const bool empty = view.last_index == 0; /* a crash in the middle of founding leaves a term and no entry */
+    const bool empty = view.last_index == 0; /* a crash during bootstrap leaves a term but no entry */
     if (!empty || !c->settings->found_cluster) {
         call_other_voters(c, ignore_reply);
         return;
@@ -65,6 +66,6 @@
         on_bootstrap_reply(c, TC_E_NOT_FOUND, MSG_NONE, NULL, NULL);
         return;
     }
-    /* They take the question for a wish to join too, which an empty box does not grant. */
+    /* The call is also a join request, which an empty box ignores. */
     call_other_voters(c, on_bootstrap_reply);
 }
--- a/lib/control/control_lead.c
+++ b/lib/control/control_lead.c
@@ -1,4 +1,4 @@
-/* What only the leader does: cells, the planner's moves, engines' orders, what is in force. */
+/* Work of the leader: cell assignment, the planner's role changes, orders to engines, the version in force. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -10,14 +10,14 @@
 #include "common/log.h"
 #include "control/control_internal.h"
 
-/** Name of the planner's own plan; there is never more than one. */
+/** Name of the planner's own plan. At most one exists at a time. */
 #define PLANNER_PLAN "plan-of-the-planner"
 
 COUNTER_DEFINE(c_leader, "gauge", "trackcove_control_is_leader", "1 while this box leads")
 COUNTER_DEFINE(c_term, "gauge", "trackcove_control_term", "Term of the replicated log")
 COUNTER_DEFINE(c_in_force, "gauge", "trackcove_control_config_in_force", "Newest version in force everywhere")
 
-/* ===== Leading: cells, in force ===== */
+/* ===== Cell assignment ===== */
 
 static uint32_t count_cells(void *arg, const char *box)
 {
@@ -73,7 +73,7 @@
     }
 }
 
-/* ===== Leading: the planner's moves ===== */
+/* ===== The planner's role changes ===== */
 
 static void move_confirmed(void *arg, const result_t *result, const tc_err_t *err)
 {
@@ -82,7 +82,7 @@
     if (err)
         log_failure(LOG_WARN, "planner_move_lost", err);
     else if (result->code < 0)
-        c->move_pending = false; /* an operator was first: the planner looks again */
+        c->move_pending = false; /* an operator's change came first; the planner decides again */
 }
 
 static void move_planned(void *arg, const result_t *result, const tc_err_t *err)
@@ -112,7 +112,7 @@
     log_end(&line);
 }
 
-/** Planner's moves go the way of every change: planned, confirmed, in the history under its name. */
+/** Propose the planner's move as an ordinary plan and confirm it, so it is in the history with operator "planner". */
 static void run_planner(control_t *c, tc_time_t now)
 {
     planner_move_t move;
@@ -133,7 +133,7 @@
     control_propose(c, &plan, move_planned, c);
 }
 
-/* ===== Leading: engines' orders ===== */
+/* ===== Orders to engines ===== */
 
 typedef struct {
     control_t *control;
@@ -165,7 +165,7 @@
     loop_post_wait(request.control->loop, fill_orders_view, &request);
 }
 
-/* ===== Leading: the beginning ===== */
+/* ===== Initial configuration and periodic work ===== */
 
 static void on_initial_applied(void *arg, const result_t *result, const tc_err_t *err)
 {
@@ -174,12 +174,12 @@
         log_failure(LOG_ERROR, "found_failed", err);
     else if (result->code < 0 && result->code != TC_E_CONFLICT) {
         tc_err_t error;
-        tc_err_set(&error, (int)result->code, "found", NULL, "%s", result->detail);
+        tc_err_set(&error, (int)result->code, "propose initial configuration", NULL, "%s", result->detail);
         log_failure(LOG_ERROR, "found_failed", &error);
     }
 }
 
-/** The founder's first command: the initial configuration becomes version 1. */
+/** The first command of a new cluster: the initial configuration becomes version 1. */
 static void propose_initial_config(control_t *c)
 {
     gchar *text = NULL;
--- a/lib/control/control_log.c
+++ b/lib/control/control_log.c
@@ -1,4 +1,4 @@
-/* Proposals on their way through the replicated log, and what the log asks the data folder and the network to do. */
+/* Pending proposals, and the execution of the actions of the replicated log. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -54,7 +54,7 @@
     proposal_t *const p = calloc(1, sizeof(*p));
     if (!p)
         abort();
-    /* Entered before it is proposed: a cluster of one applies it at once. */
+    /* Added to the list before raft_propose: in a cluster of one the command is applied during the call. */
     *p = (proposal_t){.index = raft_view(c->raft).last_index + 1,
                       .term = raft_view(c->raft).term,
                       .deadline = now + PROPOSAL_TIMEOUT_MS,
@@ -62,7 +62,7 @@
                       .arg = arg};
     cds_list_add_tail(&p->node, &c->proposals);
     const int64_t index = raft_propose(c->raft, data, size, now);
-    assert(index == (int64_t)p->index); /* the log gives the next index */
+    assert(index == (int64_t)p->index); /* the log assigns the next index */
     (void)index;
     free(data);
     control_pump(c);
@@ -101,13 +101,13 @@
 void control_load_snapshot(control_t *c, const raft_image_t *image)
 {
     const int rc = state_load(c->state, image->state, image->state_n);
-    assert(rc == TC_OK); /* checked by its checksum, written by this code */
+    assert(rc == TC_OK); /* written by this code and protected by a checksum */
     (void)rc;
     c->state_index = image->last_index;
     counter_set(&c_version, (int64_t)state_version(c->state));
 }
 
-/** The part of an action that does not concern the disk. */
+/** Execute an action after log_writer_next has done its disk part. */
 static void run_action(control_t *c, const raft_action_t *action)
 {
     switch (action->kind) {
@@ -147,7 +147,7 @@
 
 void control_pump(control_t *c)
 {
-    static bool pumping; /* a proposal's end may propose again */
+    static bool pumping; /* guards against recursion: the callback of a proposal may propose again */
     if (pumping)
         return;
     pumping = true;
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -1,4 +1,4 @@
-/* Messages of entry boxes and other control boxes. */
+/* Handlers for messages from entry boxes and other control boxes. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -51,7 +51,7 @@
     }
     counter_add(&c_beats, 1);
     if (beat->released)
-        c->cells_at = now; /* its cells are handed on at once */
+        c->cells_at = now; /* reassign its cells without waiting for the next interval */
     for (uint32_t i = 0; i < beat->loads_n; i++)
         planner_update_load(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
     msg_beat_ack_t ack = {.term = raft_view(c->raft).term,
@@ -80,7 +80,7 @@
     codec_free(&msg_fetch_ack_desc, &ack);
 }
 
-/** A claim on its way through the log. */
+/** A call that waits until its claim is applied. */
 typedef struct {
     control_t *control;
     peer_call_t call;
@@ -146,7 +146,8 @@
         raft_join(c->raft, &join->member, now);
 }
 
-/** Whoever sent a message of the log is answered where the settings say that its box listens. */
+/** Store the peer address, from the settings, of the box that sent a message of the log. Replies go there while the
+ *  sender is not in this box's list of members. */
 static void remember_sender(control_t *c, const char *box, uint64_t id)
 {
     for (uint32_t i = 0; i < c->settings->voters_n && id != 0; i++)
@@ -166,7 +167,7 @@
     case MSG_JOIN: on_join(c, call, message, now); break;
     default:
         remember_sender(c, from, raft_sender(type, message));
-        if (!log_writer_is_stalled(c->writer)) /* as if it were lost on its way: no answer could leave */
+        if (!log_writer_is_stalled(c->writer)) /* dropped as if lost: no reply could be sent while the disk fails */
             raft_receive(c->raft, type, message, now);
         break;
     }
--- a/lib/control/log_writer.c
+++ b/lib/control/log_writer.c
@@ -10,11 +10,11 @@
 
 struct log_writer {
     store_t *store;
-    raft_action_t pending; /* not done yet */
+    raft_action_t pending; /* taken from the log, disk part not done yet */
     bool has_pending;
     bool stalled;
-    tc_time_t stalled_since; /* when the disk failed */
-    tc_time_t retry_at;      /* while stalled */
+    tc_time_t stalled_since; /* time of the first failed write */
+    tc_time_t retry_at;      /* time of the next retry, while stalled */
 };
 
 /* ===== Failing and recovering ===== */
@@ -45,7 +45,7 @@
 
 /* ===== Writing ===== */
 
-/** The part of an action that concerns the disk. */
+/** Execute the disk part of an action. */
 static int write_action(store_t *store, const raft_action_t *action, tc_err_t *err)
 {
     switch (action->kind) {
@@ -54,7 +54,7 @@
     case RAFT_ACT_TRUNCATE: return store_truncate(store, action->index, err);
     case RAFT_ACT_SNAPSHOT: return store_save_snapshot(store, &action->snapshot, err);
     case RAFT_ACT_SEND:
-    case RAFT_ACT_APPLY: return store_sync(store, err); /* promise: nothing is told or applied before it is synced */
+    case RAFT_ACT_APPLY: return store_sync(store, err); /* invariant: nothing is sent or applied before it is synced */
     case RAFT_ACT_LEADERSHIP_LOST: return TC_OK;
     }
     return TC_OK;
@@ -80,7 +80,7 @@
     return true;
 }
 
-/* ===== Looking ===== */
+/* ===== Queries ===== */
 
 bool log_writer_is_stalled(const log_writer_t *w)
 {
@@ -103,7 +103,7 @@
     return store_has_room(w->store);
 }
 
-/* ===== Life ===== */
+/* ===== Creation and destruction ===== */
 
 log_writer_t *log_writer_create(store_t *store)
 {
--- a/lib/control/log_writer.h
+++ b/lib/control/log_writer.h
@@ -1,15 +1,15 @@
 /** @file log_writer.h
- * Carries out what the replicated log asks of the data folder, and goes on after the disk has failed.
+ * Executes the disk part of the replicated log's actions and recovers from disk failures.
  *
- * The log's actions must be done in order, and what one of them writes must be
- * synced before a later one is sent or applied. When a write fails (the disk is
- * full, or breaks), the action stays at the head of the queue and nothing behind
- * it is handed out: the box neither answers nor applies what it has not on disk.
- * The write is tried again every LOG_WRITER_RETRY_MS, from where it stopped.
+ * Actions are executed in order, and what an action writes is synced before a
+ * later one is sent or applied. When a write fails (disk full or I/O error), the
+ * action stays at the head of the queue and no later one is returned, so the box
+ * neither sends nor applies anything that is not on disk. The write is retried
+ * every LOG_WRITER_RETRY_MS and continues where it stopped.
  *
- * While log_writer_is_stalled, its shell must act as if it were cut off from the
- * other members: not lead, and feed the log no time and no messages, since their
- * answers could not leave.
+ * While log_writer_is_stalled, the caller must behave as if partitioned from the
+ * other members: it must not act as leader, and must not call raft_tick or
+ * raft_receive, since no reply could be sent.
  */
 #ifndef TRACKCOVE_CONTROL_LOG_WRITER_H
 #define TRACKCOVE_CONTROL_LOG_WRITER_H
@@ -21,7 +21,7 @@
 
 /* ===== Constants ===== */
 
-/** Between tries while the disk fails: well under an election, and a failed write costs next to nothing. */
+/** Interval of retries while the disk fails: well below the election timeout, and a failed write is cheap. */
 #define LOG_WRITER_RETRY_MS 200
 
 /* ===== Types ===== */
@@ -30,26 +30,26 @@
 
 /* ===== Public functions ===== */
 
-/** @param store taken over */
+/** @param store owned by the writer from now on */
 log_writer_t *log_writer_create(store_t *store);
 void log_writer_destroy(log_writer_t *writer);
 
-/** The next action of the log, once its part on disk is done and synced as far as the action needs it.
- * @param action to be freed with raft_action_free
- * @return false when there is none, or the disk fails; all that was written is synced then, unless the writer is
- *         stalled */
+/** Take the next action of the log after executing its disk part, synced as far as the action requires.
+ * @param action free with raft_action_free
+ * @return false when there is none or the disk fails. Unless the writer is stalled, everything written is synced
+ *         then. */
 bool log_writer_next(log_writer_t *writer, raft_t *raft, raft_action_t *action, tc_time_t now);
 
-/** Whether the last write failed and has not been made good yet. */
+/** Whether the last write failed and has not been retried successfully. */
 bool log_writer_is_stalled(const log_writer_t *writer);
 
-/** Whether the member leads, with its lease, and its disk takes writes. */
+/** Whether this member leads, holds a valid lease, and its disk accepts writes. */
 bool log_writer_leads(const log_writer_t *writer, const raft_t *raft, tc_time_t now);
 
-/** Identity of the member that leads as far as this one knows, which is not itself while its disk fails; 0 for none. */
+/** Id of the leader that this member knows of, 0 for none. Also 0 when it is this member and its disk fails. */
 uint64_t log_writer_leader(const log_writer_t *writer, const raft_t *raft);
 
-/** Whether there is room for a new record beside the reserve. */
+/** Whether the disk has space for a new record beyond STORE_RESERVE_BYTES. */
 bool log_writer_has_room(const log_writer_t *writer);
 
 #endif
--- a/lib/control/members.c
+++ b/lib/control/members.c
@@ -11,9 +11,11 @@
 
 /* ===== Types ===== */
 
-/** A box's room is told to all again when it changed by half, at most every ROOM_PUBLISH_INTERVAL_MS: with hundreds of
- * boxes this is the larger part of what they hear. */
-enum { ROOM_CHANGE_DIVISOR = 2, ROOM_PUBLISH_INTERVAL_MS = 5000 };
+/** A box's room is published again when it changed by more than 1/ROOM_CHANGE_DIVISOR of the published value. */
+enum { ROOM_CHANGE_DIVISOR = 2 };
+/** Minimum interval between publications of a box's room: with hundreds of boxes these are most of the updates that
+ *  each box receives. */
+enum { ROOM_PUBLISH_INTERVAL_MS = 5000 };
 
 typedef struct {
     member_t self;
@@ -23,17 +25,17 @@
     tc_time_t heartbeat_at;
     uint32_t room_published;
     tc_time_t room_published_at;
-    uint64_t changed_version; /* version of the list when this box changed last */
+    uint64_t changed_version; /* version of the list at the last change of this box */
 } box_t;
 
 struct members {
     GHashTable *boxes; /* name -> box_t */
     uint64_t version;
-    uint64_t first_version; /* of this leadership: older ones are another leader's */
+    uint64_t first_version; /* first one of this term; lower ones are of other leaders */
     tc_time_t term_started_at;
 };
 
-/* ===== Life ===== */
+/* ===== Creation and destruction ===== */
 
 members_t *members_create(void)
 {
@@ -53,12 +55,12 @@
 {
     g_hash_table_remove_all(m->boxes);
     m->term_started_at = now;
-    /* Versions of different leaders must differ, or a box would keep the list of the one before. */
+    /* Versions of different leaders must differ, or a box would keep the list of the former leader. */
     m->version = (m->version / 1000000 + 1) * 1000000 + (uint64_t)(now % 1000000);
     m->first_version = m->version;
 }
 
-/* ===== Beats ===== */
+/* ===== Heartbeats ===== */
 
 static bool same_registration(const member_t *a, const member_t *b)
 {
@@ -76,7 +78,7 @@
 {
     box_t *b = g_hash_table_lookup(m->boxes, beat->self.box);
     if (b && beat->self.incarnation < b->self.incarnation)
-        return TC_E_FENCED; /* a message of the box's former self */
+        return TC_E_FENCED; /* from a former incarnation of the box */
     if (!b) {
         b = g_new0(box_t, 1);
         codec_copy_string(b->self.box, sizeof(b->self.box), beat->self.box);
@@ -113,7 +115,7 @@
     }
 }
 
-/* ===== Questions ===== */
+/* ===== Queries ===== */
 
 uint64_t members_version(const members_t *m)
 {
--- a/lib/control/members.h
+++ b/lib/control/members.h
@@ -1,11 +1,11 @@
 /** @file members.h
- * Live entry boxes as the control leader knows them: a pure core.
+ * Table of the live entry boxes, kept by the control leader. Does no I/O and reads no clock.
  *
- * Heartbeats ("beats") come in with the time; from them follow who is live,
- * whose leases may still run, which configuration is in force everywhere, and
- * who may take a cell. A leader that just took over knows nothing: until a whole
- * lease has passed since then, it assumes that leases given by the one before
- * still run.
+ * It is fed with heartbeats and the time, and determines which boxes are live,
+ * whose leases may still be valid, which configuration version is in force
+ * everywhere, and which box may be assigned a cell. A new leader starts with an
+ * empty table and assumes for one full lease that leases granted by its
+ * predecessor are still valid.
  */
 #ifndef TRACKCOVE_CONTROL_MEMBERS_H
 #define TRACKCOVE_CONTROL_MEMBERS_H
@@ -20,28 +20,28 @@
 
 /* ===== Constants ===== */
 
-/** Entry boxes beat this often. */
+/** Interval at which entry boxes send heartbeats. */
 #define MEMBERS_HEARTBEAT_MS 250
-/** A box not heard for this long gets no new callers and no cells: five beats in a row were lost. */
+/** A box without a heartbeat for this long, five in a row lost, gets no new callers and no cells. */
 #define MEMBERS_HEARTBEAT_TIMEOUT_MS 1250
-/** A scheduler acts on its cell until this long after the sending of a beat that was answered. Short, since a cell
- *  whose box died stands still for as long; a holder that misses it only suspends, and goes on when it is heard.
- */
+/** A scheduler may act on its cell until this long after it sent the last heartbeat that was acknowledged. Short,
+ *  because a cell whose box died is unavailable for this time. A holder whose lease lapses only suspends, and resumes
+ *  with the next acknowledged heartbeat. */
 #define MEMBERS_CELL_LEASE_MS 1000
-/** Beyond the cell's lease, before another box is given it: clocks that drift, and a tick. */
+/** Added to the cell lease before the cell is assigned to another box: covers clock drift and one tick. */
 #define MEMBERS_CELL_LEASE_MARGIN_MS 100
-/** A box is forgotten after this. */
+/** A box without a heartbeat for this long is removed from the table. */
 #define MEMBERS_RETENTION_MS 60000
 
 /* ===== Types ===== */
 
 typedef struct members members_t;
 
-/** One box, for status pages. */
+/** One box, as shown on status pages. */
 typedef struct {
     member_t self;
-    uint64_t version; /**< configuration it acts on */
-    tc_time_t silent_ms;
+    uint64_t version;    /**< configuration version it acts on */
+    tc_time_t silent_ms; /**< time since its last heartbeat, ms */
     bool live;
 } members_view_t;
 
@@ -50,34 +50,40 @@
 members_t *members_create(void);
 void members_destroy(members_t *members);
 
-/** This box became leader: forget what was known, leases given by others may run. */
+/** Start a term as leader: clear the table; leases granted by the former leader may still be valid. */
 void members_start_term(members_t *members, tc_time_t now);
 
-/** A beat came. @return 0, or TC_E_FENCED: a newer start of that box was seen */
+/** Record a heartbeat. @return 0, or TC_E_FENCED when a newer incarnation of that box has been seen */
 int members_on_heartbeat(members_t *members, const msg_beat_t *beat, tc_time_t now);
 
-/** Let time pass: forget and notice who fell silent. */
+/** Mark boxes dead after the heartbeat timeout and remove them after the retention time. */
 void members_tick(members_t *members, tc_time_t now);
 
-/** Grows with every change of the list of live boxes. */
+/** Version of the list of live boxes; increases with every change. */
 uint64_t members_version(const members_t *members);
 
-/** News since a version, into a heap array for free(): boxes that changed, and those that fell silent, marked gone.
- * @param all set when the version is not one of this leader's: the list is then every live box @return how many */
+/** List the boxes that changed after version @p since; dead ones have `gone` set.
+ * @param list set to a heap array, free with free()
+ * @param all set when @p since is not a version of this leader: the list then holds every live box
+ * @return number of boxes in @p list */
 uint32_t members_list_changes(const members_t *members, uint64_t since, member_t **list, bool *all);
 
-/** Whether no box can still act on a configuration older than @p version. @param lease_ms configuration lease
- * @param laggard filled with a box that may, when there is one */
+/** Whether no box can still act on a configuration older than @p version.
+ * @param lease_ms duration of a configuration lease
+ * @param laggard name of a box that still may, "" for none */
 bool members_in_force(const members_t *members, uint64_t version, tc_time_t lease_ms, char laggard[CODEC_STR_SIZE],
                       tc_time_t now);
 
-/** Whether the holder of a cell can no longer act: its lease ran out, it gave it up, or it restarted since. */
+/** Whether the holder of a cell can no longer act on it: its lease expired, it released the cell, or it restarted. */
 bool members_holder_gone(const members_t *members, const char *box, uint64_t incarnation, tc_time_t now);
 
-/** Choose a live box for a cell, or NULL. @param held how many cells each box holds is asked through this */
+/** Choose a live box for a cell: the one with the fewest cells, ties by rendezvous hash.
+ * @param held returns how many cells a box holds; called with @p arg
+ * @return borrowed, NULL when no box is eligible */
 const member_t *members_choose_holder(const members_t *members, const char *cell,
                                       uint32_t (*held)(void *arg, const char *box), void *arg, tc_time_t now);
 
+/** Fill @p views with up to @p room boxes. @return number filled */
 uint32_t members_list(const members_t *members, members_view_t *views, uint32_t room, tc_time_t now);
 
 #endif
--- a/lib/control/merge.c
+++ b/lib/control/merge.c
@@ -6,7 +6,7 @@
 {
     if (!json_is_object(patch))
         return json_deep_copy(patch);
-    /* A shallow copy: what the patch does not touch is shared, so a small patch on a large object is cheap. */
+    /* A shallow copy shares what the patch does not change, so a small patch of a large object is cheap. */
     json_t *const out = json_is_object(target) ? json_copy((json_t *)(uintptr_t)target) : json_object();
     const char *key;
     json_t *value;
--- a/lib/control/operators.c
+++ b/lib/control/operators.c
@@ -25,7 +25,7 @@
 
 void operators_hash_token(const char *token, char hash[CODEC_PATH_SIZE])
 {
-    /* Tokens are random and long, so a fast hash is enough: there is nothing to guess. */
+    /* Tokens are long and random, so they cannot be guessed and a fast hash is enough. */
     unsigned char digest[32];
     crypto_generichash(digest, sizeof(digest), (const unsigned char *)token, strlen(token), NULL, 0);
     sodium_bin2hex(hash, CODEC_PATH_SIZE, digest, sizeof(digest));
@@ -40,7 +40,7 @@
     return strcmp(name, "read") == 0 ? MAY_READ : MAY_NOTHING;
 }
 
-/** The operator whose token came, if the role is enough; NULL otherwise. */
+/** Find the operator of the request's token. @return NULL when the token is unknown or its role is below @p needed */
 static const operator_cfg_t *authorize(const operators_t *o, const struct mg_connection *conn, operator_role_t needed)
 {
     const char *const header = http_header(conn, "Authorization");
@@ -57,7 +57,7 @@
     return found && role_of(found->role) >= needed ? found : NULL;
 }
 
-/* ===== Answers ===== */
+/* ===== Replies ===== */
 
 static int send_error(struct mg_connection *conn, int status, const char *type, const tc_err_t *err, const char *leader)
 {
@@ -88,7 +88,7 @@
     }
 }
 
-/** Collects what a page shows, in the loop's thread. */
+/** Passed to a reader in the loop's thread, which fills it in. */
 typedef struct {
     const operators_t *operators;
     json_t *out;
@@ -245,7 +245,7 @@
     return http_send_json(conn, 200, patch, 0);
 }
 
-/* ===== What a change means ===== */
+/* ===== Effect of a change ===== */
 
 static const engine_cfg_t *find_engine(const config_t *config, const char *name)
 {
@@ -264,7 +264,7 @@
     return DEFAULT_WEIGHTS_MB;
 }
 
-/** Share of a model's engines of a role that are out while one changes. */
+/** Share of the capacity of a model and role that is lost while one of its engines changes. */
 static double share_of_role(const config_t *config, const engine_cfg_t *engine)
 {
     uint32_t n = 0;
@@ -304,7 +304,8 @@
                      "capacity_out_share", lost);
 }
 
-/** Two engines of one role must not become none: a plan that leaves a model without prefill or decode is refused. */
+/** Reject a plan that leaves a model without a prefill or a decode engine, or gives an engine a role that its hardware
+ *  may not serve. */
 static int check_roles(const config_t *config, tc_err_t *err)
 {
     for (uint32_t i = 0; i < config->engines_n; i++) {
@@ -365,7 +366,7 @@
     codec_copy_string(to, size, text ? text : "");
 }
 
-/** Propose and answer with the result; @p extra is shown beside it (taken over). */
+/** Propose a command and reply with its result. @param extra added to the reply, may be NULL; consumed */
 static int propose_and_reply(struct mg_connection *conn, const operators_t *o, const command_t *command, json_t *extra)
 {
     result_t result;
@@ -400,7 +401,7 @@
     return http_send_json(conn, status, body, 0);
 }
 
-/** The patch a plan request asks for, as heap text, or NULL with @p err. */
+/** The patch that a plan request asks for. @return heap text, or NULL with @p err */
 static char *requested_patch(const operators_t *o, const json_t *body, tc_err_t *err)
 {
     const json_t *const rollback = json_object_get(body, "rollback");
@@ -441,7 +442,7 @@
                          .base = json_is_integer(base) ? (uint64_t)json_integer_value(base) : page.version};
     copy_field(command.request_id, sizeof(command.request_id), body, "request_id");
     codec_copy_string(command.operator, sizeof(command.operator), op->name);
-    /* Named after the request, so that a resend names the same plan. */
+    /* Derived from the request id, so that a resend names the same plan. */
     snprintf(command.plan, sizeof(command.plan), "plan-%.80s", command.request_id);
     json_t *const extra = json_pack("{s:I,s:o,s:o}", "base", (json_int_t)command.base, "effect", page.out, "patch",
                                     json_loads(patch, 0, NULL));
@@ -494,7 +495,7 @@
     return post(conn, arg, COMMAND_KIND_DRAIN, MAY_CONFIRM);
 }
 
-/* ===== Life ===== */
+/* ===== Creation and destruction ===== */
 
 operators_t *operators_create(http_server_t *server, control_t *control, const control_settings_t *settings)
 {
--- a/lib/control/operators.h
+++ b/lib/control/operators.h
@@ -1,5 +1,5 @@
 /** @file operators.h
- * The operators' interface of a control box: HTTP with JSON, bearer tokens.
+ * HTTP interface of a control box for operators: JSON bodies, bearer tokens.
  *
  *   GET  /v1/status /v1/config /v1/history /v1/plans /v1/members
  *   POST /v1/plan      {"request_id", "patch": {...}} or {"request_id", "rollback": VERSION}
@@ -16,14 +16,16 @@
 
 typedef struct operators operators_t;
 
-/** Route the interface on @p server. @p settings must outlive it. Free with operators_destroy after http_stop. */
+/** Register the routes on @p server. @p settings must outlive the result. Free with operators_destroy after
+ *  http_stop. */
 operators_t *operators_create(http_server_t *server, control_t *control, const control_settings_t *settings);
 void operators_destroy(operators_t *operators);
 
-/** The hash of an operator's token as it stands in settings. */
+/** Hash an operator's token, in the hexadecimal form that the settings hold. */
 void operators_hash_token(const char *token, char hash[CODEC_PATH_SIZE]);
 
-/** What a change means: engines concerned, time, cost in the weight store and in capacity. @return new reference */
+/** Describe the effect of a change: engines affected, duration, load on the weight store, capacity lost.
+ * @return new reference */
 json_t *operators_describe_change(const config_t *from, const config_t *to);
 
 #endif
--- a/lib/control/orders.c
+++ b/lib/control/orders.c
@@ -14,8 +14,8 @@
 enum {
     CHECK_INTERVAL_MS = 250,
     STATE_TIMEOUT_MS = 500,
-    RECHECK_INTERVAL_MS = 30000, /* an engine found right is looked at again after this */
-    DRAIN_TIMEOUT_MS = 120000    /* an engine that does not drain is ordered all the same after this */
+    RECHECK_INTERVAL_MS = 30000, /* interval of checks of an engine that matches the configuration */
+    DRAIN_TIMEOUT_MS = 120000    /* an engine that does not drain is ordered anyway after this */
 };
 
 COUNTER_DEFINE(c_orders, "counter", "trackcove_orders_total", "Orders sent to engines")
@@ -24,11 +24,11 @@
 
 /* ===== Types ===== */
 
-/** What is known of one engine since this box leads. */
+/** What this leader knows of one engine. Discarded when the term changes. */
 typedef struct {
-    uint64_t matched_version; /* configuration for which it was found right */
-    tc_time_t recheck_at;     /* not before */
-    tc_time_t mismatch_since; /* 0: not known to be wrong */
+    uint64_t matched_version; /* configuration version that it was found to match */
+    tc_time_t recheck_at;     /* earliest time of the next check while it matches */
+    tc_time_t mismatch_since; /* time since when it is known not to match, 0 when it is not */
 } engine_record_t;
 
 struct orders {
@@ -37,7 +37,7 @@
     void *arg;
     GHashTable *records; /* engine -> engine_record_t */
     uint64_t term;
-    bool loading; /* an engine was seen loading weights: the store is busy */
+    bool loading; /* an engine loads weights: the weight store is busy */
 };
 
 /* ===== One engine ===== */
@@ -82,22 +82,22 @@
     log_end(&line);
 }
 
-/** Whether the order may go out now. */
+/** Whether an order may be sent now. */
 static bool may_order(orders_t *o, const orders_view_t *view, const engine_cfg_t *cfg, const engine_state_t *state,
                       const engine_record_t *record, tc_time_t now)
 {
     if (state->loading)
         return false;
     if (!cfg->checks_fence && now < view->leader_since + ORDERS_UNFENCED_DELAY_MS)
-        return false; /* an order of the leader before may still be on its way */
+        return false; /* an order of the former leader may still be in flight */
     if (state->n_held > 0 && now - record->mismatch_since < DRAIN_TIMEOUT_MS)
-        return false;                                  /* schedulers give it nothing new; what it has ends first */
-    return !(needs_weights(cfg, state) && o->loading); /* loads queue on the weight store's rate */
+        return false; /* schedulers send it no new requests; running ones finish first */
+    return !(needs_weights(cfg, state) && o->loading); /* one load at a time: the weight store's bandwidth is shared */
 }
 
 static void order_engine(orders_t *o, const engine_cfg_t *cfg, const engine_state_t *state)
 {
-    /* Looked up again at the last moment: an order must not leave after the lease is over. */
+    /* The lease is checked again just before sending: no order may be sent after it has expired. */
     orders_view_t view = {0};
     o->get_view(o->arg, &view);
     free(view.engines);
@@ -114,7 +114,7 @@
     o->loading = o->loading || (rc == TC_OK && needs_weights(cfg, state));
 }
 
-/** @return whether the engine is (still) not what it is to be */
+/** Check one engine and order it if needed. @return whether it does not match the configuration, or is unreachable */
 static bool check_engine(orders_t *o, const orders_view_t *view, const engine_cfg_t *cfg, tc_time_t now)
 {
     engine_record_t *const record = get_record(o, cfg->name);
--- a/lib/control/planner.c
+++ b/lib/control/planner.c
@@ -5,13 +5,13 @@
 
 /* ===== Types ===== */
 
-/** Reports older than this say nothing about now. */
+/** Reports older than this are ignored. */
 enum { REPORT_FRESH_MS = 2000 };
 
 typedef struct {
     cell_load_t load;
     tc_time_t updated_at;
-    tc_time_t prefill_hot_since, decode_hot_since; /* TC_TIME_NEVER: it is not so */
+    tc_time_t prefill_hot_since, decode_hot_since; /* TC_TIME_NEVER when the condition does not hold */
     tc_time_t moved_at;
 } cell_t;
 
@@ -21,7 +21,7 @@
     tc_time_t reset_at;
 };
 
-/* ===== Hearing ===== */
+/* ===== Load reports ===== */
 
 static cell_t *cell_get(planner_t *p, const char *name)
 {
@@ -55,7 +55,7 @@
     update_since(&cell->decode_hot_since, load->decode_busy >= cfg->hot && load->prefill_busy <= cfg->cold, now);
 }
 
-/* ===== Deciding ===== */
+/* ===== Decisions ===== */
 
 static uint32_t count_role(const config_t *config, const char *cell, const char *model, role_t role)
 {
@@ -75,7 +75,7 @@
     return false;
 }
 
-/** An engine of the role that may change, and is not the last that serves its model there. */
+/** Choose an engine of role @p from that may change its role and is not the last one for its model in the cell. */
 static const engine_cfg_t *choose_engine(const planner_t *p, const config_t *config, const char *cell, role_t from,
                                          tc_time_t now)
 {
@@ -130,7 +130,7 @@
     return false;
 }
 
-/* ===== Life ===== */
+/* ===== Creation and destruction ===== */
 
 planner_t *planner_create(void)
 {
--- a/lib/control/planner.h
+++ b/lib/control/planner.h
@@ -1,11 +1,12 @@
 /** @file planner.h
- * Which engine should change its role: a pure core.
+ * Decides which engine should change its role. Does no I/O and reads no clock.
  *
- * It hears from each cell's scheduler how busy prefill and decode are, and
- * proposes one move at a time: when one role has been hot and the other cold for
- * a while, an engine of the cold one changes over. Hysteresis, a minimum stay,
- * what hardware may serve, and "never the last of a role" are kept here; draining
- * comes with the change itself (orders.h).
+ * Each cell's scheduler reports how busy prefill and decode are. When one role
+ * has been hot and the other cold for a sustained time, the planner proposes to
+ * move one engine of the cold role to the hot one, one move at a time. It enforces
+ * hysteresis, a minimum stay, the roles that the hardware may serve, and that a
+ * role never loses its last engine. Draining is part of the change itself
+ * (orders.h).
  */
 #ifndef TRACKCOVE_CONTROL_PLANNER_H
 #define TRACKCOVE_CONTROL_PLANNER_H
@@ -17,7 +18,7 @@
 
 typedef struct planner planner_t;
 
-/** A move, with what it was decided on. */
+/** A role change, with the load that it was decided on. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char engine[CODEC_STR_SIZE];
@@ -29,13 +30,13 @@
 planner_t *planner_create(void);
 void planner_destroy(planner_t *planner);
 
-/** Forget everything heard; minimum stays begin anew. For a new leader. */
+/** Clear all reports and restart the minimum stays. Called by a new leader. */
 void planner_reset(planner_t *planner, tc_time_t now);
 
-/** A cell's scheduler reports. Reports of an older epoch are dropped. */
+/** Record a load report of a cell's scheduler. Reports of an older epoch are dropped. */
 void planner_update_load(planner_t *planner, const cell_load_t *load, const planner_cfg_t *cfg, tc_time_t now);
 
-/** Decide. @return whether there is a move; it then counts as made */
+/** Decide on a move. @return whether there is one; it is then recorded as made */
 bool planner_decide(planner_t *planner, const config_t *config, planner_move_t *move, tc_time_t now);
 
 #endif
--- a/lib/control/raft.c
+++ b/lib/control/raft.c
@@ -177,9 +177,9 @@
 
 static void on_vote(raft_t *r, const msg_vote_t *vote, tc_time_t now)
 {
-    /* A leader may be resting its lease on our silence: no vote while one could be alive. The one of the term before a
-     * yielded vote has given its lease up, and any later one has a majority of the votes of a term that this one can
-     * not win. */
+    /* No vote while a leader may hold a lease that relies on us not voting. For a yielded vote this is safe: the leader
+     * of the term before it has given up its lease, and any later leader has a majority of the votes of a term that
+     * this candidate cannot win. */
     const bool heard_leader = now - r->leader_heard_at < RAFT_ELECTION_MIN_MS && !vote->yielded;
     const bool leader_alive = r->role == RAFT_LEADER || heard_leader;
     msg_vote_ack_t ack = {.pre = vote->pre, .to = vote->from, .from = r->id};
@@ -216,9 +216,9 @@
     count_votes(r, now);
 }
 
-/* ===== Resigning ===== */
+/* ===== Transfer of leadership ===== */
 
-/** The leader resigns in our favour. */
+/** The leader has resigned and names us as its successor. */
 static void on_yield(raft_t *r, const msg_yield_t *yield, tc_time_t now)
 {
     const bool current = yield->term == r->term && r->role == RAFT_FOLLOWER && r->leader == yield->from;
@@ -232,29 +232,29 @@
         return false;
     const uint64_t to = leader_successor(r);
     const msg_yield_t yield = {.term = r->term, .to = to, .from = r->id};
-    raft_step_down(r, r->term, now); /* first of all the lease: nobody rests on it when the message arrives */
+    raft_step_down(r, r->term, now); /* gives up the lease before the successor can get the message */
     if (to != 0)
         raft_send(r, to, MSG_YIELD, &yield, sizeof(yield));
     return true;
 }
 
-/* ===== Following ===== */
+/* ===== Followers ===== */
 
 void raft_apply_committed(raft_t *r)
 {
     while (r->applied < r->commit) {
         r->applied++;
         const log_entry_t *const entry = log_at(r, r->applied);
-        assert(entry); /* everything behind the snapshot up to the commit is in the log */
+        assert(entry); /* the log holds every entry from the snapshot to the commit index */
         if (entry->kind == RAFT_COMMAND)
             entry_copy(&raft_add_action(r, RAFT_ACT_APPLY)->entry, entry);
     }
 }
 
-/** A message of the term's leader: whoever else we took for one, or were, is over. */
+/** Follow the sender as the leader of its term; ends a candidacy or leadership of our own. */
 static void follow(raft_t *r, uint64_t term, uint64_t leader, tc_time_t now)
 {
-    assert(!(r->role == RAFT_LEADER && term == r->term)); /* one leader a term */
+    assert(!(r->role == RAFT_LEADER && term == r->term)); /* at most one leader per term */
     if (term > r->term || r->role != RAFT_FOLLOWER)
         raft_step_down(r, term, now);
     r->leader = leader;
@@ -313,7 +313,7 @@
 static void install_snapshot(raft_t *r, const raft_image_t *image)
 {
     if (image->last_index <= r->commit)
-        return; /* we have all of it */
+        return; /* we already have all of it */
     const bool keeps_log = raft_term_at(r, image->last_index) == image->last_term;
     if (keeps_log)
         g_ptr_array_remove_range(r->log, 0, (guint)(image->last_index - r->snapshot.last_index));
@@ -365,11 +365,11 @@
 
 void raft_compact(raft_t *r, uint64_t index, const char *state, size_t size)
 {
-    assert(index <= r->applied); /* a snapshot holds nothing that is not accepted */
+    assert(index <= r->applied); /* a snapshot holds applied entries only */
     if (index <= r->snapshot.last_index)
         return;
     raft_image_t image = {.last_index = index, .last_term = raft_term_at(r, index)};
-    /* The members as of that index. A change behind it stays in the log. */
+    /* The members as of that index. A later change stays in the log. */
     members_copy(&image.members, &r->snapshot.members);
     for (uint64_t i = r->snapshot.last_index + 1; i <= index; i++) {
         const log_entry_t *const entry = log_at(r, i);
@@ -422,7 +422,7 @@
 void raft_receive(raft_t *r, uint32_t type, const void *message, tc_time_t now)
 {
     if (addressed_to(type, message) != r->id)
-        return; /* meant for the data folder that was here before */
+        return; /* meant for the former data directory of this box */
     switch (type) {
     case MSG_VOTE: on_vote(r, message, now); break;
     case MSG_VOTE_ACK: on_vote_ack(r, message, now); break;
@@ -472,12 +472,12 @@
     const tc_time_t quorum = leader_quorum_time(r, now);
     if (now - quorum <= RAFT_ELECTION_MAX_MS || now - r->leader_since <= RAFT_ELECTION_MAX_MS)
         return;
-    raft_step_down(r, r->term, now); /* cut off: somebody else may lead */
+    raft_step_down(r, r->term, now); /* no majority reachable: another member may lead */
 }
 
 void raft_bootstrap(raft_t *r, const raft_member_t *self, tc_time_t now)
 {
-    /* Founding is for those without any entry. A term may be there: from a founding cut short by a crash. */
+    /* Only a member without any entry may bootstrap. It may have a term, left by a bootstrap that a crash cut short. */
     assert(log_last_index(r) == 0);
     raft_member_t member = *self;
     member.voter = true;
@@ -521,7 +521,7 @@
                          .leader_since = r->leader_since};
 }
 
-/* ===== Life ===== */
+/* ===== Creation and destruction ===== */
 
 static void entry_free(gpointer data)
 {
@@ -531,7 +531,7 @@
 
 raft_t *raft_create(const raft_start_t *start, tc_time_t now)
 {
-    assert(start->id != 0); /* the data folder has an identity before the core starts */
+    assert(start->id != 0); /* the store assigns the identity */
     raft_t *const r = g_new0(raft_t, 1);
     r->id = start->id;
     r->term = start->term;
@@ -548,11 +548,11 @@
     for (uint32_t i = 0; i < start->n_entries; i++) {
         log_entry_t *const entry = g_new0(log_entry_t, 1);
         entry_copy(entry, &start->entries[i]);
-        assert(entry->index == log_last_index(r) + 1); /* the store checked it */
+        assert(entry->index == log_last_index(r) + 1); /* checked by the store */
         g_ptr_array_add(r->log, entry);
     }
     members_refresh(r);
-    r->leader_heard_at = now; /* we may have answered a leader just before we stopped: its lease may rest on us */
+    r->leader_heard_at = now; /* a leader's lease may rely on our last acknowledgement before the restart */
     reset_election_timer(r, now);
     return r;
 }
--- a/lib/control/raft_leader.c
+++ b/lib/control/raft_leader.c
@@ -1,4 +1,4 @@
-/* The leader's part: entries and snapshots out, answers in, commit, members. */
+/* The leader: replication of entries and snapshots, commit, membership changes. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -7,12 +7,12 @@
 
 /* ===== Peers ===== */
 
-/** How long an append may stay unanswered before it is sent again. */
+/** An append message or snapshot piece without acknowledgement is sent again after this. */
 enum { RESEND_TIMEOUT_MS = 400 };
-/** A non-voter this close to the end of the log becomes a voter. */
+/** A non-voter that lacks at most this many entries may become a voter. */
 enum { CATCH_UP_MAX_ENTRIES = 16 };
-/** A voter that has answered nothing for so long gives its place to a box that is here and has caught up: longer than
- *  an election with its first rounds, shorter than the time in which a second box may fail. */
+/** A voter without acknowledgement for this long may be replaced by a box that has caught up. Longer than an election
+ *  and its first rounds; shorter than the time in which a second box may fail. */
 enum { VOTER_SILENT_TIMEOUT_MS = 2000 };
 
 static progress_t *peer_find(const raft_t *r, uint64_t id)
@@ -25,7 +25,7 @@
     return NULL;
 }
 
-/** Make the list of peers follow the members. */
+/** Rebuild the list of peers from the members; known peers keep their progress. */
 static void peers_refresh(raft_t *r)
 {
     GArray *const peers = g_array_new(FALSE, TRUE, sizeof(progress_t));
@@ -124,8 +124,8 @@
     } else if (behind && (!p->inflight || lost)) {
         send_entries(r, p, now);
     } else if (heartbeat) {
-        /* A heartbeat carries no entries: those under way are not sent twice. It names the entry before the next
-         * one, so that a member that lacks it says so even while nothing is proposed. */
+        /* A heartbeat carries no entries, so entries in flight are not sent twice. It names the entry before the next
+         * one, so that a member that lacks it reports that even while nothing is proposed. */
         const uint64_t prev = p->inflight ? p->match : p->next - 1;
         msg_append_t message = {.term = r->term,
                                 .prev_index = prev,
@@ -135,7 +135,7 @@
                                 .to = p->id,
                                 .from = r->id};
         if (message.prev_index < r->snapshot.last_index) {
-            message.prev_index = 0; /* before our log: says nothing about theirs */
+            message.prev_index = 0; /* older than our log: matches any log */
             message.prev_term = 0;
         }
         raft_send(r, p->id, MSG_APPEND, &message, sizeof(message));
@@ -166,7 +166,7 @@
     leader_advance_commit(r, now);
 }
 
-/** One change at a time: the last one is committed, and so is an entry of our own term. */
+/** Whether the next membership change may start: the last one and an entry of our own term are committed. */
 static bool members_settled(const raft_t *r)
 {
     return r->members_index <= r->commit && r->commit >= r->noop_index;
@@ -194,7 +194,7 @@
     codec_free(&raft_members_desc, &next);
 }
 
-/** Whether a voter has answered nothing for so long that a box that is here may take its place. */
+/** Whether a voter has sent no acknowledgement for VOTER_SILENT_TIMEOUT_MS and may be replaced. */
 static bool is_silent(const raft_t *r, const raft_member_t *member, tc_time_t now)
 {
     if (!member->voter || member->id == r->id || now - r->leader_since < VOTER_SILENT_TIMEOUT_MS)
@@ -203,7 +203,8 @@
     return !p || now - p->acked_sent_at > VOTER_SILENT_TIMEOUT_MS;
 }
 
-/** The member that a joining box replaces: same name, other data folder; or a voter that has fallen silent. */
+/** The member that a joining box replaces: one of the same name with another data directory, or else a silent voter.
+ *  @return NULL for none */
 static const raft_member_t *find_replaced(const raft_t *r, const raft_member_t *member, tc_time_t now)
 {
     const raft_member_t *silent = NULL;
@@ -252,7 +253,7 @@
         return;
     }
     if (r->target_voters > 0 && count_voters(r) >= r->target_voters)
-        return; /* it has the log and waits for a place */
+        return; /* stays a non-voter until a voter is removed */
     next.voter = true;
     change_member(r, &next, false, now);
 }
@@ -298,7 +299,7 @@
         return;
     r->commit = agreed;
     raft_apply_committed(r);
-    /* A leader that the committed members no longer name as a voter has done its work. */
+    /* A leader that is no longer a voter in the committed members steps down. */
     if (r->members_index <= r->commit && !raft_is_voter(r, r->id))
         raft_step_down(r, r->term, now);
     else
@@ -328,7 +329,7 @@
         return;
     }
     if (ack->match > p->match) {
-        assert(ack->match <= log_last_index(r)); /* nobody can hold more of our term than we do */
+        assert(ack->match <= log_last_index(r)); /* no member has more entries of our term than we have */
         p->match = ack->match;
         p->inflight = false;
     }
--- a/lib/control/raft_log.c
+++ b/lib/control/raft_log.c
@@ -1,4 +1,4 @@
-/* The log in memory, and copies of what it holds. */
+/* The in-memory log, and copies of its records. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -78,7 +78,7 @@
 
 void log_truncate(raft_t *r, uint64_t from)
 {
-    /* Promise: what was accepted never reverts. */
+    /* Invariant: accepted entries are never removed. */
     assert(from > r->commit);
     g_ptr_array_set_size(r->log, (gint)(from - r->snapshot.last_index - 1));
     raft_add_action(r, RAFT_ACT_TRUNCATE)->index = from;
@@ -94,7 +94,7 @@
             continue;
         raft_members_t members;
         const int rc = codec_unpack_bytes(&raft_members_desc, &members, entry->data, entry->data_n, NULL);
-        assert(rc == TC_OK); /* packed by a leader of this code, kept by a checksum */
+        assert(rc == TC_OK); /* packed by a leader of this code, protected by a checksum */
         (void)rc;
         members_copy(&r->members, &members);
         codec_free(&raft_members_desc, &members);
--- a/lib/control/state.c
+++ b/lib/control/state.c
@@ -112,7 +112,7 @@
 
 /* ===== Configuration ===== */
 
-/** Take over a checked configuration, parsed and as JSON. */
+/** Make a checked configuration the current one. @param parsed moved into the state */
 static void replace_config(state_t *s, json_t *next, config_t *parsed)
 {
     codec_free(&config_desc, &s->config);
@@ -131,7 +131,7 @@
     return TC_OK;
 }
 
-/** Apply a patch and parse the result. On success both are the caller's. */
+/** Apply a patch and parse the result. On success the caller owns @p next and @p parsed. */
 static int parse_patched_config(const state_t *s, const char *patch, json_t **next, config_t *parsed, tc_err_t *err)
 {
     json_error_t where;
@@ -172,7 +172,7 @@
                       STATE_CONFIG_MAX_BYTES);
 }
 
-/** Make a checked patch the next version. */
+/** Accept a checked patch as the next version. */
 static void accept_change(state_t *s, const command_t *command, const char *patch, json_t *next, config_t *parsed)
 {
     json_t *const back = merge_diff(next, s->config_json);
@@ -272,7 +272,7 @@
     json_t *next = NULL;
     config_t parsed;
     const int rc = parse_patched_config(s, plan->patch, &next, &parsed, NULL);
-    assert(rc == TC_OK); /* checked against the same version when it was planned */
+    assert(rc == TC_OK); /* checked against the same version when the plan was made */
     (void)rc;
     accept_change(s, command, plan->patch, next, &parsed);
     json_decref(next);
@@ -305,7 +305,7 @@
         g_hash_table_insert(s->claims, claim->id, claim);
         g_queue_push_tail(&s->claim_order, claim);
     }
-    /* Promise: at most one run. A claim is given to whoever comes first, or again after "did not run". */
+    /* Invariant: at most one run. The first box gets the claim; it is given again only after a "not run" report. */
     codec_copy_string(claim->box, sizeof(claim->box), command->box);
     claim->incarnation = command->incarnation;
     claim->state = CLAIM_STATE_RUNNING;
@@ -392,7 +392,7 @@
         apply_kind(s, &command, result);
         record_answer(s, command.request_id, result);
     }
-    /* Promise: an accepted configuration never reverts. */
+    /* Invariant: an accepted configuration never reverts. */
     assert(s->version == before || s->version == before + 1);
     codec_free(&command_desc, &command);
 }
@@ -406,7 +406,7 @@
 
 const char *state_config_text(const state_t *s)
 {
-    if (!s->config_text) /* a cache: the state itself does not change */
+    if (!s->config_text) /* fills a cache; the state itself does not change */
         ((state_t *)(uintptr_t)s)->config_text = json_dumps(s->config_json, JSON_COMPACT | JSON_SORT_KEYS);
     return s->config_text;
 }
@@ -448,7 +448,7 @@
     return g_hash_table_lookup(s->plans, plan);
 }
 
-/** Fill borrowed pointers to the values of a table. */
+/** List the values of a table as borrowed pointers. @return number filled, at most @p room */
 static uint32_t list_table(GHashTable *table, const void **items, uint32_t room)
 {
     GHashTableIter iter;
@@ -482,7 +482,7 @@
 
 uint64_t state_cells_version(const state_t *s)
 {
-    /* Epochs only grow, so their sum changes with every change; 1 keeps it apart from "never heard". */
+    /* Epochs only grow, so every change of a lease changes their sum. Starts at 1, since 0 means no version known. */
     uint64_t sum = 1;
     GHashTableIter iter;
     gpointer value;
--- a/lib/control/state_image.c
+++ b/lib/control/state_image.c
@@ -1,4 +1,4 @@
-/* The whole replicated state as one image, for snapshots. */
+/* Packing and unpacking of the whole replicated state, for snapshots. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -35,7 +35,7 @@
 
 char *state_save(const state_t *s, size_t *size)
 {
-    /* Shallow copies: the image borrows every text and is freed without its parts. */
+    /* Shallow copies: the image borrows all texts, so only its lists are freed. */
     state_image_t image = {.version = s->version,
                            .config = (char *)(uintptr_t)state_config_text(s),
                            .config_n = (uint32_t)strlen(state_config_text(s))};
@@ -55,7 +55,7 @@
     return data;
 }
 
-/** Move the items of a list of the image into heap records of their own. */
+/** Move an item of a list of the image into a heap record of its own. */
 #define MOVE_ITEM(index, list, type) ((type *)memcpy(g_new(type, 1), &(list)[index], sizeof(type)))
 
 static void move_image(state_t *s, state_image_t *image)
@@ -85,7 +85,7 @@
         drain_record_t *const drain = MOVE_ITEM(i, image->drains, drain_record_t);
         g_hash_table_insert(s->drains, drain->box, drain);
     }
-    /* Their parts have new owners. */
+    /* The texts of these items now belong to the state. */
     image->changes_n = image->answers_n = image->plans_n = 0;
 }
 
--- a/lib/control/state_internal.h
+++ b/lib/control/state_internal.h
@@ -1,5 +1,5 @@
 /** @file state_internal.h
- * Shared by state.c and state_image.c; nobody else includes it.
+ * Declarations shared by state.c and state_image.c; not included elsewhere.
  */
 #ifndef TRACKCOVE_CONTROL_STATE_INTERNAL_H
 #define TRACKCOVE_CONTROL_STATE_INTERNAL_H
@@ -15,7 +15,7 @@
 struct state {
     uint64_t version;
     json_t *config_json;
-    char *config_text; /* made when first asked for, NULL before */
+    char *config_text; /* built on first use, NULL before */
     config_t config;
     GQueue changes;            /* change_t*, oldest first */
     GQueue answers;            /* answered_t*, oldest first */
@@ -29,10 +29,10 @@
 
 /* ===== Shared functions ===== */
 
-/** Forget everything but the configuration. */
+/** Clear everything but the configuration. */
 void state_clear(state_t *s);
 
-/** Make a configuration the current one. */
+/** Parse a configuration and make it the current one. @return 0, or negative with @p err and nothing changed */
 int state_set_config(state_t *s, json_t *next, tc_err_t *err);
 
 #endif
--- a/lib/control/store.c
+++ b/lib/control/store.c
@@ -1,4 +1,4 @@
-/* Writing to a data folder. */
+/* Writing to a data directory. */
 
 #include "control/store.h"
 
@@ -23,13 +23,13 @@
 
 /* ===== Records ===== */
 
-/** Write what is not synced once more, and nothing behind it: after a write or a sync that failed. */
+/** After a failed write or sync, write the unsynced bytes again and truncate the file behind them. */
 static int rewrite_unsynced(store_t *s, tc_err_t *err)
 {
     if (!s->needs_rewrite)
         return TC_OK;
     if (ftruncate(s->log_fd, s->synced) != 0 || store_write_all(s->log_fd, s->unsynced->data, s->unsynced->len) != 0)
-        return store_io_err(err, "mend log", s->log_path);
+        return store_io_err(err, "rewrite log", s->log_path);
     s->needs_rewrite = false;
     return TC_OK;
 }
@@ -45,12 +45,12 @@
     g_byte_array_append(s->unsynced, (const guint8 *)&header, sizeof(header));
     g_byte_array_append(s->unsynced, (const guint8 *)payload, (guint)size);
     free(payload);
-    /* Head and body in one write, so that a crash tears at most the one record. */
+    /* Header and payload in one write, so that a crash tears at most this record. */
     const ssize_t whole = (ssize_t)(sizeof(header) + size);
     const ssize_t n = write(s->log_fd, s->unsynced->data + before, (size_t)whole);
     if (n != whole) {
         if (n >= 0)
-            errno = ENOSPC; /* a short write: there was no room for the rest */
+            errno = ENOSPC; /* a short write means that the disk is full */
         g_byte_array_set_size(s->unsynced, before);
         s->needs_rewrite = true;
         return store_io_err(err, "append", s->log_path);
@@ -63,7 +63,7 @@
 
 int store_truncate(store_t *s, uint64_t from, tc_err_t *err)
 {
-    assert(from >= s->first && from < s->first + s->offsets->len); /* only what is there can be cut */
+    assert(from >= s->first && from < s->first + s->offsets->len); /* only existing records can be removed */
     g_array_set_size(s->offsets, (guint)(from - s->first + 1));
     const off_t end = *store_end_offset(s);
     s->synced = s->synced < end ? s->synced : end;
@@ -90,8 +90,8 @@
     return TC_OK;
 }
 
-/** Write a new segment whole, under a name that is no segment's until it is on disk. @return its descriptor, or
- *  negative with @p err: then nothing of it is left */
+/** Write a new segment under a temporary name and rename it once it is synced.
+ * @return its descriptor, or negative with @p err and no file left */
 static int write_segment(const store_t *s, const char *path, const char *data, size_t size, tc_err_t *err)
 {
     char temp_path[STORE_PATH_SIZE + 8];
@@ -107,11 +107,11 @@
     return rc;
 }
 
-/** Copy the records from index @p first on into a new segment, and go on there. */
+/** Copy the records from index @p first on into a new segment and continue the log there. */
 static int rotate_segment(store_t *s, uint64_t first, tc_err_t *err)
 {
     if (first == s->first)
-        return TC_OK; /* there is nothing before them */
+        return TC_OK; /* no older records to drop */
     const uint64_t next = s->first + s->offsets->len - 1;
     const off_t to = *store_end_offset(s);
     const off_t from = first < next ? g_array_index(s->offsets, off_t, first - s->first) : to;
--- a/lib/control/store_file.c
+++ b/lib/control/store_file.c
@@ -1,4 +1,4 @@
-/* Files of the data folder: heads with checksums, whole files, the records of a segment. */
+/* Files of the data directory: headers with checksums, whole files, the records of a segment. */
 
 #include <dirent.h>
 #include <errno.h>
@@ -15,7 +15,7 @@
 #include "control/raft_internal.h"
 #include "control/store_internal.h"
 
-/* ===== Heads ===== */
+/* ===== Headers ===== */
 
 int store_io_err(tc_err_t *err, const char *step, const char *path)
 {
@@ -125,7 +125,7 @@
 
 /* ===== Records ===== */
 
-/** Whether all bytes from @p at on are zero: space that was given to the file but never written. */
+/** Whether all bytes from @p at on are zero, as in space that was allocated to the file but never written. */
 static bool all_zeros(const char *data, size_t at, size_t size)
 {
     while (at < size && data[at] == 0)
@@ -145,11 +145,11 @@
             memcpy(&header, data + at, sizeof(header));
         if (short_header || all_zeros(data, at, size) ||
             (header_is_valid(&header) && header.length > size - at - sizeof(header)))
-            return TC_OK; /* torn: nobody was told that this record is there */
+            return TC_OK; /* torn tail: the record was never synced, so it was not acknowledged */
         const char *const payload = data + at + sizeof(header);
         const bool good = header_is_valid(&header) && checksum(payload, header.length) == header.payload_checksum;
         if (!good && header_is_valid(&header) && all_zeros(data, at + sizeof(header) + header.length / 2, size))
-            return TC_OK; /* its second half was never written */
+            return TC_OK; /* torn: the second half of the record was never written */
         log_entry_t entry;
         if (!good || codec_unpack_bytes(&log_entry_desc, &entry, payload, header.length, NULL) < 0)
             return tc_err_set(err, TC_E_CORRUPT, "read log", path, "offset %zu: checksum or record is wrong", at);
@@ -179,7 +179,7 @@
     return data;
 }
 
-/* ===== Folders ===== */
+/* ===== Directories ===== */
 
 bool store_newest_file(const char *dir, const char *prefix, uint64_t *index)
 {
--- a/lib/control/store_internal.h
+++ b/lib/control/store_internal.h
@@ -1,10 +1,10 @@
 /** @file store_internal.h
- * Shared by the files of the data folder; nobody else includes it:
+ * Declarations shared by the files of the store; not included elsewhere:
  *
- *   store_file.c    files: heads with checksums, whole files, the records of a segment
- *   store_open.c    founding, opening, closing
+ *   store_file.c    files: headers with checksums, whole files, the records of a segment
+ *   store_open.c    bootstrap, opening, closing
  *   store.c         writing
- *   store_verify.c  the offline check
+ *   store_verify.c  offline check
  */
 #ifndef TRACKCOVE_CONTROL_STORE_INTERNAL_H
 #define TRACKCOVE_CONTROL_STORE_INTERNAL_H
@@ -18,14 +18,14 @@
 
 /* ===== Types ===== */
 
-/** Before each record and in front of each whole file. */
+/** Header of each record and of each whole file, in host byte order. */
 typedef struct {
     uint32_t length;
     uint32_t payload_checksum; /* XXH32 of the payload, seeded with the length */
-    uint32_t header_checksum;  /* XXH32 of the two above: a flipped length is not taken for a torn tail */
+    uint32_t header_checksum; /* XXH32 of the two fields above, so that a corrupt length is not taken for a torn tail */
 } record_header_t;
 
-/** The file of term and vote. */
+/** Contents of the file `meta`. */
 typedef struct {
     uint64_t term, vote;
 } meta_t;
@@ -37,11 +37,11 @@
     int dir_fd, lock_fd, log_fd;
     char log_path[STORE_PATH_SIZE];
     uint64_t first;  /* index of the segment's first record */
-    GArray *offsets; /* off_t of each record, and of the end */
+    GArray *offsets; /* off_t of each record, and of the end of the last one */
     bool dirty;
-    bool needs_rewrite;   /* the file may go on behind the last record, or lack a part of what is not synced */
-    off_t synced;         /* the file is on disk up to here */
-    GByteArray *unsynced; /* its bytes from there on: after a failed sync the kernel may have dropped them */
+    bool needs_rewrite;   /* the file may hold bytes after the last record, or lack some of the unsynced ones */
+    off_t synced;         /* the file is synced up to this offset */
+    GByteArray *unsynced; /* its bytes after that offset: after a failed sync the kernel may have dropped them */
 };
 
 /** Called for each record. @return 0, or negative to stop */
@@ -49,29 +49,29 @@
 
 /* ===== store_file.c ===== */
 
-/** What errno says, as TC_E_FULL or TC_E_IO. */
+/** Set @p err from errno. @return TC_E_FULL or TC_E_IO */
 int store_io_err(tc_err_t *err, const char *step, const char *path);
 record_header_t store_make_header(const void *data, uint32_t length);
 /** @return 0, or -1 with errno */
 int store_write_all(int fd, const void *data, size_t size);
-/** Write a file whole, or leave what was there. Durable on return. */
+/** Replace a file atomically. Durable on return. */
 int store_replace_file(const store_t *s, const char *name, const void *data, uint32_t size, tc_err_t *err);
-/** Read a file written by store_replace_file. @return heap bytes, or NULL: with err->code TC_E_NOT_FOUND when missing
- */
+/** Read a file written by store_replace_file. @return heap bytes, or NULL with @p err: TC_E_NOT_FOUND when missing */
 char *store_read_file(const char *path, uint32_t *size, tc_err_t *err);
-/** Read any file. @return heap bytes, or NULL */
+/** Read a file without header. @return heap bytes, or NULL with @p err */
 char *store_read_raw_file(const char *path, size_t *size, tc_err_t *err);
-/** Walk the records of a segment. @param end where the good part ends; less than @p size when the tail is torn */
+/** Call @p fn for each record of a segment.
+ * @param end set to the end of the valid records; less than @p size when the tail is torn */
 int store_walk_records(const char *path, const char *data, size_t size, store_record_fn_t fn, void *arg, size_t *end,
                        tc_err_t *err);
-/** Largest index among the files with this prefix; @return false when there is none. */
+/** Find the largest index among the files with this prefix. @return false when there is none */
 bool store_newest_file(const char *dir, const char *prefix, uint64_t *index);
-/** Remove files with this prefix that are older than @p keep. */
+/** Remove the files with this prefix whose index is below @p keep. */
 void store_remove_older(const store_t *s, const char *prefix, uint64_t keep);
 
 /* ===== store_open.c ===== */
 
-/** Where the last record ends. */
+/** Offset at which the last record ends; borrowed. */
 off_t *store_end_offset(const store_t *s);
 
 #endif
--- a/lib/control/store_open.c
+++ b/lib/control/store_open.c
@@ -1,4 +1,4 @@
-/* Founding, opening and closing a data folder. */
+/* Bootstrapping, opening and closing a data directory. */
 
 #include <errno.h>
 #include <fcntl.h>
@@ -78,7 +78,7 @@
         return TC_E_CORRUPT;
     g_array_append_val(loader->store->offsets, at);
     if (entry->index <= loader->start->snapshot.last_index)
-        return TC_OK; /* the snapshot holds it */
+        return TC_OK; /* already in the snapshot */
     log_entry_t copy;
     entry_copy(&copy, entry);
     g_array_append_val(loader->entries, copy);
@@ -113,12 +113,13 @@
     g_array_append_val(s->offsets, tail);
     s->synced = tail;
     if (end < size && (ftruncate(s->log_fd, tail) != 0 || fsync(s->log_fd) != 0))
-        return store_io_err(err, "cut torn tail", s->log_path);
+        return store_io_err(err, "truncate torn tail", s->log_path);
     return TC_OK;
 }
 
-/** Go on behind the snapshot when the segment's records end before it: the process ended after it wrote a snapshot
- *  that was received, and before the segment behind that. Records that follow must not be joined to those. */
+/** Start a new segment after the snapshot when the records of the segment end before it. This happens when the process
+ *  ended after writing a received snapshot and before starting the segment that follows it. Appending to the old
+ * segment would leave a gap in its indexes. */
 static int start_segment_after_snapshot(store_t *s, uint64_t snapshot_end, tc_err_t *err)
 {
     const uint64_t next = s->first + s->offsets->len - 1;
@@ -146,7 +147,7 @@
     }
     uint64_t first = start->snapshot.last_index + 1;
     if (store_newest_file(s->dir, "log-", &index) && index > first)
-        return tc_err_set(err, TC_E_CORRUPT, "open", s->dir, "log begins at %llu, behind the snapshot's end %llu",
+        return tc_err_set(err, TC_E_CORRUPT, "open", s->dir, "log starts at index %llu, but the snapshot ends at %llu",
                           (unsigned long long)index, (unsigned long long)start->snapshot.last_index);
     if (store_newest_file(s->dir, "log-", &index))
         first = index;
@@ -168,7 +169,7 @@
     snprintf(name, sizeof(name), "snapshot-%020llu", (unsigned long long)image->last_index);
     size_t size;
     char *const data = codec_pack_bytes(&raft_image_desc, image, &size);
-    /* The identity first: without it a folder is a new member's, whatever else it holds. */
+    /* The identity is written first: without it a directory counts as that of a new member, whatever else it holds. */
     int rc = store_replace_file(&s, "identity", &id, sizeof(id), err);
     if (rc == TC_OK)
         rc = store_replace_file(&s, name, data, (uint32_t)size, err);
--- a/lib/control/store_verify.c
+++ b/lib/control/store_verify.c
@@ -1,4 +1,4 @@
-/* The offline check of a data folder. */
+/* Offline check of a data directory. */
 
 #include <dirent.h>
 #include <stdio.h>
@@ -38,7 +38,7 @@
         free(data);
         TC_CHECK(rc);
         snprintf(report + used, size - used, "%s: %llu records, %zu bytes%s\n", name, (unsigned long long)verify.count,
-                 end, end < length ? ", a torn tail that will be cut" : "");
+                 end, end < length ? ", torn tail, truncated at the next start" : "");
         return TC_OK;
     }
     uint32_t length;
