--- a/tests/harness/fake_disk.c
+++ b/tests/harness/fake_disk.c
@@ -43,7 +43,7 @@
 
 void fake_disk_copy(fake_disk_t *to, const fake_disk_t *from)
 {
-    /* Keep what is equal: entries are never changed in place. */
+    /* Equal entries are kept, since entries are never changed in place. */
     uint32_t same = 0;
     while (to->snapshot.last_index == from->snapshot.last_index && same < to->n && same < from->n &&
            to->entries[same].index == from->entries[same].index && to->entries[same].term == from->entries[same].term)
--- a/tests/harness/fake_disk.h
+++ b/tests/harness/fake_disk.h
@@ -1,5 +1,5 @@
 /** @file fake_disk.h
- * What a control box has on disk, in memory: the log, term and vote, a snapshot.
+ * In-memory stand-in for the data directory of a control box: log, term and vote, snapshot.
  */
 #ifndef TRACKCOVE_TESTS_FAKE_DISK_H
 #define TRACKCOVE_TESTS_FAKE_DISK_H
@@ -7,20 +7,20 @@
 #include "control/raft.h"
 
 typedef struct {
-    log_entry_t *entries; /* index i + 1 lies at i, behind the snapshot */
+    log_entry_t *entries; /* entries after the snapshot, in order */
     uint32_t n, capacity;
     uint64_t term, vote;
     raft_image_t snapshot;
 } fake_disk_t;
 
-/** Keep the first @p n entries. */
+/** Keep the first @p n entries only. */
 void fake_disk_truncate(fake_disk_t *d, uint32_t n);
 void fake_disk_append(fake_disk_t *d, const log_entry_t *entry);
 
-/** Make @p to hold what @p from holds. */
+/** Make @p to equal to @p from. */
 void fake_disk_copy(fake_disk_t *to, const fake_disk_t *from);
 
-/** Write a snapshot and drop the entries it holds. */
+/** Store a snapshot and drop the entries up to its last index. */
 void fake_disk_save_snapshot(fake_disk_t *d, const raft_image_t *image);
 void fake_disk_free(fake_disk_t *d);
 
--- a/tests/harness/raft_sim.c
+++ b/tests/harness/raft_sim.c
@@ -23,7 +23,7 @@
     unsigned number;
     uint64_t id;
     raft_member_t self;
-    raft_t *raft; /* NULL while it is down */
+    raft_t *raft; /* NULL while the box is down */
     state_t *state;
     uint64_t state_index;
     uint32_t since_snapshot;
@@ -41,14 +41,14 @@
     tc_time_t at;
 } packet_t;
 
-/** A proposal whose client waits. */
+/** A proposal whose client waits for the result. */
 typedef struct {
     unsigned node;
     uint64_t index, term;
     unsigned request;
 } pending_proposal_t;
 
-/** What the oracle knows of a request. */
+/** Result of a request, as its client received it. */
 typedef struct {
     bool answered;
     int code;
@@ -86,7 +86,7 @@
     n->dirty = false;
 }
 
-/* ===== Life of a node ===== */
+/* ===== Start and stop of a node ===== */
 
 static void start_node(raft_sim_t *sim, node_t *n)
 {
@@ -118,7 +118,7 @@
     n->state = NULL;
     for (guint i = 0; i < sim->pending->len;) {
         if (g_array_index(sim->pending, pending_proposal_t, i).node == n->number)
-            g_array_remove_index_fast(sim->pending, i); /* its client will ask again */
+            g_array_remove_index_fast(sim->pending, i); /* its client sends the request again */
         else
             i++;
     }
@@ -145,7 +145,7 @@
             continue;
         const int wanted = g_array_index(sim->accepted, int, version - 1);
         if (wanted >= 0 && wanted != atoi(changes[i]->request_id + 1))
-            report_violation(sim, "an accepted version is another one elsewhere");
+            report_violation(sim, "an accepted version holds another request on one of the boxes");
     }
 }
 
@@ -156,17 +156,17 @@
         g_array_append_val(sim->accepted, none);
     int *const at = &g_array_index(sim->accepted, int, version - 1);
     if (*at >= 0 && *at != (int)request)
-        report_violation(sim, "two requests won one version");
+        report_violation(sim, "two requests were accepted as the same version");
     *at = (int)request;
 }
 
-/** The client of a request is told its answer. */
+/** Record the result that the client of a request receives. */
 static void record_client_result(raft_sim_t *sim, unsigned request, const result_t *result)
 {
     request_outcome_t *const outcome = &sim->requests[request];
     sim->result.checks++;
     if (outcome->answered && (outcome->code != (int)result->code || outcome->version != result->version))
-        report_violation(sim, "a resent request got another answer");
+        report_violation(sim, "a resent request got another result");
     outcome->answered = true;
     outcome->code = (int)result->code;
     outcome->version = result->version;
@@ -200,7 +200,7 @@
             choose(sim->chooser, 8) == 0 ? (tc_time_t)choose(sim->chooser, 300) : (tc_time_t)choose(sim->chooser, 5);
     }
     if (sim->link->len >= LINK_MAX_PACKETS || (!sim->healing && once_in(sim->chooser, 30))) {
-        return; /* lost; the action still owns the message */
+        return; /* dropped; the action still owns the message */
     }
     g_array_append_val(sim->link, packet);
     action->message = NULL;
@@ -212,7 +212,7 @@
     const uint64_t before = state_version(n->state);
     state_apply(n->state, entry->data, entry->data_n, &result);
     if (state_version(n->state) < before)
-        report_violation(sim, "a version went back");
+        report_violation(sim, "the version decreased");
     for (guint i = 0; i < sim->pending->len;) {
         const pending_proposal_t proposal = g_array_index(sim->pending, pending_proposal_t, i);
         if (proposal.node != n->number || proposal.index != entry->index) {
@@ -275,7 +275,7 @@
         run_action(sim, n, &action);
         raft_action_free(&action);
         if (!sim->healing && once_in(sim->chooser, 4000)) {
-            n->crash_now = true; /* in the middle of its work: what is not synced is gone */
+            n->crash_now = true; /* between two actions: unsynced writes are lost */
             return;
         }
         if (n->since_snapshot < COMPACT_EVERY_ENTRIES)
@@ -298,7 +298,7 @@
         node_t *const n = &sim->nodes[i];
         if (!n->raft || n->frozen_until > sim->now || !raft_has_lease(n->raft, sim->now))
             continue;
-        /* Operators race: a plan and its confirmation in one, for the version this leader shows. */
+        /* Operators race: plan and confirmation are proposed together, based on the version that this leader has. */
         char text[64];
         snprintf(text, sizeof(text), "{\"targets\":{\"max_queue\":%u}}", request + 1);
         command_t command = {.kind = COMMAND_KIND_PLAN,
@@ -341,7 +341,7 @@
             if (sim->nodes[k].id == packet.to)
                 to = &sim->nodes[k];
         const bool frozen = to && to->frozen_until > sim->now;
-        if (frozen) { /* lies in its socket until it goes on */
+        if (frozen) { /* stays in the socket buffer until the box resumes */
             i++;
             continue;
         }
@@ -376,7 +376,8 @@
     return settled == sim->options.nodes;
 }
 
-/** A disk is replaced by an empty one, at a moment when all voters are there: also right after a repair. */
+/** Replace the disk of a box by an empty one. Only while all boxes are voters, which includes the time right after an
+ *  earlier replacement. */
 static void replace_disk(raft_sim_t *sim, node_t *n)
 {
     if (!is_stable(sim))
@@ -408,7 +409,7 @@
             crash(sim, n);
         break;
     case 1: sim->partitioned[n->number][other] = !sim->partitioned[n->number][other]; break;
-    case 2: /* cut off whole, silently */
+    case 2: /* partition the box from all others */
         for (unsigned i = 0; i < sim->options.nodes; i++)
             sim->partitioned[n->number][i] = sim->partitioned[i][n->number] = true;
         break;
@@ -416,7 +417,7 @@
     case 4: memset(sim->partitioned, 0, sizeof(sim->partitioned)); break;
     case 5: n->frozen_until = sim->now + (tc_time_t)choose(sim->chooser, 4000); break;
     case 6: replace_disk(sim, n); break;
-    default: /* a planned stop begins */
+    default: /* transfer of leadership, as at a planned stop */
         if (!n->raft || n->frozen_until > sim->now)
             break;
         (void)raft_resign(n->raft, sim->now);
@@ -470,18 +471,18 @@
     }
     raft_bootstrap(sim->nodes[0].raft, &sim->nodes[0].self, sim->now);
     run_actions(sim, &sim->nodes[0]);
-    sim->healing = true; /* no faults until the cluster stands */
+    sim->healing = true; /* no faults until the cluster is complete */
     for (unsigned i = 0; i < 2000 && !is_stable(sim); i++) {
         step(sim);
         node_t *const founder = &sim->nodes[0];
-        if (founder->raft && raft_view(founder->raft).last_index == 0) { /* it crashed before anything was synced */
+        if (founder->raft && raft_view(founder->raft).last_index == 0) { /* it crashed before it synced anything */
             raft_bootstrap(founder->raft, &founder->self, sim->now);
             run_actions(sim, founder);
         }
     }
     sim->healing = false;
     if (!is_stable(sim))
-        report_violation(sim, "the cluster did not come up");
+        report_violation(sim, "the cluster was not complete after the bootstrap");
 }
 
 static void run_with_faults(raft_sim_t *sim)
@@ -490,7 +491,8 @@
         step(sim);
         if (once_in(sim->chooser, 6) && sim->next_request < MAX_REQUESTS)
             propose(sim, sim->next_request++);
-        if (once_in(sim->chooser, 12) && sim->next_request > 0) /* an answer was lost: the operator asks again */
+        if (once_in(sim->chooser, 12) &&
+            sim->next_request > 0) /* the reply was lost: the operator resends the request */
             propose(sim, choose(sim->chooser, sim->next_request));
         if (once_in(sim->chooser, 40))
             inject_fault(sim);
@@ -517,7 +519,7 @@
             const uint64_t version = changes[k]->version;
             const int wanted = version <= sim->accepted->len ? g_array_index(sim->accepted, int, version - 1) : -1;
             if (wanted >= 0 && wanted != atoi(changes[k]->request_id + 1))
-                report_violation(sim, "an accepted version is another one at the end");
+                report_violation(sim, "an accepted version holds another request at the end");
         }
         free(changes);
     }
@@ -533,15 +535,15 @@
     }
     for (unsigned i = 0; i < HEAL_STEPS; i++)
         step(sim);
-    if (!is_stable(sim)) /* also while nothing is proposed */
-        report_violation(sim, "the cluster did not heal");
-    /* Whoever lost an answer asks once more. */
+    if (!is_stable(sim)) /* must become complete without any proposal */
+        report_violation(sim, "the cluster did not recover after the faults");
+    /* Resend some requests, as if their replies were lost. */
     for (unsigned r = 0; r < sim->next_request; r += 7)
         propose(sim, r);
     for (unsigned i = 0; i < 200; i++)
         step(sim);
     if (!is_stable(sim))
-        report_violation(sim, "the cluster did not heal");
+        report_violation(sim, "the cluster did not recover after the faults");
     check_end(sim);
 }
 
--- a/tests/random/test_raft_random.c
+++ b/tests/random/test_raft_random.c
@@ -1,4 +1,4 @@
-/* Randomised runs of the replicated log and the replicated state against the oracle. */
+/* Randomised simulations of the replicated log and the replicated state, checked by the oracle of raft_sim. */
 
 #include <stdlib.h>
 
@@ -50,13 +50,14 @@
     run_seeds(5, 1001, seeds());
 }
 
-/** Seed 68 crashed the founder between writing its term and its first entry: it could never found again. */
+/** In seed 68 the first box crashes during bootstrap, between writing its term and its first entry. It could not
+ *  bootstrap again after that. */
 static void test_crash_during_bootstrap(void)
 {
     g_assert_null(run(3, 3000, 68, false).violation);
 }
 
-/** The same run finds it when writes are answered before they are synced: the check can fail. */
+/** Without syncing, some seed must violate an invariant: shows that the checks can fail. */
 static void test_finds_missing_sync(void)
 {
     bool found = false;
--- a/tests/unit/test_planner.c
+++ b/tests/unit/test_planner.c
@@ -1,4 +1,4 @@
-/* The planner: hysteresis, minimum stay, what hardware may serve, never the last of a role. */
+/* The planner: hysteresis, minimum stay, roles that the hardware may serve, and never the last engine of a role. */
 
 #include <glib.h>
 #include <string.h>
@@ -30,7 +30,7 @@
     planner_update_load(p, &load, &config->planner, now);
 }
 
-/** Report the same load for a while. @return when a move came, or -1 */
+/** Report the same load every 100 ms. @return time of the first move, or -1 */
 static tc_time_t report_until_move(planner_t *p, const config_t *config, double prefill, double decode, tc_time_t from,
                                    tc_time_t to, planner_move_t *move)
 {
@@ -49,8 +49,9 @@
     planner_move_t move;
     planner_reset(p, 0);
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 100, 4900, &move), ==,
-                    -1); /* minimum stay since the leader began */
-    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 5000, 9000, &move), ==, 5000); /* sustained already */
+                    -1); /* minimum stay since the start of the term */
+    g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 5000, 9000, &move), ==,
+                    5000); /* the load was sustained before */
     g_assert_cmpint(move.to, ==, ROLE_PREFILL);
     g_assert_cmpstr(move.engine, ==, "d1");
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.3, 5100, 9900, &move), ==, -1); /* minimum stay of the cell */
@@ -82,8 +83,8 @@
     planner_move_t move;
     planner_reset(p, 0);
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 100, 9000, &move), >=, 0);
-    g_assert_cmpstr(move.engine, ==, "d0"); /* d1's hardware may not prefill */
-    config.engines[2].role = ROLE_PREFILL;  /* d0 has moved: d1 is the last */
+    g_assert_cmpstr(move.engine, ==, "d0"); /* d1's hardware may not serve prefill */
+    config.engines[2].role = ROLE_PREFILL;  /* d0 has moved, so d1 is the last decode engine */
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 20000, 40000, &move), ==, -1);
     planner_destroy(p);
     codec_free(&config_desc, &config);
@@ -96,11 +97,11 @@
     planner_move_t move;
     planner_reset(p, 0);
     report_load(p, &config, 0.1, 0.1, 2, 6000);
-    for (tc_time_t now = 6100; now < 9000; now += 100) /* a scheduler whose lease is over */
+    for (tc_time_t now = 6100; now < 9000; now += 100) /* a scheduler of an older epoch, whose lease has expired */
         report_load(p, &config, 0.95, 0.1, 1, now);
     g_assert_false(planner_decide(p, &config, &move, 9000));
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 9000, 9500, &move), ==, -1);
-    g_assert_false(planner_decide(p, &config, &move, 30000)); /* nothing heard for long */
+    g_assert_false(planner_decide(p, &config, &move, 30000)); /* the last report is too old */
     config.planner.enabled = false;
     g_assert_cmpint(report_until_move(p, &config, 0.95, 0.1, 31000, 60000, &move), ==, -1);
     planner_destroy(p);
--- a/tests/unit/test_resign.c
+++ b/tests/unit/test_resign.c
@@ -1,4 +1,5 @@
-/* A leader that resigns: three members whose messages pass while no time does. */
+/* Transfer of leadership in a group of three members. Messages are delivered without the time advancing, so only the
+ * transfer itself can elect the successor. */
 
 #include <glib.h>
 #include <string.h>
@@ -9,7 +10,7 @@
 
 typedef struct {
     raft_t *raft[MEMBERS];
-    bool partitioned[MEMBERS]; /* hears and says nothing */
+    bool partitioned[MEMBERS]; /* receives and sends nothing */
 } fixture_t;
 
 static void set_up(fixture_t *f, gconstpointer data)
@@ -37,7 +38,7 @@
         raft_destroy(f->raft[i]);
 }
 
-/** Pass messages on until there are none. */
+/** Deliver messages until there are none left. */
 static void deliver_all(fixture_t *f, tc_time_t now)
 {
     bool quiet = false;
@@ -56,7 +57,7 @@
     }
 }
 
-/** The member that leads with its lease, -1 for none; never two. */
+/** The member that holds a valid lease, -1 for none. Fails when there are two. */
 static int leader(const fixture_t *f, tc_time_t now)
 {
     int found = -1;
@@ -69,7 +70,7 @@
     return found;
 }
 
-/** Have the first member lead. @return the time */
+/** Make the first member leader. @return the time of its election */
 static tc_time_t elect(fixture_t *f)
 {
     const tc_time_t now = RAFT_ELECTION_MAX_MS + 1;
@@ -85,12 +86,12 @@
     const tc_time_t now = elect(f);
     g_assert_false(raft_resign(f->raft[1], now));
     g_assert_true(raft_resign(f->raft[0], now));
-    g_assert_cmpint(leader(f, now), ==, -1); /* it leads no more before anybody else can */
+    g_assert_cmpint(leader(f, now), ==, -1); /* it gives up its lease before another member can lead */
     deliver_all(f, now);
     g_assert_cmpint(leader(f, now), >, 0);
 }
 
-/** The member that is to stand is cut off: the others elect in the usual way. */
+/** The yield message is lost because the successor is partitioned: a leader is elected after the usual timeout. */
 static void test_lost_yield(fixture_t *f, gconstpointer data)
 {
     (void)data;
--- a/tests/unit/test_snapshot_pieces.c
+++ b/tests/unit/test_snapshot_pieces.c
@@ -1,5 +1,5 @@
-/* A snapshot that a member receives in pieces, while leaders change, take newer snapshots, and send pieces again: what
- * it installs is one of them, whole. */
+/* A member receives a snapshot in pieces while leaders change, take newer snapshots and resend pieces. It must install
+ * one of these snapshots complete, never one made of pieces of two. */
 
 #include <glib.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 enum { SELF = 1, LEADERS = 3, SNAPSHOTS_PER_LEADER = 2, PIECE_BYTES = 64, ROUNDS = 400, STEPS = 120 };
 
-/** A snapshot as one leader sends it. */
+/** A snapshot that one leader sends. */
 typedef struct {
     uint64_t term, from, last_index;
     char state[PIECE_BYTES * 8];
@@ -21,9 +21,9 @@
 typedef struct {
     GRand *random;
     raft_t *raft;
-    int length; /* of all states: pieces of two would make one of the right length */
+    int length; /* the same for all states, so that pieces of two snapshots can add up to the right length */
     leader_snapshot_t sent[LEADERS][SNAPSHOTS_PER_LEADER];
-    uint64_t next_offset; /* as the last answer names it */
+    uint64_t next_offset; /* from the last acknowledgement */
     uint64_t answered_index;
     bool done;
     const leader_snapshot_t *installed;
@@ -34,9 +34,9 @@
     leader_snapshot_t *const s = &f->sent[leader][n];
     s->term = (uint64_t)leader + 2;
     s->from = (uint64_t)leader + 2;
-    /* Leaders of different terms have snapshots of the same index, whose bytes differ as members may. */
+    /* Leaders of different terms have snapshots of the same index with different bytes, since members may differ. */
     s->last_index = (uint64_t)n * 10 + 10;
-    for (int i = 0; i < f->length; i++) /* which one, and where in it */
+    for (int i = 0; i < f->length; i++) /* encodes the snapshot and the position in it */
         s->state[i] = (char)(i % 2 ? 'a' + leader * SNAPSHOTS_PER_LEADER + n : '!' + i / 2 % PIECE_BYTES);
     const raft_image_t image = {
         .last_index = s->last_index, .last_term = 1, .state = s->state, .state_n = (uint32_t)f->length};
@@ -51,7 +51,7 @@
             if (strcmp(f->sent[leader][n].state, image->state) == 0 &&
                 f->sent[leader][n].last_index == image->last_index)
                 found = &f->sent[leader][n];
-    g_assert_nonnull(found); /* no snapshot is put together from two */
+    g_assert_nonnull(found); /* not made of pieces of two snapshots */
     g_assert_true(!f->installed || found->last_index > f->installed->last_index);
     f->installed = found;
 }
@@ -93,7 +93,7 @@
     return &f->sent[g_rand_int_range(f->random, 0, LEADERS)][g_rand_int_range(f->random, 0, SNAPSHOTS_PER_LEADER)];
 }
 
-/** Pieces as they may come: the one that the member asks for, or any again. */
+/** Deliver pieces in random order: mostly the one that the member expects next, sometimes any other one. */
 static void receive_random_pieces(fixture_t *f)
 {
     leader_snapshot_t *s = random_snapshot(f);
@@ -110,7 +110,7 @@
     }
 }
 
-/** The newest leader sends its newest snapshot in order: it is installed, whatever came before. */
+/** The last leader sends its last snapshot in order. It must be installed whatever was received before. */
 static void install_last(fixture_t *f)
 {
     const leader_snapshot_t *const last = &f->sent[LEADERS - 1][SNAPSHOTS_PER_LEADER - 1];
--- a/tests/unit/test_state.c
+++ b/tests/unit/test_state.c
@@ -1,4 +1,4 @@
-/* The replicated state: races, resends, rollbacks, claims; and live boxes. */
+/* The replicated state: concurrent changes, resent requests, rollback, claims; and the table of live boxes. */
 
 #include <glib.h>
 #include <stdio.h>
@@ -54,7 +54,7 @@
     codec_copy_string(late.request_id, sizeof(late.request_id), "bo-c");
     result_t result = apply(s, &late);
     g_assert_cmpint(result.code, ==, TC_E_CONFLICT);
-    g_assert_nonnull(strstr(result.detail, "ada-c")); /* told who won */
+    g_assert_nonnull(strstr(result.detail, "ada-c")); /* names the request that won */
     codec_free(&result_desc, &result);
     g_assert_cmpuint(state_version(s), ==, 2);
     g_assert_cmpuint(state_config(s)->targets.tpot_ms, ==, 40);
@@ -66,7 +66,8 @@
     state_t *s = state_create();
     accept_change(s, 1);
     accept_change(s, 2);
-    g_assert_cmpint(run(s, COMMAND_KIND_CONFIRM, "c1", "p1", NULL, 0), ==, TC_OK); /* its first answer */
+    g_assert_cmpint(run(s, COMMAND_KIND_CONFIRM, "c1", "p1", NULL, 0), ==,
+                    TC_OK); /* the result of the first execution */
     g_assert_cmpuint(state_version(s), ==, 2);
     size_t size;
     char *const image = state_save(s, &size);
@@ -91,7 +92,7 @@
     state_destroy(s);
 }
 
-/** Found by fuzzing: a founding command without a patch. */
+/** Found by fuzzing: an initial configuration command without a patch. */
 static void test_initial_without_patch(void)
 {
     state_t *const s = state_create();
@@ -111,7 +112,7 @@
     g_assert_nonnull(patch);
     g_assert_cmpint(run(s, COMMAND_KIND_PLAN, "back", "pback", patch, 3), ==, TC_OK);
     g_assert_cmpint(run(s, COMMAND_KIND_CONFIRM, "backc", "pback", NULL, 0), ==, TC_OK);
-    g_assert_cmpuint(state_version(s), ==, 4); /* a new version, never a reversal */
+    g_assert_cmpuint(state_version(s), ==, 4); /* a rollback is a new version; the version never decreases */
     g_assert_cmpstr(state_config_text(s), ==, wanted);
     msg_fetch_ack_t ack = {0};
     g_assert_true(state_changes(s, 1, &ack));
@@ -141,11 +142,12 @@
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-2", 0, 1000), ==, TC_E_CONFLICT);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM_END, "x", "entry-2", CLAIM_STATE_NOT_RUN, 1000), ==, TC_E_FENCED);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM_END, "x", "entry-1", CLAIM_STATE_NOT_RUN, 1000), ==, TC_OK);
-    g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-2", 0, 1000), ==, TC_OK); /* it did not run: free again */
+    g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-2", 0, 1000), ==,
+                    TC_OK); /* not run: may be claimed again */
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM_END, "x", "entry-2", CLAIM_STATE_DONE, 1000), ==, TC_OK);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "x", "entry-3", 0, 1000), ==, TC_E_CONFLICT);
     g_assert_cmpint(claim(s, COMMAND_KIND_CLAIM, "y", "entry-3", 0, 1000 + STATE_CLAIM_KEEP_MS), ==, TC_OK);
-    g_assert_cmpuint(state_claim_count(s), ==, 1); /* the old one was forgotten after its time */
+    g_assert_cmpuint(state_claim_count(s), ==, 1); /* the old claim has expired */
     state_destroy(s);
 }
 
@@ -164,25 +166,25 @@
     members_t *const m = members_create();
     members_start_term(m, 0);
     heartbeat(m, "a", 5, 1, false, 100, TC_OK);
-    heartbeat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* its former self */
+    heartbeat(m, "a", 4, 1, false, 110, TC_E_FENCED); /* a former incarnation */
     heartbeat(m, "b", 1, 2, false, 100, TC_OK);
-    g_assert_false(members_in_force(m, 2, 4000, lag, 200)); /* leases of the former leader may run */
+    g_assert_false(members_in_force(m, 2, 4000, lag, 200)); /* leases of the former leader may still be valid */
     heartbeat(m, "a", 5, 1, false, 3900, TC_OK);
     heartbeat(m, "b", 1, 2, false, 3900, TC_OK);
     g_assert_false(members_in_force(m, 2, 4000, lag, 4200));
     g_assert_cmpstr(lag, ==, "a");
-    g_assert_true(members_in_force(m, 2, 4000, lag, 7900)); /* a's lease has run out: it cannot act on version 1 */
+    g_assert_true(members_in_force(m, 2, 4000, lag, 7900)); /* a's lease has expired, so a cannot act on version 1 */
     g_assert_false(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS));
     g_assert_true(members_holder_gone(m, "a", 5, 3900 + MEMBERS_CELL_LEASE_MS + MEMBERS_CELL_LEASE_MARGIN_MS));
     heartbeat(m, "a", 5, 2, false, 7950, TC_OK);
-    g_assert_true(members_holder_gone(m, "a", 4, 7951)); /* the lease was its former self's */
+    g_assert_true(members_holder_gone(m, "a", 4, 7951)); /* the lease was that of a former incarnation */
     g_assert_false(members_holder_gone(m, "a", 5, 7951));
     heartbeat(m, "a", 5, 2, true, 8000, TC_OK);
-    g_assert_true(members_holder_gone(m, "a", 5, 8001)); /* given up */
+    g_assert_true(members_holder_gone(m, "a", 5, 8001)); /* released */
     members_tick(m, 8000 + MEMBERS_HEARTBEAT_TIMEOUT_MS);
     member_t *list;
     bool all;
-    g_assert_cmpuint(members_list_changes(m, 0, &list, &all), ==, 0); /* a newcomer hears of live boxes only */
+    g_assert_cmpuint(members_list_changes(m, 0, &list, &all), ==, 0); /* the full list holds live boxes only */
     g_assert_true(all);
     free(list);
     heartbeat(m, "c", 1, 2, false, 9600, TC_OK);
@@ -197,7 +199,7 @@
     members_destroy(m);
 }
 
-/** What no box could fetch is refused before it is planned. */
+/** A configuration too large for a box to fetch in one frame is refused before it is proposed. */
 static void test_size(void)
 {
     char *const text = g_strnfill(STATE_CONFIG_MAX_BYTES, 'x');
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -1,4 +1,4 @@
-/* The data folder: what is synced is there, what is damaged is found. */
+/* The data directory: synced records survive a crash or a full disk, and corruption is detected. */
 
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -112,7 +112,7 @@
     const uint64_t id = start.id;
     store_start_free(&start);
     tc_err_t err;
-    g_assert_null(store_open(dir, &start, &err)); /* one process a folder */
+    g_assert_null(store_open(dir, &start, &err)); /* a directory is open in one process at a time */
     g_assert_cmpint(err.code, ==, TC_E_CONFLICT);
     g_assert_cmpint(store_truncate(store, 4, NULL), ==, TC_OK);
     add_entries(store, 4, 6);
@@ -131,7 +131,7 @@
         fresh_dir();
         change_log(0, NULL, 0, log_size() - cut);
         g_assert_cmpuint(count_after_open(), ==, ENTRIES - 1);
-        g_assert_cmpuint(count_after_open(), ==, ENTRIES - 1); /* the cut itself lasted */
+        g_assert_cmpuint(count_after_open(), ==, ENTRIES - 1); /* the truncation is durable */
         remove_dir();
     }
     fresh_dir();
@@ -176,7 +176,7 @@
     remove_dir();
 }
 
-/** The disk takes no more in the middle of a record: it is refused whole, and what was there stays. */
+/** The disk fills up in the middle of a record: the append fails, and earlier records are kept. */
 static void test_full(void)
 {
     fresh_dir();
@@ -194,13 +194,13 @@
     tc_err_t err;
     g_assert_cmpint(store_append(store, &entry, &err), ==, TC_E_FULL);
     g_assert_cmpint(setrlimit(RLIMIT_FSIZE, &old), ==, 0);
-    add_entries(store, ENTRIES + 1, ENTRIES + 2); /* space was made: it goes on */
+    add_entries(store, ENTRIES + 1, ENTRIES + 2); /* there is space again: the append succeeds */
     store_close(store);
     g_assert_cmpuint(count_after_open(), ==, ENTRIES + 2);
     remove_dir();
 }
 
-/** The data folder takes no byte more. @return the limit to put back */
+/** Make every write fail as on a full disk. @return the limit to restore */
 static struct rlimit fill_disk(void)
 {
     struct rlimit old;
@@ -211,7 +211,7 @@
     return old;
 }
 
-/** A snapshot that could not be written is written once there is room, and the records behind it are still there. */
+/** A snapshot that failed on a full disk succeeds when it is retried, and the records after it are kept. */
 static void test_full_snapshot(void)
 {
     fresh_dir();
@@ -242,8 +242,8 @@
     g_free(new);
 }
 
-/** Killed between writing a received snapshot and starting the segment behind it: the log of before, with @p kept of
- *  its records, ends before the snapshot does, and the next record is the one behind the snapshot. */
+/** The process is killed after it wrote a received snapshot and before it started the segment that follows it. The old
+ *  log, with @p kept records, ends before the snapshot; the next record is the first one after the snapshot. */
 static void check_kill_after_snapshot(uint64_t kept)
 {
     enum { INDEX = 20 };
@@ -281,7 +281,7 @@
         check_kill_after_snapshot(kept);
 }
 
-/** A record whose text tells its index. */
+/** Append a record with this text, without syncing it. */
 static int append_text(store_t *store, uint64_t index, const char *text)
 {
     const log_entry_t entry = {.term = 2,
@@ -303,8 +303,8 @@
     store_close(store);
 }
 
-/** Torn at each byte of the last record, by a kill and by a disk that is full: nothing of it is in front of the next,
- *  whether that is shorter or longer. */
+/** The last record is torn at each of its bytes, first by a kill and then by a full disk. None of its bytes may remain
+ *  before the next record, whether that is shorter or longer. */
 static void test_torn_at_each_byte(void)
 {
     static const char *const texts[] = {"x", "a record that is longer than the one that was torn, and by many bytes"};
@@ -323,7 +323,7 @@
         store_t *store = store_open(dir, &start, NULL);
         store_start_free(&start);
         g_assert_cmpint(append_text(store, ENTRIES, texts[cut % 2]), ==, TC_OK);
-        store_close(store); /* unsynced: the process was killed, not the machine */
+        store_close(store); /* not synced: the process is killed, the machine keeps running */
         assert_last_text(ENTRIES, texts[cut % 2]);
         store = store_open(dir, &start, NULL);
         store_start_free(&start);
