--- a/tests/harness/fake_disk.h
+++ b/tests/harness/fake_disk.h
@@ -7,7 +7,7 @@
 #include "control/raft.h"
 
 typedef struct {
-    log_entry_t *entries; /* entries after the snapshot, in order */
+    log_entry_t *entries; /* entries[i] has the log index snapshot.last_index + 1 + i */
     uint32_t n, capacity;
     uint64_t term, vote;
     raft_image_t snapshot;
