--- a/lib/control/control_lead.c
+++ b/lib/control/control_lead.c
@@ -174,7 +174,7 @@
         log_failure(LOG_ERROR, "found_failed", err);
     else if (result->code < 0 && result->code != TC_E_CONFLICT) {
         tc_err_t error;
-        tc_err_set(&error, (int)result->code, "propose initial configuration", NULL, "%s", result->detail);
+        tc_err_set(&error, (int)result->code, "found", NULL, "%s", result->detail);
         log_failure(LOG_ERROR, "found_failed", &error);
     }
 }
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -37,7 +37,7 @@
     free(cells);
 }
 
-static void on_beat(control_t *c, peer_call_t call, const msg_beat_t *beat, tc_time_t now)
+static void on_heartbeat(control_t *c, peer_call_t call, const msg_beat_t *beat, tc_time_t now)
 {
     if (!control_leads(c, now)) {
         reply_not_leader(c, call);
@@ -160,7 +160,7 @@
     control_t *const c = arg;
     const tc_time_t now = tc_time_now();
     switch (type) {
-    case MSG_BEAT: on_beat(c, call, message, now); break;
+    case MSG_BEAT: on_heartbeat(c, call, message, now); break;
     case MSG_FETCH: on_fetch(c, call, message); break;
     case MSG_CLAIM: on_claim(c, call, message); break;
     case MSG_CLAIM_END: on_claim_end(c, call, message); break;
--- a/lib/control/raft_leader.c
+++ b/lib/control/raft_leader.c
@@ -248,8 +248,8 @@
         return;
     const raft_member_t *const old = find_replaced(r, member, now);
     if (old) {
-        const raft_member_t gone = *old;
-        change_member(r, &gone, true, now);
+        const raft_member_t removed = *old;
+        change_member(r, &removed, true, now);
         return;
     }
     if (r->target_voters > 0 && count_voters(r) >= r->target_voters)
@@ -268,8 +268,8 @@
             silent = &r->members.list[i];
     if (!silent || count_voters(r) <= wanted)
         return;
-    const raft_member_t gone = *silent;
-    change_member(r, &gone, true, now);
+    const raft_member_t removed = *silent;
+    change_member(r, &removed, true, now);
 }
 
 /* ===== Commit ===== */
--- a/lib/control/store_open.c
+++ b/lib/control/store_open.c
@@ -164,7 +164,7 @@
         return TC_OK;
     s.dir_fd = open(dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (s.dir_fd < 0)
-        return store_io_err(err, "open data folder", dir);
+        return store_io_err(err, "open data directory", dir);
     char name[64];
     snprintf(name, sizeof(name), "snapshot-%020llu", (unsigned long long)image->last_index);
     size_t size;
@@ -197,9 +197,9 @@
     if (s->dir_fd >= 0)
         s->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (s->lock_fd < 0) {
-        (void)store_io_err(err, "open data folder", dir);
+        (void)store_io_err(err, "open data directory", dir);
     } else if (flock(s->lock_fd, LOCK_EX | LOCK_NB) != 0) {
-        tc_err_set(err, TC_E_CONFLICT, "open data folder", dir, "another process has it open");
+        tc_err_set(err, TC_E_CONFLICT, "open data directory", dir, "another process has it open");
     } else if (load_all(s, start, err) == TC_OK) {
         return s;
     }
--- a/lib/control/store_verify.c
+++ b/lib/control/store_verify.c
@@ -55,7 +55,7 @@
     report[0] = '\0';
     DIR *const handle = opendir(dir);
     if (!handle)
-        return store_io_err(err, "open data folder", dir);
+        return store_io_err(err, "open data directory", dir);
     int rc = TC_OK;
     for (const struct dirent *e = readdir(handle); e && rc == TC_OK; e = readdir(handle)) {
         const bool ours = strncmp(e->d_name, "log-", 4) == 0 || strncmp(e->d_name, "snapshot-", 9) == 0 ||
--- a/tests/harness/raft_sim.c
+++ b/tests/harness/raft_sim.c
@@ -474,10 +474,10 @@
     sim->healing = true; /* no faults until the cluster is complete */
     for (unsigned i = 0; i < 2000 && !is_stable(sim); i++) {
         step(sim);
-        node_t *const founder = &sim->nodes[0];
-        if (founder->raft && raft_view(founder->raft).last_index == 0) { /* it crashed before it synced anything */
-            raft_bootstrap(founder->raft, &founder->self, sim->now);
-            run_actions(sim, founder);
+        node_t *const first = &sim->nodes[0];
+        if (first->raft && raft_view(first->raft).last_index == 0) { /* it crashed before it synced anything */
+            raft_bootstrap(first->raft, &first->self, sim->now);
+            run_actions(sim, first);
         }
     }
     sim->healing = false;
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -232,7 +232,7 @@
     remove_dir();
 }
 
-/** Move the only snapshot of one folder into another. */
+/** Move the only snapshot of one directory into another. */
 static void move_snapshot(const char *from, const char *to, uint64_t index)
 {
     char *const old = g_strdup_printf("%s/snapshot-%020llu", from, (unsigned long long)index);
