--- a/lib/control/control_lead.c
+++ b/lib/control/control_lead.c
@@ -1,4 +1,4 @@
-/* What only the leader does: cells, the planner's moves, engines' orders, what is in force. */
+/* Work of the leader: cell assignment, the planner's role changes, orders to engines, the version in force. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -10,16 +10,16 @@
 #include "common/log.h"
 #include "control/control_internal.h"
 
-/** Name of the planner's own plan; there is never more than one. */
+/** Name of the planner's own plan. At most one exists at a time. */
 #define PLANNER_PLAN "plan-of-the-planner"
 
 COUNTER_DEFINE(c_leader, "gauge", "trackcove_control_is_leader", "1 while this box leads")
 COUNTER_DEFINE(c_term, "gauge", "trackcove_control_term", "Term of the replicated log")
 COUNTER_DEFINE(c_in_force, "gauge", "trackcove_control_config_in_force", "Newest version in force everywhere")
 
-/* ===== Leading: cells, in force ===== */
+/* ===== Cell assignment ===== */
 
-static uint32_t cells_held(void *arg, const char *box)
+static uint32_t count_cells(void *arg, const char *box)
 {
     const control_t *const c = arg;
     const cell_lease_t *cells[64];
@@ -49,7 +49,7 @@
     const cell_lease_t *const cell = state_find_cell(c->state, name);
     if (cell && !members_holder_gone(c->members, cell->box, cell->incarnation, now))
         return;
-    const member_t *const member = members_pick(c->members, name, cells_held, c, now);
+    const member_t *const member = members_choose_holder(c->members, name, count_cells, c, now);
     if (!member)
         return;
     command_t command = {.kind = COMMAND_KIND_CELL, .base = cell ? cell->epoch : 0, .wall_ms = tc_time_wall()};
@@ -73,7 +73,7 @@
     }
 }
 
-/* ===== Leading: the planner's moves ===== */
+/* ===== The planner's role changes ===== */
 
 static void move_confirmed(void *arg, const result_t *result, const tc_err_t *err)
 {
@@ -82,7 +82,7 @@
     if (err)
         log_failure(LOG_WARN, "planner_move_lost", err);
     else if (result->code < 0)
-        c->move_pending = false; /* an operator was first: the planner looks again */
+        c->move_pending = false; /* an operator's change came first; the planner decides again */
 }
 
 static void move_planned(void *arg, const result_t *result, const tc_err_t *err)
@@ -112,7 +112,7 @@
     log_end(&line);
 }
 
-/** Planner's moves go the way of every change: planned, confirmed, in the history under its name. */
+/** Propose the planner's move as an ordinary plan and confirm it, so it is in the history with operator "planner". */
 static void run_planner(control_t *c, tc_time_t now)
 {
     planner_move_t move;
@@ -133,20 +133,20 @@
     control_propose(c, &plan, move_planned, c);
 }
 
-/* ===== Leading: engines' orders ===== */
+/* ===== Orders to engines ===== */
 
 typedef struct {
     control_t *control;
     orders_view_t *view;
-} looking_t;
+} orders_view_request_t;
 
-static void run_look(void *arg)
+static void fill_orders_view(void *arg)
 {
-    const looking_t *const looking = arg;
-    control_t *const c = looking->control;
-    orders_view_t *const view = looking->view;
+    const orders_view_request_t *const request = arg;
+    control_t *const c = request->control;
+    orders_view_t *const view = request->view;
     const config_t *const config = state_config(c->state);
-    view->leads = c->led && control_leads(c, tc_time_now());
+    view->leads = c->was_leader && control_leads(c, tc_time_now());
     view->term = raft_view(c->raft).term;
     view->version = state_version(c->state);
     view->leader_since = raft_view(c->raft).leader_since;
@@ -159,15 +159,15 @@
     memcpy(view->engines, config->engines, view->n * sizeof(*view->engines));
 }
 
-void control_look_for_orders(void *arg, orders_view_t *view)
+void control_get_orders_view(void *arg, orders_view_t *view)
 {
-    looking_t looking = {.control = arg, .view = view};
-    loop_post_wait(looking.control->loop, run_look, &looking);
+    orders_view_request_t request = {.control = arg, .view = view};
+    loop_post_wait(request.control->loop, fill_orders_view, &request);
 }
 
-/* ===== Leading: the beginning ===== */
+/* ===== Initial configuration and periodic work ===== */
 
-static void founded(void *arg, const result_t *result, const tc_err_t *err)
+static void on_initial_applied(void *arg, const result_t *result, const tc_err_t *err)
 {
     (void)arg;
     if (err)
@@ -179,8 +179,8 @@
     }
 }
 
-/** The founder's first command: the initial configuration becomes version 1. */
-static void propose_initial(control_t *c)
+/** The first command of a new cluster: the initial configuration becomes version 1. */
+static void propose_initial_config(control_t *c)
 {
     gchar *text = NULL;
     gsize size = 0;
@@ -189,14 +189,14 @@
     command_t command = {
         .kind = COMMAND_KIND_FOUND, .patch = text, .patch_n = (uint32_t)strlen(text), .wall_ms = tc_time_wall()};
     codec_copy_string(command.operator, sizeof(command.operator), "initial");
-    control_propose(c, &command, founded, c);
+    control_propose(c, &command, on_initial_applied, c);
     g_free(text);
 }
 
-void control_lead(control_t *c, tc_time_t now)
+void control_leader_tick(control_t *c, tc_time_t now)
 {
     const bool leads = control_leads(c, now);
-    if (leads && !c->led) {
+    if (leads && !c->was_leader) {
         members_start_term(c->members, now);
         planner_reset(c->planner, now);
         c->move_pending = false;
@@ -207,9 +207,9 @@
         log_int(&line, "term", (int64_t)raft_view(c->raft).term);
         log_end(&line);
         if (state_version(c->state) == 0 && c->settings->found_cluster)
-            propose_initial(c);
+            propose_initial_config(c);
     }
-    c->led = leads;
+    c->was_leader = leads;
     counter_set(&c_leader, leads);
     counter_set(&c_term, (int64_t)raft_view(c->raft).term);
     if (!leads)
@@ -223,7 +223,7 @@
     }
     if (now < c->cells_at)
         return;
-    c->cells_at = now + CELLS_EVERY_MS;
+    c->cells_at = now + CELLS_INTERVAL_MS;
     assign_cells(c, now);
     run_planner(c, now);
 }
--- a/lib/control/control_messages.c
+++ b/lib/control/control_messages.c
@@ -1,4 +1,4 @@
-/* Messages of entry boxes and other control boxes. */
+/* Handlers for messages from entry boxes and other control boxes. */
 
 #include <assert.h>
 #include <stdio.h>
@@ -37,7 +37,7 @@
     free(cells);
 }
 
-static void on_beat(control_t *c, peer_call_t call, const msg_beat_t *beat, tc_time_t now)
+static void on_heartbeat(control_t *c, peer_call_t call, const msg_beat_t *beat, tc_time_t now)
 {
     if (!control_leads(c, now)) {
         reply_not_leader(c, call);
@@ -51,7 +51,7 @@
     }
     counter_add(&c_beats, 1);
     if (beat->released)
-        c->cells_at = now; /* its cells are handed on at once */
+        c->cells_at = now; /* reassign its cells without waiting for the next interval */
     for (uint32_t i = 0; i < beat->loads_n; i++)
         planner_update_load(c->planner, &beat->loads[i], &state_config(c->state)->planner, now);
     msg_beat_ack_t ack = {.term = raft_view(c->raft).term,
@@ -80,36 +80,36 @@
     codec_free(&msg_fetch_ack_desc, &ack);
 }
 
-/** A claim on its way through the log. */
+/** A call that waits until its claim is applied. */
 typedef struct {
     control_t *control;
     peer_call_t call;
-} claiming_t;
+} claim_call_t;
 
 static void claim_applied(void *arg, const result_t *result, const tc_err_t *err)
 {
-    claiming_t *const claiming = arg;
+    claim_call_t *const pending = arg;
     if (err) {
         if (err->code == TC_E_NOT_LEADER)
-            reply_not_leader(claiming->control, claiming->call);
+            reply_not_leader(pending->control, pending->call);
         else
-            peer_reply_error(claiming->control->net, claiming->call, err);
+            peer_reply_error(pending->control->net, pending->call, err);
     } else {
         msg_claim_ack_t ack = {.won = result->code == TC_OK, .state = (claim_state_t)result->version};
         codec_copy_string(ack.owner, sizeof(ack.owner), result->detail ? result->detail : "");
-        peer_reply(claiming->control->net, claiming->call, MSG_CLAIM_ACK, &ack);
+        peer_reply(pending->control->net, pending->call, MSG_CLAIM_ACK, &ack);
     }
-    free(claiming);
+    free(pending);
 }
 
 static void propose_claim(control_t *c, peer_call_t call, command_t *command)
 {
-    claiming_t *const claiming = calloc(1, sizeof(*claiming));
-    if (!claiming)
+    claim_call_t *const pending = calloc(1, sizeof(*pending));
+    if (!pending)
         abort();
-    *claiming = (claiming_t){.control = c, .call = call};
+    *pending = (claim_call_t){.control = c, .call = call};
     command->wall_ms = tc_time_wall();
-    control_propose(c, command, claim_applied, claiming);
+    control_propose(c, command, claim_applied, pending);
 }
 
 static void on_claim(control_t *c, peer_call_t call, const msg_claim_t *claim)
@@ -128,7 +128,7 @@
     propose_claim(c, call, &command);
 }
 
-static bool listed(const control_t *c, const raft_member_t *member)
+static bool is_configured_voter(const control_t *c, const raft_member_t *member)
 {
     for (uint32_t i = 0; i < c->settings->voters_n; i++)
         if (strcmp(c->settings->voters[i].name, member->name) == 0)
@@ -142,11 +142,12 @@
     const msg_join_ack_t ack = {.has_state = view.term > 0 || view.last_index > 0,
                                 .is_member = raft_is_voter(c->raft, join->member.id)};
     peer_reply(c->net, call, MSG_JOIN_ACK, &ack);
-    if (listed(c, &join->member) && control_leads(c, now))
+    if (is_configured_voter(c, &join->member) && control_leads(c, now))
         raft_join(c->raft, &join->member, now);
 }
 
-/** Whoever sent a message of the log is answered where the settings say that its box listens. */
+/** Store the peer address, from the settings, of the box that sent a message of the log. Replies go there while the
+ *  sender is not in this box's list of members. */
 static void remember_sender(control_t *c, const char *box, uint64_t id)
 {
     for (uint32_t i = 0; i < c->settings->voters_n && id != 0; i++)
@@ -159,14 +160,14 @@
     control_t *const c = arg;
     const tc_time_t now = tc_time_now();
     switch (type) {
-    case MSG_BEAT: on_beat(c, call, message, now); break;
+    case MSG_BEAT: on_heartbeat(c, call, message, now); break;
     case MSG_FETCH: on_fetch(c, call, message); break;
     case MSG_CLAIM: on_claim(c, call, message); break;
     case MSG_CLAIM_END: on_claim_end(c, call, message); break;
     case MSG_JOIN: on_join(c, call, message, now); break;
     default:
         remember_sender(c, from, raft_sender(type, message));
-        if (!log_writer_is_stalled(c->writer)) /* as if it were lost on its way: no answer could leave */
+        if (!log_writer_is_stalled(c->writer)) /* dropped as if lost: no reply could be sent while the disk fails */
             raft_receive(c->raft, type, message, now);
         break;
     }
--- a/lib/control/store_open.c
+++ b/lib/control/store_open.c
@@ -1,4 +1,4 @@
-/* Founding, opening and closing a data folder. */
+/* Bootstrapping, opening and closing a data directory. */
 
 #include <errno.h>
 #include <fcntl.h>
@@ -67,21 +67,21 @@
     store_t *store;
     raft_start_t *start;
     GArray *entries;
-} loading_t;
+} loader_t;
 
 static int load_record(void *arg, const log_entry_t *entry, size_t offset)
 {
-    loading_t *const loading = arg;
+    loader_t *const loader = arg;
     const off_t at = (off_t)offset;
-    const uint64_t expected = loading->store->first + loading->store->offsets->len;
+    const uint64_t expected = loader->store->first + loader->store->offsets->len;
     if (entry->index != expected)
         return TC_E_CORRUPT;
-    g_array_append_val(loading->store->offsets, at);
-    if (entry->index <= loading->start->snapshot.last_index)
-        return TC_OK; /* the snapshot holds it */
+    g_array_append_val(loader->store->offsets, at);
+    if (entry->index <= loader->start->snapshot.last_index)
+        return TC_OK; /* already in the snapshot */
     log_entry_t copy;
     entry_copy(&copy, entry);
-    g_array_append_val(loading->entries, copy);
+    g_array_append_val(loader->entries, copy);
     return TC_OK;
 }
 
@@ -99,27 +99,28 @@
 {
     TC_CHECK(open_segment(s, first, err));
     size_t size, end;
-    char *const data = store_slurp(s->log_path, &size, err);
+    char *const data = store_read_raw_file(s->log_path, &size, err);
     if (!data)
         return err->code;
-    loading_t loading = {.store = s, .start = start, .entries = g_array_new(FALSE, TRUE, sizeof(log_entry_t))};
-    const int rc = store_walk_records(s->log_path, data, size, load_record, &loading, &end, err);
+    loader_t loader = {.store = s, .start = start, .entries = g_array_new(FALSE, TRUE, sizeof(log_entry_t))};
+    const int rc = store_walk_records(s->log_path, data, size, load_record, &loader, &end, err);
     free(data);
-    start->n_entries = loading.entries->len;
-    start->entries = (log_entry_t *)(void *)g_array_free(loading.entries, FALSE);
+    start->n_entries = loader.entries->len;
+    start->entries = (log_entry_t *)(void *)g_array_free(loader.entries, FALSE);
     if (rc < 0)
         return rc;
     const off_t tail = (off_t)end;
     g_array_append_val(s->offsets, tail);
     s->synced = tail;
     if (end < size && (ftruncate(s->log_fd, tail) != 0 || fsync(s->log_fd) != 0))
-        return store_io_err(err, "cut torn tail", s->log_path);
+        return store_io_err(err, "truncate torn tail", s->log_path);
     return TC_OK;
 }
 
-/** Go on behind the snapshot when the segment's records end before it: the process ended after it wrote a snapshot
- *  that was received, and before the segment behind that. Records that follow must not be joined to those. */
-static int leave_older_segment(store_t *s, uint64_t snapshot_end, tc_err_t *err)
+/** Start a new segment after the snapshot when the records of the segment end before it. This happens when the process
+ *  ended after writing a received snapshot and before starting the segment that follows it. Appending to the old
+ * segment would leave a gap in its indexes. */
+static int start_segment_after_snapshot(store_t *s, uint64_t snapshot_end, tc_err_t *err)
 {
     const uint64_t next = s->first + s->offsets->len - 1;
     if (next > snapshot_end)
@@ -146,12 +147,12 @@
     }
     uint64_t first = start->snapshot.last_index + 1;
     if (store_newest_file(s->dir, "log-", &index) && index > first)
-        return tc_err_set(err, TC_E_CORRUPT, "open", s->dir, "log begins at %llu, behind the snapshot's end %llu",
+        return tc_err_set(err, TC_E_CORRUPT, "open", s->dir, "log starts at index %llu, but the snapshot ends at %llu",
                           (unsigned long long)index, (unsigned long long)start->snapshot.last_index);
     if (store_newest_file(s->dir, "log-", &index))
         first = index;
     TC_CHECK(load_segment(s, start, first, err));
-    return leave_older_segment(s, start->snapshot.last_index, err);
+    return start_segment_after_snapshot(s, start->snapshot.last_index, err);
 }
 
 int store_bootstrap(const char *dir, uint64_t id, const raft_image_t *image, tc_err_t *err)
@@ -163,12 +164,12 @@
         return TC_OK;
     s.dir_fd = open(dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (s.dir_fd < 0)
-        return store_io_err(err, "open data folder", dir);
+        return store_io_err(err, "open data directory", dir);
     char name[64];
     snprintf(name, sizeof(name), "snapshot-%020llu", (unsigned long long)image->last_index);
     size_t size;
     char *const data = codec_pack_bytes(&raft_image_desc, image, &size);
-    /* The identity first: without it a folder is a new member's, whatever else it holds. */
+    /* The identity is written first: without it a directory counts as that of a new member, whatever else it holds. */
     int rc = store_replace_file(&s, "identity", &id, sizeof(id), err);
     if (rc == TC_OK)
         rc = store_replace_file(&s, name, data, (uint32_t)size, err);
@@ -196,9 +197,9 @@
     if (s->dir_fd >= 0)
         s->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (s->lock_fd < 0) {
-        (void)store_io_err(err, "open data folder", dir);
+        (void)store_io_err(err, "open data directory", dir);
     } else if (flock(s->lock_fd, LOCK_EX | LOCK_NB) != 0) {
-        tc_err_set(err, TC_E_CONFLICT, "open data folder", dir, "another process has it open");
+        tc_err_set(err, TC_E_CONFLICT, "open data directory", dir, "another process has it open");
     } else if (load_all(s, start, err) == TC_OK) {
         return s;
     }
--- a/lib/control/store_verify.c
+++ b/lib/control/store_verify.c
@@ -1,4 +1,4 @@
-/* The offline check of a data folder. */
+/* Offline check of a data directory. */
 
 #include <dirent.h>
 #include <stdio.h>
@@ -31,14 +31,14 @@
     if (strncmp(name, "log-", 4) == 0) {
         size_t length, end;
         verify_t verify = {0};
-        char *const data = store_slurp(path, &length, err);
+        char *const data = store_read_raw_file(path, &length, err);
         if (!data)
             return err->code;
         const int rc = store_walk_records(path, data, length, verify_record, &verify, &end, err);
         free(data);
         TC_CHECK(rc);
         snprintf(report + used, size - used, "%s: %llu records, %zu bytes%s\n", name, (unsigned long long)verify.count,
-                 end, end < length ? ", a torn tail that will be cut" : "");
+                 end, end < length ? ", torn tail, truncated at the next start" : "");
         return TC_OK;
     }
     uint32_t length;
@@ -55,7 +55,7 @@
     report[0] = '\0';
     DIR *const handle = opendir(dir);
     if (!handle)
-        return store_io_err(err, "open data folder", dir);
+        return store_io_err(err, "open data directory", dir);
     int rc = TC_OK;
     for (const struct dirent *e = readdir(handle); e && rc == TC_OK; e = readdir(handle)) {
         const bool ours = strncmp(e->d_name, "log-", 4) == 0 || strncmp(e->d_name, "snapshot-", 9) == 0 ||
--- a/tests/harness/fake_disk.c
+++ b/tests/harness/fake_disk.c
@@ -18,9 +18,9 @@
 
 void fake_disk_append(fake_disk_t *d, const log_entry_t *entry)
 {
-    if (d->n == d->room) {
-        d->room = d->room ? d->room * 2 : 64;
-        d->entries = realloc(d->entries, d->room * sizeof(*d->entries));
+    if (d->n == d->capacity) {
+        d->capacity = d->capacity ? d->capacity * 2 : 64;
+        d->entries = realloc(d->entries, d->capacity * sizeof(*d->entries));
         if (!d->entries)
             abort();
     }
@@ -43,7 +43,7 @@
 
 void fake_disk_copy(fake_disk_t *to, const fake_disk_t *from)
 {
-    /* Keep what is equal: entries are never changed in place. */
+    /* Equal entries are kept, since entries are never changed in place. */
     uint32_t same = 0;
     while (to->snapshot.last_index == from->snapshot.last_index && same < to->n && same < from->n &&
            to->entries[same].index == from->entries[same].index && to->entries[same].term == from->entries[same].term)
--- a/tests/unit/test_resign.c
+++ b/tests/unit/test_resign.c
@@ -1,4 +1,5 @@
-/* A leader that resigns: three members whose messages pass while no time does. */
+/* Transfer of leadership in a group of three members. Messages are delivered without the time advancing, so only the
+ * transfer itself can elect the successor. */
 
 #include <glib.h>
 #include <string.h>
@@ -9,7 +10,7 @@
 
 typedef struct {
     raft_t *raft[MEMBERS];
-    bool cut[MEMBERS]; /* hears and says nothing */
+    bool partitioned[MEMBERS]; /* receives and sends nothing */
 } fixture_t;
 
 static void set_up(fixture_t *f, gconstpointer data)
@@ -37,8 +38,8 @@
         raft_destroy(f->raft[i]);
 }
 
-/** Pass messages on until there are none. */
-static void settle(fixture_t *f, tc_time_t now)
+/** Deliver messages until there are none left. */
+static void deliver_all(fixture_t *f, tc_time_t now)
 {
     bool quiet = false;
     while (!quiet) {
@@ -48,7 +49,7 @@
             while (raft_next_action(f->raft[i], &action)) {
                 quiet = false;
                 const int to = (int)action.to - 1;
-                if (action.kind == RAFT_ACT_SEND && !f->cut[i] && !f->cut[to])
+                if (action.kind == RAFT_ACT_SEND && !f->partitioned[i] && !f->partitioned[to])
                     raft_receive(f->raft[to], action.type, action.message, now);
                 raft_action_free(&action);
             }
@@ -56,7 +57,7 @@
     }
 }
 
-/** The member that leads with its lease, -1 for none; never two. */
+/** The member that holds a valid lease, -1 for none. Fails when there are two. */
 static int leader(const fixture_t *f, tc_time_t now)
 {
     int found = -1;
@@ -69,12 +70,12 @@
     return found;
 }
 
-/** Have the first member lead. @return the time */
+/** Make the first member leader. @return the time of its election */
 static tc_time_t elect(fixture_t *f)
 {
     const tc_time_t now = RAFT_ELECTION_MAX_MS + 1;
     raft_tick(f->raft[0], now);
-    settle(f, now);
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), ==, 0);
     return now;
 }
@@ -85,24 +86,24 @@
     const tc_time_t now = elect(f);
     g_assert_false(raft_resign(f->raft[1], now));
     g_assert_true(raft_resign(f->raft[0], now));
-    g_assert_cmpint(leader(f, now), ==, -1); /* it leads no more before anybody else can */
-    settle(f, now);
+    g_assert_cmpint(leader(f, now), ==, -1); /* it gives up its lease before another member can lead */
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), >, 0);
 }
 
-/** The member that is to stand is cut off: the others elect in the usual way. */
-static void test_lost_word(fixture_t *f, gconstpointer data)
+/** The yield message is lost because the successor is partitioned: a leader is elected after the usual timeout. */
+static void test_lost_yield(fixture_t *f, gconstpointer data)
 {
     (void)data;
     const tc_time_t now = elect(f);
-    f->cut[1] = f->cut[2] = true;
+    f->partitioned[1] = f->partitioned[2] = true;
     g_assert_true(raft_resign(f->raft[0], now));
-    settle(f, now);
+    deliver_all(f, now);
     g_assert_cmpint(leader(f, now), ==, -1);
-    f->cut[1] = f->cut[2] = false;
+    f->partitioned[1] = f->partitioned[2] = false;
     const tc_time_t later = now + RAFT_ELECTION_MAX_MS + 1;
     raft_tick(f->raft[2], later);
-    settle(f, later);
+    deliver_all(f, later);
     g_assert_cmpint(leader(f, later), ==, 2);
 }
 
@@ -111,7 +112,7 @@
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/resign/" name, fixture_t, NULL, set_up, fn, tear_down)
     TEST("successor-leads-at-once", test_successor_leads_at_once);
-    TEST("lost-word", test_lost_word);
+    TEST("lost-yield", test_lost_yield);
 #undef TEST
     return g_test_run();
 }
