--- a/lib/web/web.c
+++ b/lib/web/web.c
@@ -4,7 +4,7 @@
 
 /* ===== Header lists ===== */
 
-static void line_clear(void *line)
+static void header_clear(void *line)
 {
     web_header_t *const h = line;
     g_free(h->name);
@@ -14,7 +14,7 @@
 void web_headers_init(web_headers_t *headers)
 {
     headers->lines = g_array_new(FALSE, TRUE, sizeof(web_header_t));
-    g_array_set_clear_func(headers->lines, line_clear);
+    g_array_set_clear_func(headers->lines, header_clear);
     headers->value_opened = false;
     headers->bytes = 0;
 }
@@ -33,7 +33,7 @@
     headers->lines = NULL;
 }
 
-static char *extend(char *text, const char *data, size_t size)
+static char *append_text(char *text, const char *data, size_t size)
 {
     const size_t had = text ? strlen(text) : 0;
     char *const longer = g_realloc(text, had + size + 1);
@@ -52,7 +52,7 @@
         headers->value_opened = false;
     }
     web_header_t *const last = &g_array_index(headers->lines, web_header_t, headers->lines->len - 1);
-    last->name = extend(last->name, data, size);
+    last->name = append_text(last->name, data, size);
 }
 
 void web_headers_on_value(web_headers_t *headers, const char *data, size_t size)
@@ -62,7 +62,7 @@
     if (headers->lines->len == 0)
         return;
     web_header_t *const last = &g_array_index(headers->lines, web_header_t, headers->lines->len - 1);
-    last->value = extend(last->value, data, size);
+    last->value = append_text(last->value, data, size);
 }
 
 const char *web_headers_get(const web_headers_t *headers, const char *name)
@@ -75,9 +75,9 @@
     return NULL;
 }
 
-/* ===== Hop by hop ===== */
+/* ===== Hop-by-hop headers ===== */
 
-static bool names_it(const char *list, const char *name)
+static bool list_has_token(const char *list, const char *name)
 {
     char **const words = g_strsplit(list, ",", -1);
     bool found = false;
@@ -105,7 +105,7 @@
             return true;
     for (guint i = 0; i < headers->lines->len; i++) {
         const web_header_t *const h = &g_array_index(headers->lines, web_header_t, i);
-        if (h->value && g_ascii_strcasecmp(h->name, "Connection") == 0 && names_it(h->value, name))
+        if (h->value && g_ascii_strcasecmp(h->name, "Connection") == 0 && list_has_token(h->value, name))
             return true;
     }
     return false;
--- a/lib/web/web.h
+++ b/lib/web/web.h
@@ -1,9 +1,9 @@
 /** @file web.h
- * What the event-driven HTTP server and client share: header lists and outgoing bytes.
+ * Header lists, shared by the event-driven HTTP server and client.
  *
- * Parsing is http_parser's (the library); this module holds what it found.
- * CivetWeb, which serves trackcove's own interface, keeps a thread for every
- * open connection; docs/design/platform.md weighs that against this loop.
+ * The http_parser library parses; this module stores the headers that it finds.
+ * CivetWeb, which serves trackcove's own interface, needs a thread for every
+ * open connection; docs/design/platform.md compares it with this event loop.
  */
 #ifndef TRACKCOVE_WEB_WEB_H
 #define TRACKCOVE_WEB_WEB_H
@@ -15,40 +15,40 @@
 
 /* ===== Types ===== */
 
-/** One header line as received. */
+/** One header line as received. Both strings are owned by the list; value is NULL before any of it has arrived. */
 typedef struct {
     char *name;
     char *value;
 } web_header_t;
 
-/** Header lines in the order of their arrival; owns its strings. */
+/** Header lines in order of arrival; owns its strings. */
 typedef struct {
     GArray *lines;     /**< web_header_t */
-    bool value_opened; /**< the parser has begun the value of the last line */
-    size_t bytes;      /**< of names and values, for limits */
+    bool value_opened; /**< the parser has started the value of the last line */
+    size_t bytes;      /**< total size of names and values, for limits */
 } web_headers_t;
 
 /* ===== Public functions ===== */
 
-/** Make an empty list. */
+/** Initialize an empty list. */
 void web_headers_init(web_headers_t *headers);
-/** Forget all lines, keep the list. */
+/** Remove all lines; the list stays usable. */
 void web_headers_clear(web_headers_t *headers);
-/** Free the list; harmless when it was freed. */
+/** Free the list. Safe to call twice. */
 void web_headers_free(web_headers_t *headers);
 
-/** What the parser's callbacks hand over piece by piece. */
+/** Append a fragment of a header name or value, as the parser's callbacks deliver it. */
 void web_headers_on_name(web_headers_t *headers, const char *data, size_t size);
 void web_headers_on_value(web_headers_t *headers, const char *data, size_t size);
 
-/** Value of the first line of that name, any case, or NULL. Borrowed. */
+/** Value of the first line with that name (case-insensitive), or NULL. Borrowed. */
 const char *web_headers_get(const web_headers_t *headers, const char *name);
 
-/** Whether a header concerns one connection alone and is never passed on: the fixed ones, and those that the
- *  Connection header names. */
+/** Whether a header applies to one connection only and must not be forwarded: the standard hop-by-hop headers and those
+ *  listed in the Connection header. */
 bool web_header_is_hop_by_hop(const web_headers_t *headers, const char *name);
 
-/** Append "name: value" and a line end; control characters in the value become blanks. */
+/** Append "name: value\r\n". Control characters in the value are replaced by spaces, so a value cannot add lines. */
 void web_append_header(GString *to, const char *name, const char *value);
 
 #endif
--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -21,36 +21,36 @@
 COUNTER_DEFINE(c_strays, "counter", "trackcove_backend_stray_answers_total", "Answers that belonged to no request")
 
 enum {
-    READ_SIZE = 16 * 1024,
-    IDLE_DEFAULT_MS = 2000, /* a back end that names no time may close at any moment: short, and only for what may
-                               run twice */
-    IDLE_MARGIN_MS = 1000,  /* given up this long before the back end would */
+    READ_BYTES = 16 * 1024,
+    IDLE_DEFAULT_MS = 2000, /* keep-alive time when the back end names none and may close at any moment. Short, and
+                               used only for requests that may be executed twice */
+    IDLE_MARGIN_MS = 1000,  /* an idle connection is closed this long before the back end would close it */
     SWEEP_MS = 500
 };
 
 /* ===== Types ===== */
 
 struct web_call {
-    struct cds_list_head node; /* among the calls under way, or among the idle connections */
+    struct cds_list_head node; /* in client->calls, or in client->idle */
     web_client_t *client;
     char addr[CODEC_STR_SIZE];
     loop_watch_t watch;
     bool writing, connecting, idle;
-    bool sent;      /* a byte of the request may have left */
-    bool head_seen; /* an answer's head was taken */
-    bool skipping;  /* the answer being read is not ours */
-    bool whole;     /* the parser has our whole answer */
-    bool torn;      /* the request can't be sent on: the end of the connection is no orderly one */
-    bool cancelled; /* cancelled from within one of its own reports */
-    bool reporting;
+    bool sent;        /* a byte of the request may have left this box */
+    bool head_seen;   /* a response head was accepted */
+    bool skipping;    /* the response being read belongs to another request */
+    bool complete;    /* the parser has the complete response */
+    bool send_failed; /* sending failed: an end of the connection is then not an orderly one */
+    bool cancelled;   /* cancelled from within one of its own callbacks */
+    bool in_callback;
     GByteArray *request;
     size_t written;
     http_parser parser;
     web_headers_t headers;
     web_sink_t sink;
-    loop_timer_t connect_limit;
+    loop_timer_t connect_timer;
     tc_time_t idle_until;
-    tc_time_t keep_ms;
+    tc_time_t idle_ms;
 };
 
 struct web_client {
@@ -67,7 +67,7 @@
 
 static void call_free(web_call_t *call)
 {
-    loop_disarm(&call->connect_limit);
+    loop_disarm(&call->connect_timer);
     loop_unwatch(call->client->loop, &call->watch);
     close(call->watch.fd);
     cds_list_del(&call->node);
@@ -86,8 +86,8 @@
     return n;
 }
 
-/** Put the connection of a finished call aside, or close it. */
-static void call_retire(web_call_t *call, bool keep)
+/** Make the connection of a finished call idle, or close it. */
+static void call_release(web_call_t *call, bool keep)
 {
     web_client_t *const client = call->client;
     if (!keep || idle_count(client, call->addr) >= client->idle_max) {
@@ -97,33 +97,33 @@
     g_byte_array_free(call->request, TRUE);
     call->request = NULL;
     call->idle = true;
-    call->idle_until = tc_time_now() + call->keep_ms;
+    call->idle_until = tc_time_now() + call->idle_ms;
     cds_list_del(&call->node);
     cds_list_add(&call->node, &client->idle);
 }
 
-static void report_end(web_call_t *call, web_result_t how, bool keep)
+static void call_finish(web_call_t *call, web_result_t how, bool keep)
 {
     const web_sink_t sink = call->sink;
-    call_retire(call, keep);
+    call_release(call, keep);
     sink.on_end(sink.arg, how);
 }
 
-/** The connection ended. */
-static void call_broken(web_call_t *call)
+/** The connection failed or was closed early. */
+static void call_fail(web_call_t *call)
 {
     if (call->idle) {
         call_free(call);
         return;
     }
-    report_end(call,
-               call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT),
-               false);
+    call_finish(call,
+                call->head_seen ? WEB_RESULT_TRUNCATED : (call->sent ? WEB_RESULT_NO_RESPONSE : WEB_RESULT_NOT_SENT),
+                false);
 }
 
-/* ===== Answers ===== */
+/* ===== Responses ===== */
 
-static int on_begin(http_parser *parser)
+static int on_message_begin(http_parser *parser)
 {
     web_call_t *const call = parser->data;
     web_headers_clear(&call->headers);
@@ -144,7 +144,7 @@
     return 0;
 }
 
-static tc_time_t keep_time(const web_call_t *call)
+static tc_time_t idle_time(const web_call_t *call)
 {
     const char *const text = web_headers_get(&call->headers, "Keep-Alive");
     const char *const at = text ? strstr(text, "timeout=") : NULL;
@@ -154,7 +154,7 @@
     return ms > 2 * IDLE_MARGIN_MS ? ms - IDLE_MARGIN_MS : ms / 2;
 }
 
-/** Whether our answer ends with its head, whatever length it names: bytes behind it belong to another answer. */
+/** Whether the response has no body whatever length it names: bytes after its head belong to another response. */
 static bool ends_with_head(const web_call_t *call, unsigned status)
 {
     static const char head[] = "HEAD ";
@@ -165,23 +165,23 @@
 
 static int on_headers(http_parser *parser)
 {
-    enum { TAKES_NO_MORE = -1, HAS_BODY = 0, HAS_NO_BODY = 1, SWITCHING_PROTOCOLS = 101 };
+    enum { STOP_PARSING = -1, HAS_BODY = 0, HAS_NO_BODY = 1, SWITCHING_PROTOCOLS = 101 };
     web_call_t *const call = parser->data;
     if (parser->status_code == SWITCHING_PROTOCOLS)
-        return TAKES_NO_MORE; /* nobody asked for another protocol: what follows is no answer */
+        return STOP_PARSING; /* no upgrade was requested: what follows is not an HTTP response */
     if (parser->status_code < 200)
-        return HAS_BODY; /* an interim answer: the real one follows */
+        return HAS_BODY; /* an interim response: the final one follows */
     const web_head_t head = {.status = (int)parser->status_code, .headers = &call->headers};
-    call->reporting = true;
+    call->in_callback = true;
     call->skipping = call->sink.on_head(call->sink.arg, &head) == WEB_HEAD_SKIP;
-    call->reporting = false;
+    call->in_callback = false;
     if (call->skipping)
         counter_add(&c_strays, 1);
     else
         call->head_seen = true;
-    call->keep_ms = keep_time(call);
+    call->idle_ms = idle_time(call);
     if (call->cancelled)
-        return TAKES_NO_MORE;
+        return STOP_PARSING;
     return !call->skipping && ends_with_head(call, parser->status_code) ? HAS_NO_BODY : HAS_BODY;
 }
 
@@ -190,30 +190,30 @@
     web_call_t *const call = parser->data;
     if (call->skipping || !call->head_seen)
         return 0;
-    call->reporting = true;
+    call->in_callback = true;
     call->sink.on_data(call->sink.arg, data, size);
-    call->reporting = false;
+    call->in_callback = false;
     return call->cancelled ? -1 : 0;
 }
 
-static int on_complete(http_parser *parser)
+static int on_message_complete(http_parser *parser)
 {
     web_call_t *const call = parser->data;
     if (parser->status_code < 200 || call->skipping)
         return 0;
-    call->whole = true;
-    http_parser_pause(parser, 1); /* bytes behind our answer belong to no request */
+    call->complete = true;
+    http_parser_pause(parser, 1); /* bytes after this response belong to no request */
     return 0;
 }
 
-static const http_parser_settings parser_settings = {.on_message_begin = on_begin,
+static const http_parser_settings parser_settings = {.on_message_begin = on_message_begin,
                                                      .on_header_field = on_name,
                                                      .on_header_value = on_value,
                                                      .on_headers_complete = on_headers,
                                                      .on_body = on_body,
-                                                     .on_message_complete = on_complete};
+                                                     .on_message_complete = on_message_complete};
 
-/** Hand bytes to the parser; size 0 is the orderly end of the connection. May free the call. */
+/** Feed bytes to the parser; size 0 is an orderly end of the connection. May free the call. */
 static void call_parse(web_call_t *call, const char *data, size_t size)
 {
     const size_t used = http_parser_execute(&call->parser, &parser_settings, data, size);
@@ -221,27 +221,28 @@
         call_free(call);
         return;
     }
-    if (call->whole) {
+    if (call->complete) {
         http_parser_pause(&call->parser, 0);
-        /* An answer that came before the whole request was sent leaves the rest of it due on this connection. */
+        /* If the response came before the whole request was sent, the rest of the request is still due on this
+         * connection, which then cannot be reused. */
         const bool sent = call->written == call->request->len;
         const bool keep = sent && size > 0 && used == size && http_should_keep_alive(&call->parser);
-        report_end(call, WEB_RESULT_COMPLETE, keep);
+        call_finish(call, WEB_RESULT_COMPLETE, keep);
         return;
     }
     if (size == 0 || HTTP_PARSER_ERRNO(&call->parser) != HPE_OK)
-        call_broken(call);
+        call_fail(call);
 }
 
 static void call_read(web_call_t *call)
 {
-    char data[READ_SIZE];
+    char data[READ_BYTES];
     const ssize_t n = recv(call->watch.fd, data, sizeof(data), 0);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
         return;
-    /* A reset is told once. When the sending was told of it, the reading finds what looks like an orderly end. */
-    if (n < 0 || (n == 0 && call->torn) || call->idle)
-        call_broken(call); /* an idle connection that says something is of no more use */
+    /* The kernel reports a reset once. If send got it, recv sees what looks like an orderly end. */
+    if (n < 0 || (n == 0 && call->send_failed) || call->idle)
+        call_fail(call); /* unexpected input makes an idle connection unusable */
     else
         call_parse(call, data, (size_t)n);
 }
@@ -256,7 +257,7 @@
     loop_watch_modify(call->client->loop, &call->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
 }
 
-/** @return false when the connection broke */
+/** Send as much of the request as possible. @return false when the connection is broken */
 static bool call_write(web_call_t *call)
 {
     while (call->written < call->request->len) {
@@ -279,35 +280,36 @@
 {
     web_call_t *const call = arg;
     if (call->connecting && (events & (EPOLLERR | EPOLLHUP))) {
-        call_broken(call);
+        call_fail(call);
         return;
     }
     if (events & EPOLLOUT) {
         call->connecting = false;
-        loop_disarm(&call->connect_limit);
-        call->torn = !call_write(call);
-        if (call->torn && !(events & EPOLLIN)) {
-            call_broken(call);
+        loop_disarm(&call->connect_timer);
+        call->send_failed = !call_write(call);
+        if (call->send_failed && !(events & EPOLLIN)) {
+            call_fail(call);
             return;
         }
     }
     if (events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-        call_read(call); /* an early answer is read even when the rest of the request can't be sent */
+        call_read(call); /* an early response is read even when the rest of the request can't be sent */
 }
 
-static void on_connect_limit(void *arg)
+static void on_connect_timeout(void *arg)
 {
-    call_broken(arg);
+    call_fail(arg);
 }
 
 bool web_call_has_input(const web_call_t *call)
 {
-    struct pollfd look = {.fd = call->watch.fd, .events = POLLIN};
-    return poll(&look, 1, 0) != 0; /* recv would take a reset off the socket: what is read next looks like an end */
+    struct pollfd readable = {.fd = call->watch.fd, .events = POLLIN};
+    return poll(&readable, 1, 0) !=
+           0; /* recv would consume a reset, and the next read would look like an orderly end */
 }
 
-/** A kept connection that is still silent and open, or NULL. */
-static web_call_t *take_idle(web_client_t *client, const char *addr)
+/** An idle connection without pending input that has not expired, or NULL. */
+static web_call_t *find_idle(web_client_t *client, const char *addr)
 {
     const tc_time_t now = tc_time_now();
     web_call_t *call, *next;
@@ -321,13 +323,13 @@
     return NULL;
 }
 
-/** Report a connection that could not even be begun, from the loop. */
-static void on_never_began(void *arg)
+/** Report from the loop that the connection could not be started. */
+static void on_connect_failed(void *arg)
 {
-    call_broken(arg);
+    call_fail(arg);
 }
 
-static web_call_t *dial(web_client_t *client, const char *addr, tc_time_t connect_ms)
+static web_call_t *connect_to(web_client_t *client, const char *addr, tc_time_t connect_ms)
 {
     struct sockaddr_storage to = {0};
     unsigned size = 0;
@@ -345,28 +347,28 @@
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     const int rc = parsed == TC_OK && fd >= 0 ? connect(fd, (const struct sockaddr *)&to, size) : -1;
     if (rc != 0 && (parsed != TC_OK || fd < 0 || errno != EINPROGRESS)) {
-        loop_arm(client->loop, &call->connect_limit, tc_time_now(), on_never_began, call);
+        loop_arm(client->loop, &call->connect_timer, tc_time_now(), on_connect_failed, call);
         return call;
     }
     loop_watch(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
-    loop_arm(client->loop, &call->connect_limit, tc_time_now() + connect_ms, on_connect_limit, call);
+    loop_arm(client->loop, &call->connect_timer, tc_time_now() + connect_ms, on_connect_timeout, call);
     return call;
 }
 
 web_call_t *web_call(web_client_t *client, const char *addr, GByteArray *request, bool reuse, tc_time_t connect_ms,
                      const web_sink_t *sink)
 {
-    web_call_t *call = reuse ? take_idle(client, addr) : NULL;
+    web_call_t *call = reuse ? find_idle(client, addr) : NULL;
     if (call) {
         counter_add(&c_reused, 1);
         cds_list_del(&call->node);
         call->idle = false;
-        call->head_seen = call->skipping = call->whole = call->sent = false;
+        call->head_seen = call->skipping = call->complete = call->sent = false;
         call->written = 0;
         loop_watch_modify(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
         call->writing = true;
     } else {
-        call = dial(client, addr, connect_ms);
+        call = connect_to(client, addr, connect_ms);
     }
     http_parser_init(&call->parser, HTTP_RESPONSE);
     call->parser.data = call;
@@ -378,8 +380,8 @@
 
 void web_call_cancel(web_call_t *call)
 {
-    if (call->reporting)
-        call->cancelled = true; /* freed when the report returns */
+    if (call->in_callback)
+        call->cancelled = true; /* freed when the callback returns */
     else
         call_free(call);
 }
@@ -389,7 +391,7 @@
     return call->sent;
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 static void sweep(void *arg)
 {
--- a/lib/web/web_client.h
+++ b/lib/web/web_client.h
@@ -1,9 +1,9 @@
 /** @file web_client.h
- * HTTP/1.1 client on the loop: one call a connection at a time, connections kept for a while where that is safe.
+ * Event-driven HTTP/1.1 client: one call per connection at a time, with idle connections kept for reuse.
  *
- * A call is sent exactly once: nothing here ever repeats a request, since only
- * the caller of this module knows whether it may run twice. How a call ended tells
- * whether the back end can have seen it.
+ * A call is sent at most once: this module never retries a request, since only
+ * its user knows whether the request may be executed twice. The result of a call
+ * tells whether the back end may have seen the request.
  *
  * Everything runs in the loop's thread.
  */
@@ -22,32 +22,32 @@
 /* ===== Types ===== */
 
 typedef struct web_client web_client_t;
-/** One call under way. Valid until on_end ran or it was cancelled. */
+/** One call in progress. Valid until on_end returns or the call is cancelled. */
 typedef struct web_call web_call_t;
 
-/** How a call ended. */
+/** Result of a call. */
 typedef enum {
-    WEB_RESULT_COMPLETE,    /**< the answer came whole */
+    WEB_RESULT_COMPLETE,    /**< complete response received */
     WEB_RESULT_NOT_SENT,    /**< no connection: the back end has seen nothing of the request */
-    WEB_RESULT_NO_RESPONSE, /**< the connection ended, or what came is no HTTP, before an answer's head: it may have run
-                             */
-    WEB_RESULT_TRUNCATED    /**< the answer broke off behind its head */
+    WEB_RESULT_NO_RESPONSE, /**< connection closed or invalid HTTP before a response head: the request may have been
+                               executed */
+    WEB_RESULT_TRUNCATED    /**< the response ended early, after its head */
 } web_result_t;
 
-/** What to do with an answer whose head has come. */
+/** What to do with a response after its head. */
 typedef enum {
-    WEB_HEAD_ACCEPT, /**< it is ours */
-    WEB_HEAD_SKIP    /**< it belongs to an earlier request: read past it and wait for the next */
+    WEB_HEAD_ACCEPT, /**< it belongs to this call */
+    WEB_HEAD_SKIP    /**< it belongs to an earlier request: discard it and wait for the next */
 } web_head_action_t;
 
-/** The head of an answer; borrowed for the call of on_head. */
+/** Head of a response. Borrowed, valid during on_head. */
 typedef struct {
     int status;
     const web_headers_t *headers;
 } web_head_t;
 
-/** Where a call reports to. on_end comes last and exactly once, unless the call is cancelled. None of them is called
- *  from within web_call or web_call_cancel. */
+/** Callbacks of a call. on_end runs last and exactly once, unless the call is cancelled. None of them runs from within
+ *  web_call or web_call_cancel. */
 typedef struct {
     web_head_action_t (*on_head)(void *arg, const web_head_t *head);
     void (*on_data)(void *arg, const char *data, size_t size);
@@ -57,30 +57,30 @@
 
 /* ===== Public functions ===== */
 
-/** A client that keeps no idle connections: see web_client_set_idle_max. */
+/** Create a client. It keeps no idle connections until web_client_set_idle_max is called. */
 web_client_t *web_client_create(loop_t *loop);
-/** Calls still open end without a report. */
+/** Destroy the client. Calls in progress are dropped without a callback. */
 void web_client_destroy(web_client_t *client);
 
-/** Most idle connections kept to one address. */
+/** Set how many idle connections are kept per address. */
 void web_client_set_idle_max(web_client_t *client, unsigned idle_max);
 
 /** Send a request.
  * @param addr "IP:port"
- * @param request the whole request as bytes; taken over
- * @param reuse whether a kept connection may be used: only for what may run twice, since a back end may close such a
- *  connection at any moment
- * @param connect_ms how long the connection may take to come up */
+ * @param request the complete request as bytes; ownership passes to the call
+ * @param reuse whether an idle connection may be used. Only for requests that may be executed twice, since a back end
+ *  may close an idle connection at any moment
+ * @param connect_ms connect timeout */
 web_call_t *web_call(web_client_t *client, const char *addr, GByteArray *request, bool reuse, tc_time_t connect_ms,
                      const web_sink_t *sink);
 
-/** Drop the call and close its connection; nothing is reported any more. */
+/** Cancel the call and close its connection. No callback runs afterwards. */
 void web_call_cancel(web_call_t *call);
 
-/** Whether something of the answer, or the end of the connection, has come and was not read yet. */
+/** Whether unread input is pending: bytes of a response, or the end of the connection. */
 bool web_call_has_input(const web_call_t *call);
 
-/** Whether a byte of the request may have left this box. */
+/** Whether any byte of the request may have left this box. */
 bool web_call_sent(const web_call_t *call);
 
 #endif
--- a/lib/web/web_fetch.h
+++ b/lib/web/web_fetch.h
@@ -1,5 +1,5 @@
 /** @file web_fetch.h
- * A small call whose answer is read whole, within a time limit. Everything runs in the loop's thread.
+ * HTTP request whose response is buffered in full, within a time limit. Everything runs in the loop's thread.
  */
 #ifndef TRACKCOVE_WEB_WEB_FETCH_H
 #define TRACKCOVE_WEB_WEB_FETCH_H
@@ -10,23 +10,23 @@
 
 /* ===== Types ===== */
 
-/** How it ended. */
+/** Outcome of a fetch. */
 typedef enum {
-    WEB_FETCH_OK,     /**< the answer came whole: status and body are the back end's */
-    WEB_FETCH_FAILED, /**< no connection, or no whole answer */
-    WEB_FETCH_TIMEOUT /**< not within the limit */
+    WEB_FETCH_OK,     /**< complete response: status and body are set */
+    WEB_FETCH_FAILED, /**< no connection, no complete response, or a body above body_bytes */
+    WEB_FETCH_TIMEOUT /**< no complete response within limit_ms */
 } web_fetch_result_t;
 
-/** The call has ended; it may be begun again, or freed, from within. */
+/** The fetch has ended. The callback may start it again or free it. */
 typedef void (*web_fetch_fn_t)(void *arg, web_fetch_result_t how);
 
-/** The head of an answer came over the call's connection, to this call or not; the call goes on. */
+/** A response head arrived on the connection, whether or not it belongs to this fetch, which continues. */
 typedef void (*web_fetch_head_fn_t)(void *arg, const web_head_t *head);
 
-/** One such call at a time. Zeroed, with a body, before its first use. */
+/** One fetch at a time. Zero it and allocate body before first use. */
 typedef struct {
-    web_call_t *call; /**< NULL when none is under way */
-    int status;       /**< 0 before a head has come */
+    web_call_t *call; /**< NULL when idle */
+    int status;       /**< HTTP status; 0 until a head is accepted */
     GByteArray *body;
     size_t body_bytes;
     loop_timer_t limit;
@@ -36,25 +36,27 @@
     void *arg;
 } web_fetch_t;
 
-/** Where and how long to ask. */
+/** Target and limits of a fetch. */
 typedef struct {
     loop_t *loop;
     web_client_t *client;
     const char *addr;                        /**< "IP:port" */
-    bool (*is_ours)(const web_head_t *head); /**< whether an answer may be the one to this call: others, which come late
-                                                  on a kept connection, are read past; NULL: any may */
-    web_fetch_head_fn_t on_head;             /**< or NULL; with the same argument as the end */
-    tc_time_t connect_ms;                    /**< for the connection */
-    tc_time_t limit_ms;                      /**< for all of it */
-    size_t body_bytes; /**< the longest body that is taken, one beyond is as a broken answer; 0: any */
+    bool (*is_ours)(const web_head_t *head); /**< whether a response may belong to this fetch. Others, which arrive late
+                                                  on a reused connection, are skipped. NULL: any may */
+    web_fetch_head_fn_t on_head;             /**< or NULL; gets the same arg as fn */
+    tc_time_t connect_ms;                    /**< connect timeout */
+    tc_time_t limit_ms;                      /**< timeout of the whole fetch */
+    size_t body_bytes; /**< maximum response body; a longer one gives WEB_FETCH_FAILED. 0: no limit */
 } web_fetch_options_t;
 
 /* ===== Public functions ===== */
 
-/** Send @p request (taken over), which may run twice. @p fn runs once, later, unless it is cancelled. */
-void web_fetch(web_fetch_t *ask, const web_fetch_options_t *where, GByteArray *request, web_fetch_fn_t fn, void *arg);
+/** Send @p request (ownership passes), which must be safe to execute twice, since a kept connection may be used.
+ *  @p fn runs once, never from within this call, unless the fetch is cancelled. */
+void web_fetch(web_fetch_t *fetch, const web_fetch_options_t *options, GByteArray *request, web_fetch_fn_t fn,
+               void *arg);
 
-/** Drop the call under way, if there is one: nothing is reported. */
-void web_fetch_cancel(web_fetch_t *ask);
+/** Cancel the fetch in progress, if any. No callback runs. */
+void web_fetch_cancel(web_fetch_t *fetch);
 
 #endif
--- a/lib/web/web_probe.c
+++ b/lib/web/web_probe.c
@@ -9,13 +9,13 @@
 
 #include "peer/peer.h"
 
-static void end(web_probe_t *probe, web_probe_result_t how)
+static void finish(web_probe_t *probe, web_probe_result_t result)
 {
     web_probe_cancel(probe);
-    probe->fn(probe->arg, how);
+    probe->fn(probe->arg, result);
 }
 
-static web_probe_result_t read_error(int error)
+static web_probe_result_t result_of_error(int error)
 {
     if (error == 0)
         return WEB_PROBE_OPEN;
@@ -27,25 +27,25 @@
     web_probe_t *const probe = arg;
     int error = 0;
     socklen_t size = sizeof(error);
-    (void)events; /* whichever: the connection has come up or not */
+    (void)events; /* any event: SO_ERROR tells whether the connection succeeded */
     if (getsockopt(probe->watch.fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0)
         error = errno;
-    end(probe, read_error(error));
+    finish(probe, result_of_error(error));
 }
 
-static void on_limit(void *arg)
+static void on_timeout(void *arg)
 {
-    end(arg, WEB_PROBE_UNREACHABLE);
+    finish(arg, WEB_PROBE_UNREACHABLE);
 }
 
 static void on_refused_at_once(void *arg)
 {
-    end(arg, WEB_PROBE_REFUSED);
+    finish(arg, WEB_PROBE_REFUSED);
 }
 
 void web_probe(web_probe_t *probe, loop_t *loop, const char *addr, tc_time_t limit_ms, web_probe_fn_t fn, void *arg)
 {
-    assert(!probe->loop); /* one at a time: a second would lose the first one's socket */
+    assert(!probe->loop); /* one at a time: a second would leak the first one's socket */
     struct sockaddr_storage to = {0};
     unsigned size = 0;
     const bool parsed = peer_parse_addr(addr, &to, &size, NULL) == TC_OK;
@@ -55,11 +55,11 @@
     const bool tried = parsed && fd >= 0;
     if (tried && (rc == 0 || errno == EINPROGRESS)) {
         loop_watch(loop, &probe->watch, EPOLLOUT);
-        loop_arm(loop, &probe->limit, tc_time_now() + limit_ms, on_limit, probe);
+        loop_arm(loop, &probe->limit, tc_time_now() + limit_ms, on_timeout, probe);
         return;
     }
     const bool refused = tried && errno == ECONNREFUSED;
-    loop_arm(loop, &probe->limit, tc_time_now(), refused ? on_refused_at_once : on_limit, probe);
+    loop_arm(loop, &probe->limit, tc_time_now(), refused ? on_refused_at_once : on_timeout, probe);
 }
 
 void web_probe_cancel(web_probe_t *probe)
--- a/lib/web/web_probe.h
+++ b/lib/web/web_probe.h
@@ -1,7 +1,7 @@
 /** @file web_probe.h
- * Asks one thing of an address: does anybody listen there? A connection is opened and closed, nothing is sent. A
- * process that has ended is told from one that broke a connection off: the system refuses for it. Everything runs in
- * the loop's thread.
+ * TCP connect probe: checks whether a process listens at an address. The connection is opened and closed; no data is
+ * sent. Distinguishes a process that has exited, for which the kernel refuses the connection, from one that merely
+ * closed a connection. Everything runs in the loop's thread.
  */
 #ifndef TRACKCOVE_WEB_WEB_PROBE_H
 #define TRACKCOVE_WEB_WEB_PROBE_H
@@ -16,17 +16,17 @@
 /* ===== Types ===== */
 
 typedef enum {
-    WEB_PROBE_OPEN,       /**< a connection came up */
-    WEB_PROBE_REFUSED,    /**< the machine is there, and nobody listens */
-    WEB_PROBE_UNREACHABLE /**< neither: the way or the machine may be lost */
+    WEB_PROBE_OPEN,       /**< connection established */
+    WEB_PROBE_REFUSED,    /**< connection refused: the machine is up, no process listens */
+    WEB_PROBE_UNREACHABLE /**< time-out or another error: the network path or the machine may be down */
 } web_probe_result_t;
 
-/** The probe has ended; it may be begun again, or freed, from within. */
+/** The probe has ended. The callback may start it again or free it. */
 typedef void (*web_probe_fn_t)(void *arg, web_probe_result_t end);
 
-/** One probe at a time. Zeroed before its first use. */
+/** One probe at a time. Zero it before first use. */
 typedef struct {
-    loop_t *loop; /**< NULL while none is under way */
+    loop_t *loop; /**< NULL when idle */
     loop_watch_t watch;
     loop_timer_t limit;
     web_probe_fn_t fn;
@@ -35,10 +35,11 @@
 
 /* ===== Public functions ===== */
 
-/** Probe @p addr, "IP:port". @p fn runs once, later, within @p limit_ms, unless it is cancelled. */
+/** Probe @p addr, "IP:port". @p fn runs once, within @p limit_ms and never from within this call, unless the probe is
+ *  cancelled. */
 void web_probe(web_probe_t *probe, loop_t *loop, const char *addr, tc_time_t limit_ms, web_probe_fn_t fn, void *arg);
 
-/** Drop the probe under way, if there is one: nothing is reported. */
+/** Cancel the probe in progress, if any. No callback runs. */
 void web_probe_cancel(web_probe_t *probe);
 
 #endif
--- a/lib/web/web_response.c
+++ b/lib/web/web_response.c
@@ -1,4 +1,4 @@
-/* Answers on their way to callers: whole, or piece by piece. */
+/* Responses to callers, buffered or streamed. */
 
 #include <assert.h>
 #include <errno.h>
@@ -7,10 +7,10 @@
 
 #include "web/web_server_internal.h"
 
-/** Bytes waiting for a caller who does not read: then it is cut off. */
-enum { OUT_MAX = 8 * 1024 * 1024 };
-/** Sent bytes that may stay in front of those that wait: moving the rest has its cost. */
-enum { SENT_KEPT = 64 * 1024 };
+/** Maximum of unsent bytes. A caller that does not read and exceeds it is disconnected. */
+enum { OUT_MAX_BYTES = 8 * 1024 * 1024 };
+/** Sent bytes are removed from the front of the buffer only from this size on, since the rest must be moved. */
+enum { COMPACT_MIN_BYTES = 64 * 1024 };
 
 /* ===== Writing ===== */
 
@@ -22,16 +22,16 @@
     loop_watch_modify(c->server->loop, &c->watch, EPOLLIN | EPOLLRDHUP | (want ? EPOLLOUT : 0u));
 }
 
-/** No byte of an answer is lost or doubled on its way through the buffer. */
-static bool adds_up(const web_exchange_t *c)
+/** Whether the byte counts match the buffer: no byte was lost or duplicated. */
+static bool is_out_consistent(const web_exchange_t *c)
 {
-    return c->put - c->sent == c->out->len - c->out_sent;
+    return c->bytes_queued - c->bytes_sent == c->out->len - c->out_sent;
 }
 
-/** Forget bytes that have been sent, once they are many. */
-static void drop_sent(web_exchange_t *c)
+/** Remove sent bytes from the front of the buffer, once there are enough of them. */
+static void compact_out(web_exchange_t *c)
 {
-    if (c->out_sent < SENT_KEPT)
+    if (c->out_sent < COMPACT_MIN_BYTES)
         return;
     g_byte_array_remove_range(c->out, 0, (guint)c->out_sent);
     c->out_sent = 0;
@@ -39,28 +39,28 @@
 
 bool exchange_flush(web_exchange_t *c)
 {
-    assert(adds_up(c)); /* callers would get pieces that no back end made */
+    assert(is_out_consistent(c)); /* otherwise callers would get data that no back end sent */
     while (c->out_sent < c->out->len) {
         const ssize_t n = send(c->watch.fd, c->out->data + c->out_sent, c->out->len - c->out_sent, MSG_NOSIGNAL);
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
             if (!c->writing)
-                c->since = tc_time_now();
+                c->progress_at = tc_time_now();
             exchange_want_write(c, true);
-            drop_sent(c);
-            assert(adds_up(c)); /* what was dropped had been sent */
-            return c->out->len <= OUT_MAX;
+            compact_out(c);
+            assert(is_out_consistent(c)); /* only sent bytes were removed */
+            return c->out->len <= OUT_MAX_BYTES;
         }
         if (n < 0)
             return false;
         c->out_sent += (size_t)n;
-        c->sent += (uint64_t)n;
-        c->since = tc_time_now();
+        c->bytes_sent += (uint64_t)n;
+        c->progress_at = tc_time_now();
     }
-    exchange_empty(&c->out);
-    exchange_release_answer(c);
+    exchange_reset_buffer(&c->out);
+    exchange_uncount_response(c);
     c->out_sent = 0;
     exchange_want_write(c, false);
-    assert(adds_up(c));
+    assert(is_out_consistent(c));
     return true;
 }
 
@@ -69,77 +69,76 @@
     return c->out->len - c->out_sent;
 }
 
-void exchange_release_answer(web_exchange_t *c)
+void exchange_uncount_response(web_exchange_t *c)
 {
-    c->server->held -= c->answer_held;
-    c->answer_held = 0;
+    c->server->buffered_bytes -= c->response_counted;
+    c->response_counted = 0;
 }
 
-void exchange_put(web_exchange_t *c, const void *data, size_t size)
+void exchange_queue(web_exchange_t *c, const void *data, size_t size)
 {
     g_byte_array_append(c->out, data, (guint)size);
-    c->put += size;
+    c->bytes_queued += size;
 }
 
-/* ===== Answering ===== */
+/* ===== Responses ===== */
 
 void web_on_disconnect(web_exchange_t *c, loop_fn_t fn, void *arg)
 {
     assert(c->state == EXCHANGE_HANDLING); /* only a request being handled can lose its caller */
-    c->gone = fn;
-    c->gone_arg = arg;
+    c->on_disconnect = fn;
+    c->disconnect_arg = arg;
 }
 
-/** Whether the caller reads no body behind an answer of this status: a byte of one would stand before the next answer.
- */
+/** Whether a response with this status has no body. A body byte would be read as the start of the next response. */
 static bool is_bodiless(const web_exchange_t *c, int status)
 {
     return c->head_only || status == 204 || status == 304;
 }
 
-static void put_head(web_exchange_t *c, int status, const char *head)
+static void queue_head(web_exchange_t *c, int status, const char *head)
 {
-    if (c->server->retiring)
-        c->keep = false;
+    if (c->server->draining)
+        c->keep_alive = false;
     GString *const text = g_string_new(NULL);
     g_string_printf(text, "HTTP/1.1 %d %s\r\n%s", status, http_status_str((enum http_status)status), head);
-    g_string_append(text, c->keep ? "" : "Connection: close\r\n");
-    exchange_put(c, text->str, text->len);
+    g_string_append(text, c->keep_alive ? "" : "Connection: close\r\n");
+    exchange_queue(c, text->str, text->len);
     g_string_free(text, TRUE);
 }
 
-static void on_next(void *arg)
+static void on_next_request(void *arg)
 {
     web_exchange_t *const c = arg;
-    GByteArray *const data = c->ahead;
-    c->ahead = g_byte_array_new();
+    GByteArray *const data = c->pipelined;
+    c->pipelined = g_byte_array_new();
     exchange_parse(c, (const char *)data->data, data->len);
     g_byte_array_free(data, TRUE);
 }
 
-/** The next request, if its bytes are here already. */
-static void exchange_next(web_exchange_t *c)
+/** Schedule parsing of the next request, if bytes of it have been read already. */
+static void exchange_schedule_next(web_exchange_t *c)
 {
-    if (c->ahead->len > 0)
-        loop_arm(c->server->loop, &c->next, tc_time_now(), on_next, c);
+    if (c->pipelined->len > 0)
+        loop_arm(c->server->loop, &c->next_timer, tc_time_now(), on_next_request, c);
 }
 
-/** What belongs to one request ends with it. */
+/** Clear the state of one request. */
 static void reset_request(web_exchange_t *c)
 {
-    c->gone = NULL;
-    c->begun = c->in_body = false;
+    c->on_disconnect = NULL;
+    c->request_started = c->in_body = false;
     c->head_only = c->bodiless = c->chunked = false;
 }
 
-static void finish(web_exchange_t *c)
+static void finish_response(web_exchange_t *c)
 {
-    assert(c->state == EXCHANGE_HANDLING); /* an exchange ends once */
-    c->server->busy--;
+    assert(c->state == EXCHANGE_HANDLING); /* an exchange ends exactly once */
+    c->server->in_flight--;
     reset_request(c);
-    c->state = c->keep ? EXCHANGE_READING : EXCHANGE_CLOSING;
-    c->since = tc_time_now();
-    exchange_drop_body(c);
+    c->state = c->keep_alive ? EXCHANGE_READING : EXCHANGE_CLOSING;
+    c->progress_at = tc_time_now();
+    exchange_free_body(c);
     if (!exchange_flush(c)) {
         exchange_close(c);
         return;
@@ -149,62 +148,62 @@
             shutdown(c->watch.fd, SHUT_WR);
         return;
     }
-    exchange_next(c);
+    exchange_schedule_next(c);
 }
 
 void web_respond(web_exchange_t *c, int status, const char *head, const void *body, size_t size)
 {
     GString *const all = g_string_new(head);
     c->bodiless = is_bodiless(c, status);
-    if (!c->bodiless) /* else the length that it would have is not known here */
+    if (!c->bodiless) /* for HEAD, 204 and 304 the length that the body would have is unknown here */
         g_string_append_printf(all, "Content-Length: %zu\r\n", size);
-    put_head(c, status, all->str);
+    queue_head(c, status, all->str);
     g_string_free(all, TRUE);
-    exchange_put(c, "\r\n", 2);
+    exchange_queue(c, "\r\n", 2);
     if (!c->bodiless) {
-        c->answer_held += size;
-        c->server->held += size;
-        exchange_put(c, body, size);
+        c->response_counted += size;
+        c->server->buffered_bytes += size;
+        exchange_queue(c, body, size);
     }
-    finish(c);
+    finish_response(c);
 }
 
 void web_begin_response(web_exchange_t *c, int status, const char *head)
 {
     c->bodiless = is_bodiless(c, status);
-    c->chunked = !c->old && !c->bodiless;
-    c->unframed = c->old && !c->bodiless;
-    if (c->old)
-        c->keep = false; /* the end of the connection ends the answer */
-    put_head(c, status, head);
-    exchange_put(c, c->chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n", c->chunked ? 30 : 2);
-    (void)exchange_flush(c); /* a break shows as an event */
+    c->chunked = !c->is_http10 && !c->bodiless;
+    c->unframed = c->is_http10 && !c->bodiless;
+    if (c->is_http10)
+        c->keep_alive = false; /* the end of the connection ends the response */
+    queue_head(c, status, head);
+    exchange_queue(c, c->chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n", c->chunked ? 30 : 2);
+    (void)exchange_flush(c); /* a broken connection shows up as an event */
 }
 
 void web_write(web_exchange_t *c, const void *data, size_t size)
 {
     if (size == 0 || c->bodiless)
-        return; /* an empty chunk would end the answer */
+        return; /* an empty chunk would end the response */
     char line[24];
     const int n = g_snprintf(line, sizeof(line), "%zx\r\n", size);
     if (c->chunked)
-        exchange_put(c, line, (size_t)n);
-    exchange_put(c, data, size);
+        exchange_queue(c, line, (size_t)n);
+    exchange_queue(c, data, size);
     if (c->chunked)
-        exchange_put(c, "\r\n", 2);
+        exchange_queue(c, "\r\n", 2);
     if (!exchange_flush(c))
-        shutdown(c->watch.fd, SHUT_RD); /* broken, or the caller takes nothing: the loop reports it as gone */
+        shutdown(c->watch.fd, SHUT_RD); /* broken, or too much unsent: the loop then reports the disconnect */
 }
 
 void web_end_response(web_exchange_t *c)
 {
     if (c->chunked)
-        exchange_put(c, "0\r\n\r\n", 5);
-    finish(c);
+        exchange_queue(c, "0\r\n\r\n", 5);
+    finish_response(c);
 }
 
 void web_abort_response(web_exchange_t *c)
 {
-    c->gone = NULL;
+    c->on_disconnect = NULL;
     exchange_close(c);
 }
--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -17,20 +17,21 @@
 COUNTER_DEFINE(c_open, "gauge", "trackcove_web_connections", "Open connections of callers")
 
 enum {
-    READ_SIZE = 16 * 1024,
-    AHEAD_MAX = 64 * 1024, /* bytes of later requests kept while one is handled */
-    SWEEP_MS = 250,        /* how often idle connections are looked at */
-    ROOM_KEPT = 64 * 1024, /* of a buffer that is empty: connections stay open, a large body is rare */
-    LINGER_MS = 1000       /* an answer that ends the connection may take this long to be taken up */
+    READ_BYTES = 16 * 1024,
+    PIPELINED_MAX_BYTES = 64 * 1024, /* of later requests, buffered while one is handled */
+    SWEEP_MS = 250,                  /* interval between checks of all timeouts */
+    BUFFER_KEEP_BYTES =
+        64 * 1024,   /* allocation that an empty buffer may keep: connections are long-lived, large bodies are rare */
+    LINGER_MS = 1000 /* for the caller to read the last response of a connection */
 };
 
 static void exchange_on_io(void *arg, uint32_t events);
 
-/* ===== Bytes that are held ===== */
+/* ===== Buffers ===== */
 
-void exchange_empty(GByteArray **bytes)
+void exchange_reset_buffer(GByteArray **bytes)
 {
-    if ((*bytes)->len <= ROOM_KEPT) {
+    if ((*bytes)->len <= BUFFER_KEEP_BYTES) {
         g_byte_array_set_size(*bytes, 0);
         return;
     }
@@ -38,46 +39,47 @@
     *bytes = g_byte_array_new();
 }
 
-void exchange_drop_body(web_exchange_t *c)
+void exchange_free_body(web_exchange_t *c)
 {
-    exchange_empty(&c->body);
-    c->server->held -= c->body_held;
-    c->body_held = 0;
+    exchange_reset_buffer(&c->body);
+    c->server->buffered_bytes -= c->body_counted;
+    c->body_counted = 0;
 }
 
-static bool has_room(const web_server_t *s, size_t size)
+static bool can_buffer(const web_server_t *s, size_t size)
 {
-    return s->limits->buffered_bytes == 0 || s->held + size <= s->limits->buffered_bytes;
+    return s->limits->buffered_bytes == 0 || s->buffered_bytes + size <= s->limits->buffered_bytes;
 }
 
-/** Count so many bytes of a body. @return false, with the request to be refused, when they are too many */
-static bool hold_body(web_exchange_t *c, size_t size)
+/** Grow the counted size of the body to @p size bytes. @return false, with refuse_status set, when buffered_bytes would
+ *  be exceeded */
+static bool count_body(web_exchange_t *c, size_t size)
 {
-    if (size <= c->body_held)
+    if (size <= c->body_counted)
         return true;
-    if (!has_room(c->server, size - c->body_held)) {
-        c->refuse = 503;
+    if (!can_buffer(c->server, size - c->body_counted)) {
+        c->refuse_status = 503;
         return false;
     }
-    c->server->held += size - c->body_held;
-    c->body_held = size;
+    c->server->buffered_bytes += size - c->body_counted;
+    c->body_counted = size;
     return true;
 }
 
 void web_drop_body(web_exchange_t *c)
 {
-    exchange_drop_body(c);
+    exchange_free_body(c);
 }
 
 bool web_can_buffer(const web_exchange_t *c, size_t size)
 {
-    return has_room(c->server, size);
+    return can_buffer(c->server, size);
 }
 
-/* ===== Connections: making and ending ===== */
+/* ===== Closing connections ===== */
 
-/** Promise: an answer that ends early does not look complete. Chunks and lengths say so; without them only a reset
- * does, since callers take an orderly end of the connection for the answer's. */
+/** Guarantee: a truncated response never looks complete. Chunked encoding and Content-Length show the truncation;
+ *  without them only a reset does, since callers take an orderly close for the end of the response. */
 static void reset_unfinished(const web_exchange_t *c)
 {
     const struct linger hard = {.l_onoff = 1, .l_linger = 0};
@@ -89,28 +91,28 @@
 {
     reset_unfinished(c);
     if (c->state == EXCHANGE_HANDLING)
-        c->server->busy--;
-    loop_disarm(&c->next);
+        c->server->in_flight--;
+    loop_disarm(&c->next_timer);
     loop_unwatch(c->server->loop, &c->watch);
     close(c->watch.fd);
     cds_list_del(&c->node);
-    exchange_drop_body(c);
-    exchange_release_answer(c);
+    exchange_free_body(c);
+    exchange_uncount_response(c);
     g_string_free(c->target, TRUE);
     web_headers_free(&c->headers);
     g_byte_array_free(c->body, TRUE);
-    g_byte_array_free(c->ahead, TRUE);
+    g_byte_array_free(c->pipelined, TRUE);
     g_byte_array_free(c->out, TRUE);
     g_free(c);
     counter_add(&c_open, -1);
 }
 
-/** The caller is gone or the connection is broken. */
-static void exchange_lost(web_exchange_t *c)
+/** The caller has disconnected or the connection is broken: report it and close. */
+static void exchange_disconnect(web_exchange_t *c)
 {
-    const loop_fn_t gone = c->state == EXCHANGE_HANDLING ? c->gone : NULL;
-    void *const arg = c->gone_arg;
-    c->gone = NULL;
+    const loop_fn_t gone = c->state == EXCHANGE_HANDLING ? c->on_disconnect : NULL;
+    void *const arg = c->disconnect_arg;
+    c->on_disconnect = NULL;
     if (c->state == EXCHANGE_HANDLING)
         counter_add(&c_gone, 1);
     if (gone)
@@ -120,14 +122,14 @@
 
 /* ===== Reading ===== */
 
-static int on_begin(http_parser *parser)
+static int on_message_begin(http_parser *parser)
 {
     web_exchange_t *const c = parser->data;
     g_string_truncate(c->target, 0);
     web_headers_clear(&c->headers);
-    exchange_drop_body(c);
+    exchange_free_body(c);
     c->in_body = false;
-    c->refuse = 0;
+    c->refuse_status = 0;
     return 0;
 }
 
@@ -136,14 +138,14 @@
     web_exchange_t *const c = parser->data;
     g_string_append_len(c->target, data, (gssize)size);
     if (c->target->len > c->server->limits->header_bytes)
-        c->refuse = 431;
-    return c->refuse ? -1 : 0;
+        c->refuse_status = 431;
+    return c->refuse_status ? -1 : 0;
 }
 
 static int on_name(http_parser *parser, const char *data, size_t size)
 {
     web_exchange_t *const c = parser->data;
-    if (c->in_body) /* a trailer: nobody decided by it, so nobody gets it */
+    if (c->in_body) /* trailers are dropped: no check has seen them, so they are not forwarded */
         c->headers.bytes += size;
     else
         web_headers_on_name(&c->headers, data, size);
@@ -158,29 +160,29 @@
     else
         web_headers_on_value(&c->headers, data, size);
     if (c->headers.bytes > c->server->limits->header_bytes)
-        c->refuse = 431;
-    return c->refuse ? -1 : 0;
+        c->refuse_status = 431;
+    return c->refuse_status ? -1 : 0;
 }
 
 static int on_headers(http_parser *parser)
 {
     web_exchange_t *const c = parser->data;
     if (parser->content_length != ULLONG_MAX && parser->content_length > c->server->limits->body_bytes) {
-        c->refuse = 413;
+        c->refuse_status = 413;
         return -1;
     }
     if (parser->content_length != ULLONG_MAX && parser->content_length > 0) {
-        if (!hold_body(c, (size_t)parser->content_length))
+        if (!count_body(c, (size_t)parser->content_length))
             return -1;
         g_byte_array_free(c->body, TRUE);
         c->body = g_byte_array_sized_new((guint)parser->content_length);
     }
     c->in_body = true;
     if (c->server->limits->body_ms > 0)
-        c->since = tc_time_now();
+        c->progress_at = tc_time_now();
     const char *const expect = web_headers_get(&c->headers, "Expect");
     if (expect && g_ascii_strcasecmp(expect, "100-continue") == 0)
-        exchange_put(c, "HTTP/1.1 100 Continue\r\n\r\n", 25);
+        exchange_queue(c, "HTTP/1.1 100 Continue\r\n\r\n", 25);
     return 0;
 }
 
@@ -188,50 +190,50 @@
 {
     web_exchange_t *const c = parser->data;
     if (c->body->len + size > c->server->limits->body_bytes) {
-        c->refuse = 413;
+        c->refuse_status = 413;
         return -1;
     }
-    if (!hold_body(c, c->body->len + size))
+    if (!count_body(c, c->body->len + size))
         return -1;
     g_byte_array_append(c->body, (const guint8 *)data, (guint)size);
     if (c->server->limits->body_ms > 0)
-        c->since = tc_time_now();
+        c->progress_at = tc_time_now();
     return 0;
 }
 
-static int on_complete(http_parser *parser)
+static int on_message_complete(http_parser *parser)
 {
     web_exchange_t *const c = parser->data;
     c->complete = true;
-    c->keep = http_should_keep_alive(parser) != 0;
-    c->old = parser->http_major < 1 || (parser->http_major == 1 && parser->http_minor < 1);
-    http_parser_pause(parser, 1); /* bytes behind it wait until it has been answered */
+    c->keep_alive = http_should_keep_alive(parser) != 0;
+    c->is_http10 = parser->http_major < 1 || (parser->http_major == 1 && parser->http_minor < 1);
+    http_parser_pause(parser, 1); /* later bytes wait until this request has its response */
     return 0;
 }
 
-static const http_parser_settings parser_settings = {.on_message_begin = on_begin,
+static const http_parser_settings parser_settings = {.on_message_begin = on_message_begin,
                                                      .on_url = on_target,
                                                      .on_header_field = on_name,
                                                      .on_header_value = on_value,
                                                      .on_headers_complete = on_headers,
                                                      .on_body = on_body,
-                                                     .on_message_complete = on_complete};
+                                                     .on_message_complete = on_message_complete};
 
 static void refuse(web_exchange_t *c, int status)
 {
     counter_add(&c_bad, 1);
     c->state = EXCHANGE_HANDLING;
-    c->server->busy++;
-    c->keep = false;
-    /* For want of room: soon there is some, since no body stays for long. */
+    c->server->in_flight++;
+    c->keep_alive = false;
+    /* 503: buffers are full, but no body is kept for long, so a retry soon succeeds. */
     web_respond(c, status, status == 503 ? "Retry-After: 0.3\r\n" : "", "", 0);
 }
 
-static void handle(web_exchange_t *c)
+static void start_request(web_exchange_t *c)
 {
     counter_add(&c_requests, 1);
     c->state = EXCHANGE_HANDLING;
-    c->server->busy++;
+    c->server->in_flight++;
     c->head_only = c->parser.method == HTTP_HEAD;
     const web_request_t request = {.method = http_method_str((enum http_method)c->parser.method),
                                    .target = c->target->str,
@@ -243,57 +245,57 @@
 
 void exchange_parse(web_exchange_t *c, const char *data, size_t size)
 {
-    if (!c->begun && size > 0) {
-        c->begun = true;
-        c->since = c->arrived = tc_time_now();
+    if (!c->request_started && size > 0) {
+        c->request_started = true;
+        c->progress_at = c->arrived = tc_time_now();
     }
     const size_t used = http_parser_execute(&c->parser, &parser_settings, data, size);
     if (c->complete) {
         c->complete = false;
         http_parser_pause(&c->parser, 0);
-        g_byte_array_append(c->ahead, (const guint8 *)data + used, (guint)(size - used));
-        handle(c);
+        g_byte_array_append(c->pipelined, (const guint8 *)data + used, (guint)(size - used));
+        start_request(c);
         return;
     }
     if (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) {
-        refuse(c, c->refuse ? c->refuse : 400);
+        refuse(c, c->refuse_status ? c->refuse_status : 400);
         return;
     }
     if (c->out->len > 0 && !exchange_flush(c))
-        exchange_lost(c);
+        exchange_disconnect(c);
 }
 
 static void exchange_read(web_exchange_t *c)
 {
-    char data[READ_SIZE];
+    char data[READ_BYTES];
     const ssize_t n = recv(c->watch.fd, data, sizeof(data), 0);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
         return;
     if (n <= 0) {
-        exchange_lost(c);
+        exchange_disconnect(c);
         return;
     }
     if (c->state == EXCHANGE_CLOSING)
-        return; /* what comes behind the last answer is read and dropped, so that closing does not reset */
-    if (c->state == EXCHANGE_READING && c->ahead->len == 0) {
+        return; /* input after the last response is read and dropped, since closing with unread input sends a reset */
+    if (c->state == EXCHANGE_READING && c->pipelined->len == 0) {
         exchange_parse(c, data, (size_t)n);
         return;
     }
-    g_byte_array_append(c->ahead, (const guint8 *)data, (guint)n);
-    if (c->ahead->len > AHEAD_MAX)
-        exchange_lost(c);
+    g_byte_array_append(c->pipelined, (const guint8 *)data, (guint)n);
+    if (c->pipelined->len > PIPELINED_MAX_BYTES)
+        exchange_disconnect(c);
 }
 
 static void exchange_on_io(void *arg, uint32_t events)
 {
     web_exchange_t *const c = arg;
     if (events & EPOLLERR) {
-        exchange_lost(c);
+        exchange_disconnect(c);
         return;
     }
     if (events & EPOLLOUT) {
         if (!exchange_flush(c)) {
-            exchange_lost(c);
+            exchange_disconnect(c);
             return;
         }
         if (c->state == EXCHANGE_CLOSING && c->out->len == 0)
@@ -305,7 +307,7 @@
 
 /* ===== Listening ===== */
 
-static tc_time_t take_limit(const web_server_t *s)
+static tc_time_t send_timeout(const web_server_t *s)
 {
     return s->limits->send_timeout_ms > 0 ? s->limits->send_timeout_ms : WEB_SEND_TIMEOUT_MS;
 }
@@ -320,8 +322,9 @@
             return;
         const int on = 1;
         setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-        /* Short answers fit the kernel's buffers: it is the one that sees that nobody takes them up. */
-        const unsigned unacked = (unsigned)take_limit(s);
+        /* A short response fits into the kernel's buffers, so only the kernel notices that the caller does not ACK it.
+         */
+        const unsigned unacked = (unsigned)send_timeout(s);
         setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof(unacked));
         web_exchange_t *const c = g_new0(web_exchange_t, 1);
         c->server = s;
@@ -331,16 +334,16 @@
         c->target = g_string_new(NULL);
         web_headers_init(&c->headers);
         c->body = g_byte_array_new();
-        c->ahead = g_byte_array_new();
+        c->pipelined = g_byte_array_new();
         c->out = g_byte_array_new();
-        c->since = tc_time_now();
+        c->progress_at = tc_time_now();
         cds_list_add(&c->node, &s->conns);
         counter_add(&c_open, 1);
         loop_watch(s->loop, &c->watch, EPOLLIN | EPOLLRDHUP);
     }
 }
 
-/** How long the request that is being read may go on without what it is measured by. */
+/** Timeout of the request being read, counted from progress_at. */
 static tc_time_t read_limit(const web_exchange_t *c)
 {
     const web_limits_t *const limits = c->server->limits;
@@ -351,16 +354,16 @@
 {
     web_server_t *const s = arg;
     const tc_time_t now = tc_time_now();
-    const tc_time_t send_timeout_ms = take_limit(s);
+    const tc_time_t send_timeout_ms = send_timeout(s);
     web_exchange_t *c, *next;
     cds_list_for_each_entry_safe(c, next, &s->conns, node) {
-        if (c->state == EXCHANGE_READING && c->begun && now - c->since > read_limit(c))
+        if (c->state == EXCHANGE_READING && c->request_started && now - c->progress_at > read_limit(c))
             refuse(c, 408);
-        else if (c->state == EXCHANGE_READING && !c->begun && now - c->since > s->limits->idle_ms)
+        else if (c->state == EXCHANGE_READING && !c->request_started && now - c->progress_at > s->limits->idle_ms)
             exchange_close(c);
-        else if (c->state == EXCHANGE_HANDLING && c->writing && now - c->since > send_timeout_ms)
-            exchange_lost(c);
-        else if (c->state == EXCHANGE_CLOSING && now - c->since > LINGER_MS)
+        else if (c->state == EXCHANGE_HANDLING && c->writing && now - c->progress_at > send_timeout_ms)
+            exchange_disconnect(c);
+        else if (c->state == EXCHANGE_CLOSING && now - c->progress_at > LINGER_MS)
             exchange_close(c);
     }
     loop_arm(s->loop, &s->sweep, now + SWEEP_MS, sweep, s);
@@ -386,12 +389,12 @@
 
 void web_server_drain(web_server_t *s)
 {
-    s->retiring = true;
+    s->draining = true;
 }
 
 unsigned web_server_in_flight(const web_server_t *s)
 {
-    return s->busy;
+    return s->in_flight;
 }
 
 void web_server_stop(web_server_t *s)
@@ -401,6 +404,6 @@
     close(s->listener.fd);
     web_exchange_t *c, *next;
     cds_list_for_each_entry_safe(c, next, &s->conns, node)
-        exchange_lost(c);
+        exchange_disconnect(c);
     g_free(s);
 }
--- a/lib/web/web_server_internal.h
+++ b/lib/web/web_server_internal.h
@@ -1,5 +1,5 @@
 /** @file web_server_internal.h
- * Shared by web_server.c (connections and what comes in) and web_response.c (what goes out); nobody else includes it.
+ * Shared by web_server.c (connections, requests) and web_response.c (responses). Private to these two files.
  */
 #ifndef TRACKCOVE_WEB_WEB_SERVER_INTERNAL_H
 #define TRACKCOVE_WEB_WEB_SERVER_INTERNAL_H
@@ -22,29 +22,30 @@
     bool writing;
     exchange_state_t state;
     http_parser parser;
-    bool begun;     /* a byte of the next request has come */
-    bool in_body;   /* its headers have come */
-    bool complete;  /* the parser has a whole request */
-    bool keep;      /* the caller keeps the connection */
-    bool head_only; /* the caller reads no body behind any answer to the request being handled */
-    bool bodiless;  /* and none behind the answer under way */
-    bool chunked;   /* the answer under way goes in chunks */
-    bool unframed;  /* the end of the connection is the answer's end: one that ends early must be reset */
-    bool old;       /* HTTP/1.0 */
-    int refuse;     /* status to refuse the request with, found while reading */
+    bool request_started; /* a byte of the request has been read */
+    bool in_body;         /* all its headers have been read */
+    bool complete;        /* the parser has a complete request */
+    bool keep_alive;      /* the connection stays open after the response */
+    bool head_only;       /* HEAD request: no response to it has a body */
+    bool bodiless;        /* the response in progress has no body */
+    bool chunked;         /* the response in progress uses chunked encoding */
+    bool unframed;     /* the end of the connection ends the response: if it ends early, the connection must be reset */
+    bool is_http10;    /* the request is HTTP/1.0 or older */
+    int refuse_status; /* status with which the request is refused, set by the parser callbacks; 0: none */
     GString *target;
     web_headers_t headers;
     GByteArray *body;
-    size_t body_held, answer_held; /* what the server counts for it */
-    GByteArray *ahead;             /* bytes behind the request being handled, or waiting for their turn */
-    loop_timer_t next;             /* hands them to the parser, from the loop, so that handlers never nest */
+    size_t body_counted, response_counted; /* its share of the server's buffered_bytes */
+    GByteArray *pipelined;                 /* bytes after the request being handled, not parsed yet */
+    loop_timer_t next_timer;               /* parses them from the loop, so that handlers never nest */
     GByteArray *out;
     size_t out_sent;
-    uint64_t put, sent; /* bytes since the connection was made: added to out, and written to the socket */
-    tc_time_t since;    /* state or last progress */
+    uint64_t bytes_queued,
+        bytes_sent;        /* totals of the connection: bytes added to out, and bytes written to the socket */
+    tc_time_t progress_at; /* time of the last change of state or of the last progress */
     tc_time_t arrived;
-    loop_fn_t gone;
-    void *gone_arg;
+    loop_fn_t on_disconnect;
+    void *disconnect_arg;
 };
 
 struct web_server {
@@ -55,31 +56,32 @@
     void *arg;
     struct cds_list_head conns;
     loop_timer_t sweep;
-    size_t held; /* bytes of bodies and answers, as counted */
-    unsigned busy;
-    bool retiring;
+    size_t buffered_bytes; /* request bodies and responses of all connections */
+    unsigned in_flight;
+    bool draining;
 };
 
 /* ===== web_server.c ===== */
 
 /** Close the connection and free it. */
 void exchange_close(web_exchange_t *c);
-/** Hand bytes to the parser; may answer and so free the connection. */
+/** Feed bytes to the parser. May respond, and so may free the connection. */
 void exchange_parse(web_exchange_t *c, const char *data, size_t size);
 
-/** Make an array empty, and free its room when that is large. */
-void exchange_empty(GByteArray **bytes);
-/** The body is needed no more. */
-void exchange_drop_body(web_exchange_t *c);
+/** Empty a buffer, and release its memory when it is large. */
+void exchange_reset_buffer(GByteArray **bytes);
+/** Free the request body and remove it from the server's buffered_bytes. */
+void exchange_free_body(web_exchange_t *c);
 
 /* ===== web_response.c ===== */
 
-/** The server counts the answer no more. */
-void exchange_release_answer(web_exchange_t *c);
+/** Remove the response from the server's buffered_bytes. */
+void exchange_uncount_response(web_exchange_t *c);
 
-/** Add bytes to those that wait to be sent. */
-void exchange_put(web_exchange_t *c, const void *data, size_t size);
-/** Send what waits, as far as the caller takes it. @return false when the connection broke, or too much waits */
+/** Append bytes to the output buffer. */
+void exchange_queue(web_exchange_t *c, const void *data, size_t size);
+/** Write the output buffer to the socket as far as possible. @return false when the connection is broken or the buffer
+ *  exceeds its limit */
 bool exchange_flush(web_exchange_t *c);
 
 #endif
