--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -1,37 +1,37 @@
-/* The HTTP server on the loop, against bytes as a bad peer would send them. */
+/* HTTP server: malformed and ambiguous requests, limits, slow and disconnecting callers. */
 
 #include "unit/web_lab.h"
 
 /* ===== Server ===== */
 
-static void test_whole(fixture_t *f, gconstpointer data)
+static void test_complete_requests(fixture_t *f, gconstpointer data)
 {
     (void)data;
     g_assert_cmpint(status_of(f, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"), ==, 200);
     g_assert_cmpint(
         status_of(f, "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"),
         ==, 200);
-    g_assert_cmpstr(f->seen->str, ==, "xyz|abc|");
+    g_assert_cmpstr(f->bodies->str, ==, "xyz|abc|");
 }
 
-static bool is_held(void *arg)
+static bool is_request_waiting(void *arg)
 {
-    return ((fixture_t *)arg)->held;
+    return ((fixture_t *)arg)->request_waiting;
 }
 
-/** Bodies of all connections together stay below what the server may hold; what would go beyond is told to come back
- *  before it is read. */
-static void test_held_bytes(fixture_t *f, gconstpointer data)
+/** The bodies of all connections together stay below buffered_bytes; a request that would exceed it gets 503 with
+ *  Retry-After before its body is read. */
+static void test_buffered_bytes(fixture_t *f, gconstpointer data)
 {
     (void)data;
     static const char hold[] = "POST /hold HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n"
                                "0123456789012345678901234567890123456789";
-    static const char more[] = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n"; /* not sent yet */
+    static const char more[] = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n"; /* the body is not sent */
     static const char chunks[] = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                                  "20\r\n01234567890123456789012345678901\r\n0\r\n\r\n";
     f->limits.buffered_bytes = 64;
     lab_call_t *const first = lab_call(f->client, f->addr, hold);
-    lab_run_until(f->loop, is_held, f);
+    lab_run_until(f->loop, is_request_waiting, f);
     lab_call_t *const second = lab_call(f->client, f->addr, more);
     lab_run_until_true(f->loop, &second->done);
     g_assert_cmpint(second->status, ==, 503);
@@ -39,19 +39,19 @@
     lab_call_free(second);
     g_assert_cmpint(status_of(f, chunks), ==, 503);
     g_assert_false(web_can_buffer(f->exchange, 25));
-    web_drop_body(f->exchange); /* it is needed no more, though it is not answered */
+    web_drop_body(f->exchange); /* no longer needed, although there is no response yet */
     g_assert_true(web_can_buffer(f->exchange, 64));
     g_assert_cmpint(status_of(f, chunks), ==, 200);
     web_respond(f->exchange, 200, "", "", 0);
     lab_run_until_true(f->loop, &first->done);
     lab_call_free(first);
-    g_assert_cmpint(status_of(f, chunks), ==, 200); /* answered and gone: nothing is counted any more */
+    g_assert_cmpint(status_of(f, chunks), ==, 200); /* complete: nothing is counted any more */
 }
 
 static void test_smuggled(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    /* Two lengths, or a length beside chunks: whatever is behind must not become a request of its own. */
+    /* Two lengths, or a length together with chunked encoding: what follows must not be taken for another request. */
     g_assert_cmpint(status_of(f,
                               "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
                               "0\r\n\r\nGET /evil HTTP/1.1\r\nHost: h\r\n\r\n"),
@@ -89,7 +89,7 @@
         lab_call(f->client, f->addr, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpstr(c->body->str, ==, "/1");
-    lab_run_until(f->loop, has_handled_two, f); /* its turn comes behind the first answer */
+    lab_run_until(f->loop, has_handled_two, f); /* it is handled after the first response */
     g_assert_cmpuint(f->handled, ==, 2);
     lab_call_free(c);
 }
@@ -98,14 +98,14 @@
 {
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
-    lab_run_until_true(f->loop, &f->held);
+    lab_run_until_true(f->loop, &f->request_waiting);
     web_call_cancel(c->call);
-    lab_run_until_true(f->loop, &f->gone);
+    lab_run_until_true(f->loop, &f->disconnected);
     g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     lab_call_free(c);
 }
 
-/** Promise: nothing is held for a caller that is gone, also when its connection only fell silent. */
+/** Guarantee: no memory is kept for a caller that is gone, even if its connection was never closed. */
 static void test_silent_caller(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -116,17 +116,17 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     g_assert_cmpint(connect(fd, (const struct sockaddr *)&to, size), ==, 0);
     g_assert_cmpint(send(fd, request, strlen(request), 0), ==, (ssize_t)strlen(request));
-    lab_run_until_true(f->loop, &f->held);
-    char *const piece = g_malloc0(MORE_THAN_BUFFERS);
+    lab_run_until_true(f->loop, &f->request_waiting);
+    char *const piece = g_malloc0(ABOVE_SOCKET_BUFFERS_BYTES);
     web_begin_response(f->exchange, 200, "");
-    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
-    lab_run_until_true(f->loop, &f->gone); /* it reads nothing, and never closes */
+    web_write(f->exchange, piece, ABOVE_SOCKET_BUFFERS_BYTES);
+    lab_run_until_true(f->loop, &f->disconnected); /* it neither reads nor closes */
     g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     g_free(piece);
     close(fd);
 }
 
-static void test_abort_shows(fixture_t *f, gconstpointer data)
+static void test_abort_is_visible(fixture_t *f, gconstpointer data)
 {
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /cut HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -135,12 +135,12 @@
     lab_call_free(c);
 }
 
-static void test_retired(fixture_t *f, gconstpointer data)
+static void test_draining(fixture_t *f, gconstpointer data)
 {
     (void)data;
     lab_call_t *const c = lab_call(f->client, f->addr, "GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
-    lab_run_until_true(f->loop, &f->held);
-    web_server_drain(f->server); /* what is under way is still answered */
+    lab_run_until_true(f->loop, &f->request_waiting);
+    web_server_drain(f->server); /* the request in flight still gets its response */
     web_respond(f->exchange, 200, "", "late", 4);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
@@ -150,7 +150,7 @@
 
 /* ===== Several requests on one connection ===== */
 
-/** A caller that sends and reads bytes as they are. */
+/** A caller that sends and receives raw bytes. */
 typedef struct {
     fixture_t *f;
     int fd;
@@ -180,7 +180,7 @@
     g_assert_cmpint(send(raw->fd, bytes, strlen(bytes), MSG_NOSIGNAL), ==, (ssize_t)strlen(bytes));
 }
 
-/** The server has read what was sent so far: parts that are sent behind it come by themselves. */
+/** Let the server read what was sent so far, so that later bytes arrive in a read of their own. */
 static void raw_pause(const raw_t *raw)
 {
     lab_run_for(raw->f->loop, 20);
@@ -197,8 +197,8 @@
     return raw->closed || raw->in->len >= raw->expected;
 }
 
-/** Read so many bytes more, or all until the server closes, and what comes behind them. @return all that was read since
- *  the last time, borrowed */
+/** Read at least @p expected bytes, or until the server closes, plus what follows shortly after. @return what this call
+ *  read, borrowed */
 static const char *raw_read(raw_t *raw, size_t expected)
 {
     g_string_truncate(raw->in, 0);
@@ -214,7 +214,8 @@
     g_assert_cmpstr(raw_read(raw, strlen(bytes)), ==, bytes);
 }
 
-/** What a request asks of its connection ends with it: one that comes in two parts is read like any other. */
+/** An Upgrade header applies to its own request only: the next request, which arrives in two parts, is read normally.
+ */
 static void test_upgrade_ends_with_its_request(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -228,7 +229,7 @@
     raw_close(&raw);
 }
 
-/** The same when its body comes behind its headers. */
+/** The same when the body arrives after the headers. */
 static void test_upgrade_with_a_body(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -237,25 +238,25 @@
     raw_pause(&raw);
     raw_send(&raw, "abc");
     expect_bytes(&raw, OK_1);
-    g_assert_cmpstr(f->seen->str, ==, "abc|");
+    g_assert_cmpstr(f->bodies->str, ==, "abc|");
     raw_close(&raw);
 }
 
-/** The time for a request's body does not go on for the next request's headers. */
-static void test_time_of_a_body_ends_with_it(fixture_t *f, gconstpointer data)
+/** The timeout of a request body does not apply to the headers of the next request. */
+static void test_body_timeout_ends_with_body(fixture_t *f, gconstpointer data)
 {
     (void)data;
     f->limits.body_ms = 600000; /* longer than the test waits */
     raw_t raw = raw_open(f);
     raw_send(&raw, "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
     expect_bytes(&raw, OK_1);
-    raw_send(&raw, "\r\n"); /* allowed before a request: it has begun */
+    raw_send(&raw, "\r\n"); /* allowed before a request line: the request has started */
     g_assert_nonnull(strstr(raw_read(&raw, 1), "HTTP/1.1 408 "));
     raw_close(&raw);
 }
 
-/** Callers read no body behind some heads: a byte sent there would stand before the next answer. */
-static void test_answers_without_a_body(fixture_t *f, gconstpointer data)
+/** Some responses have no body: a body byte would be read as the start of the next response. */
+static void test_responses_without_a_body(fixture_t *f, gconstpointer data)
 {
     (void)data;
     static const char *const paths[] = {"/1", "/stream"};
@@ -269,11 +270,11 @@
     raw_send(&raw, GET("/none"));
     g_assert_cmpstr(raw_read(&raw, 1), ==, "HTTP/1.1 204 No Content\r\n\r\n");
     raw_send(&raw, GET("/2"));
-    expect_bytes(&raw, OK_2); /* nothing of those stands before it */
+    expect_bytes(&raw, OK_2); /* no byte of those responses precedes it */
     raw_close(&raw);
 }
 
-/** One request and a part of the next are there at once, at each place where they may be cut. */
+/** Two pipelined requests arrive in two parts, split at every third position. */
 static void test_pipelined_in_parts(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -282,19 +283,19 @@
     raw_t raw = raw_open(f);
     for (size_t cut = 1; cut < strlen(both); cut += 3) {
         char *const first = g_strndup(both, cut);
-        g_string_truncate(f->seen, 0);
+        g_string_truncate(f->bodies, 0);
         raw_send(&raw, first);
         lab_run_for(f->loop, 2);
         raw_send(&raw, both + cut);
         g_assert_cmpstr(raw_read(&raw, strlen(OK_1 OK_2)), ==, OK_1 OK_2);
-        g_assert_cmpstr(f->seen->str, ==, "abc|de|");
+        g_assert_cmpstr(f->bodies->str, ==, "abc|de|");
         g_free(first);
     }
     raw_close(&raw);
 }
 
-/** What is behind a request whose answer is aborted is not begun, and nothing follows the part that was sent. */
-static void test_aborted_answer_ends_the_connection(fixture_t *f, gconstpointer data)
+/** A request after one whose response is aborted is not handled, and nothing follows the part that was sent. */
+static void test_aborted_response_closes_the_connection(fixture_t *f, gconstpointer data)
 {
     (void)data;
     raw_t raw = raw_open(f);
@@ -305,7 +306,7 @@
     raw_close(&raw);
 }
 
-/** Answers that the kernel takes in parts come whole and one behind the other. */
+/** Responses that the kernel accepts in several writes arrive complete and in order. */
 static void test_short_writes(fixture_t *f, gconstpointer data)
 {
     (void)data;
@@ -313,7 +314,7 @@
     f->limits.idle_ms = 60000;
     raw_t raw = raw_open(f);
     char *const body = large_body();
-    char *const one = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", LARGE, body);
+    char *const one = g_strdup_printf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", LARGE_BYTES, body);
     char *const all = g_strconcat(one, OK_1, one, OK_2, NULL);
     raw_send(&raw, GET("/large") GET("/1") GET("/large") GET("/2"));
     raw_pause(&raw); /* the kernel's buffers are full */
@@ -326,8 +327,8 @@
     raw_close(&raw);
 }
 
-/** Answers that are whole on our side and that nobody takes up are not kept for ever, nor is the connection. */
-static void test_caller_who_stops_reading(fixture_t *f, gconstpointer data)
+/** Complete responses that the caller does not read are dropped after a timeout, and the connection is closed. */
+static void test_caller_stops_reading(fixture_t *f, gconstpointer data)
 {
     (void)data;
     raw_t raw = raw_open(f);
@@ -337,22 +338,22 @@
         lab_run_for(f->loop, 2 * f->limits.idle_ms);
     (void)raw_read(&raw, SIZE_MAX);
     g_assert_true(raw.closed);
-    g_assert_cmpuint(raw.in->len, <, 4 * LARGE);
+    g_assert_cmpuint(raw.in->len, <, 4 * LARGE_BYTES);
     g_assert_cmpuint(web_server_in_flight(f->server), ==, 0);
     raw_close(&raw);
 }
 
-/* ===== Answers without chunks ===== */
+/* ===== HTTP/1.0: responses without chunked encoding ===== */
 
-/** How a connection ended for a caller that has read all that came. */
+/** How the server closed the connection, seen by a caller that reads everything. */
 typedef struct {
     int fd;
     bool over, reset;
-} ending_t;
+} close_watch_t;
 
-static bool has_ended(void *arg)
+static bool has_closed(void *arg)
 {
-    ending_t *const e = arg;
+    close_watch_t *const e = arg;
     char data[65536];
     ssize_t n;
     while ((n = recv(e->fd, data, sizeof(data), MSG_DONTWAIT)) > 0) {
@@ -362,20 +363,20 @@
     return e->over;
 }
 
-/** A caller of HTTP/1.0 takes an orderly end of its connection for the end of the answer. */
+/** An HTTP/1.0 caller takes an orderly close for the end of the response, so a truncated one must end in a reset. */
 static void expect_reset(fixture_t *f, int fd)
 {
-    ending_t ending = {.fd = fd};
-    lab_run_until(f->loop, has_ended, &ending);
-    g_assert_true(ending.reset);
+    close_watch_t watch = {.fd = fd};
+    lab_run_until(f->loop, has_closed, &watch);
+    g_assert_true(watch.reset);
 }
 
-/** Begin an answer to a caller of HTTP/1.0. @param size of the first piece of more */
-static raw_t begin_old(fixture_t *f, size_t size)
+/** Start a response to an HTTP/1.0 caller. @param size of its first piece, which is not the last */
+static raw_t begin_http10(fixture_t *f, size_t size)
 {
     raw_t raw = raw_open(f);
     raw_send(&raw, "GET /hold HTTP/1.0\r\nHost: h\r\n\r\n");
-    lab_run_until_true(f->loop, &f->held);
+    lab_run_until_true(f->loop, &f->request_waiting);
     char *const piece = g_malloc0(size);
     web_begin_response(f->exchange, 200, "");
     web_write(f->exchange, piece, size);
@@ -383,47 +384,47 @@
     return raw;
 }
 
-/** An answer that ends early does not look complete: its caller took nothing for too long. */
-static void test_old_caller_who_stops_reading(fixture_t *f, gconstpointer data)
+/** A truncated response does not look complete: here the caller read nothing until the send timeout. */
+static void test_http10_caller_stops_reading(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    raw_t raw = begin_old(f, MORE_THAN_BUFFERS);
-    lab_run_until_true(f->loop, &f->gone);
+    raw_t raw = begin_http10(f, ABOVE_SOCKET_BUFFERS_BYTES);
+    lab_run_until_true(f->loop, &f->disconnected);
     expect_reset(f, raw.fd);
     raw_close(&raw);
 }
 
-/** The same when more waits for it than is kept. */
-static void test_old_caller_too_much_waits(fixture_t *f, gconstpointer data)
+/** The same when the unsent bytes exceed the limit. */
+static void test_http10_too_much_unsent(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    f->limits.send_timeout_ms = 60000; /* it is not given up before */
-    raw_t raw = begin_old(f, MORE_THAN_BUFFERS);
-    char *const piece = g_malloc0(MORE_THAN_BUFFERS);
-    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
-    web_write(f->exchange, piece, MORE_THAN_BUFFERS);
+    f->limits.send_timeout_ms = 60000; /* no send timeout before that */
+    raw_t raw = begin_http10(f, ABOVE_SOCKET_BUFFERS_BYTES);
+    char *const piece = g_malloc0(ABOVE_SOCKET_BUFFERS_BYTES);
+    web_write(f->exchange, piece, ABOVE_SOCKET_BUFFERS_BYTES);
+    web_write(f->exchange, piece, ABOVE_SOCKET_BUFFERS_BYTES);
     g_free(piece);
-    lab_run_until_true(f->loop, &f->gone);
+    lab_run_until_true(f->loop, &f->disconnected);
     expect_reset(f, raw.fd);
     raw_close(&raw);
 }
 
-/** The same when it has closed its own side. */
-static void test_old_caller_half_closed(fixture_t *f, gconstpointer data)
+/** The same when the caller has shut down its sending side. */
+static void test_http10_caller_half_closes(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    raw_t raw = begin_old(f, 4);
+    raw_t raw = begin_http10(f, 4);
     g_assert_cmpint(shutdown(raw.fd, SHUT_WR), ==, 0);
-    lab_run_until_true(f->loop, &f->gone);
+    lab_run_until_true(f->loop, &f->disconnected);
     expect_reset(f, raw.fd);
     raw_close(&raw);
 }
 
-/** The same when the server ends. */
-static void test_old_caller_server_stops(fixture_t *f, gconstpointer data)
+/** The same when the server stops. */
+static void test_http10_server_stops(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    raw_t raw = begin_old(f, 4);
+    raw_t raw = begin_http10(f, 4);
     web_server_stop(f->server);
     tc_err_t err = {0};
     f->server = web_server_start(f->loop, f->addr, &f->limits, handle, f, &err);
@@ -436,26 +437,26 @@
 {
     g_test_init(&argc, &argv, NULL);
 #define TEST(name, fn) g_test_add("/web/" name, fixture_t, NULL, set_up, fn, tear_down)
-    TEST("whole-requests", test_whole);
+    TEST("complete-requests", test_complete_requests);
     TEST("smuggled-requests-are-refused", test_smuggled);
-    TEST("held-bytes", test_held_bytes);
+    TEST("buffered-bytes", test_buffered_bytes);
     TEST("limits", test_limits);
     TEST("pipelined", test_pipelined);
     TEST("caller-leaves", test_caller_leaves);
-    TEST("aborted-answer-is-not-whole", test_abort_shows);
+    TEST("aborted-response-is-incomplete", test_abort_is_visible);
     TEST("silent-caller", test_silent_caller);
-    TEST("retired-server-answers-what-is-under-way", test_retired);
+    TEST("draining-server-completes-requests-in-flight", test_draining);
     TEST("upgrade-ends-with-its-request", test_upgrade_ends_with_its_request);
     TEST("upgrade-with-a-body", test_upgrade_with_a_body);
-    TEST("time-of-a-body-ends-with-it", test_time_of_a_body_ends_with_it);
-    TEST("answers-without-a-body", test_answers_without_a_body);
+    TEST("body-timeout-ends-with-body", test_body_timeout_ends_with_body);
+    TEST("responses-without-a-body", test_responses_without_a_body);
     TEST("pipelined-in-parts", test_pipelined_in_parts);
-    TEST("aborted-answer-ends-the-connection", test_aborted_answer_ends_the_connection);
+    TEST("aborted-response-closes-the-connection", test_aborted_response_closes_the_connection);
     TEST("short-writes", test_short_writes);
-    TEST("caller-who-stops-reading", test_caller_who_stops_reading);
-    TEST("old-caller-who-stops-reading", test_old_caller_who_stops_reading);
-    TEST("old-caller-too-much-waits", test_old_caller_too_much_waits);
-    TEST("old-caller-half-closed", test_old_caller_half_closed);
-    TEST("old-caller-server-stops", test_old_caller_server_stops);
+    TEST("caller-stops-reading", test_caller_stops_reading);
+    TEST("http10-caller-stops-reading", test_http10_caller_stops_reading);
+    TEST("http10-too-much-unsent", test_http10_too_much_unsent);
+    TEST("http10-caller-half-closes", test_http10_caller_half_closes);
+    TEST("http10-server-stops", test_http10_server_stops);
     return g_test_run();
 }
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -1,6 +1,6 @@
 /** @file web_lab.h
- * The world of test_web.c and test_web_client.c, which alone include it: a server that answers by the path, and a
- * client.
+ * Fixture of test_web.c and test_web_client.c, which alone include it: a server whose response depends on the path, and
+ * a client.
  */
 #ifndef TRACKCOVE_TESTS_WEB_LAB_H
 #define TRACKCOVE_TESTS_WEB_LAB_H
@@ -16,12 +16,12 @@
 #include "peer/peer.h"
 #include "web/web_server.h"
 
-/** An answer that the kernel does not take off the server's hands: its buffers grow to some 6 MB. */
-enum { MORE_THAN_BUFFERS = 7 * 1024 * 1024 };
-/** An answer that goes out in many writes, and leaves room for another beside it. */
-enum { LARGE = 3 * 1024 * 1024 };
+/** A response too large for the kernel's socket buffers, which grow to some 6 MB. */
+enum { ABOVE_SOCKET_BUFFERS_BYTES = 7 * 1024 * 1024 };
+/** A response that takes many writes, and leaves room for another one in the buffers. */
+enum { LARGE_BYTES = 3 * 1024 * 1024 };
 
-/* ===== A server that answers by the path ===== */
+/* ===== Server ===== */
 
 typedef struct {
     loop_t *loop;
@@ -30,24 +30,24 @@
     web_limits_t limits;
     char addr[32];
     unsigned handled;
-    bool gone;
-    bool held; /* a request waits for its answer */
+    bool disconnected;
+    bool request_waiting; /* a request to /hold waits for its response */
     web_exchange_t *exchange;
-    GString *seen; /* bodies, each followed by a bar */
+    GString *bodies; /* request bodies, each followed by '|' */
 } fixture_t;
 
-static void on_gone(void *arg)
+static void on_disconnect(void *arg)
 {
-    ((fixture_t *)arg)->gone = true;
+    ((fixture_t *)arg)->disconnected = true;
 }
 
-/** Bytes that differ from place to place, so that a lost or doubled one shows. */
+/** A body whose bytes vary with the position, so that lost or duplicated bytes are detected. */
 static char *large_body(void)
 {
-    char *const body = g_malloc(LARGE + 1);
-    for (size_t i = 0; i < LARGE; i++)
+    char *const body = g_malloc(LARGE_BYTES + 1);
+    for (size_t i = 0; i < LARGE_BYTES; i++)
         body[i] = (char)('a' + i % 23 + (i / 4099) % 3);
-    body[LARGE] = '\0';
+    body[LARGE_BYTES] = '\0';
     return body;
 }
 
@@ -55,12 +55,12 @@
 {
     fixture_t *const f = arg;
     f->handled++;
-    g_string_append_len(f->seen, (const char *)request->body->data, request->body->len);
-    g_string_append_c(f->seen, '|');
+    g_string_append_len(f->bodies, (const char *)request->body->data, request->body->len);
+    g_string_append_c(f->bodies, '|');
     if (strcmp(request->target, "/hold") == 0) {
-        f->held = true;
+        f->request_waiting = true;
         f->exchange = exchange;
-        web_on_disconnect(exchange, on_gone, f);
+        web_on_disconnect(exchange, on_disconnect, f);
         return;
     }
     if (strcmp(request->target, "/stream") == 0) {
@@ -71,7 +71,7 @@
     }
     if (strcmp(request->target, "/large") == 0) {
         char *const body = large_body();
-        web_respond(exchange, 200, "", body, LARGE);
+        web_respond(exchange, 200, "", body, LARGE_BYTES);
         g_free(body);
         return;
     }
@@ -92,7 +92,7 @@
 {
     (void)data;
     f->loop = loop_create();
-    f->seen = g_string_new(NULL);
+    f->bodies = g_string_new(NULL);
     f->limits =
         (web_limits_t){.header_bytes = 512, .body_bytes = 64, .header_ms = 300, .idle_ms = 300, .send_timeout_ms = 300};
     lab_free_addr(f->addr);
@@ -108,7 +108,7 @@
     web_client_destroy(f->client);
     web_server_stop(f->server);
     loop_destroy(f->loop);
-    g_string_free(f->seen, TRUE);
+    g_string_free(f->bodies, TRUE);
 }
 
 static __attribute__((unused)) int status_of(fixture_t *f, const char *request)
@@ -120,7 +120,7 @@
     return status;
 }
 
-/* ===== Requests and answers ===== */
+/* ===== Requests and responses ===== */
 
 #define OK_1 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1"
 #define OK_2 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/2"
