--- a/tests/platform/large_lab.h
+++ b/tests/platform/large_lab.h
@@ -1,6 +1,7 @@
 /** @file large_lab.h
- * The world of test_large.c and of bench/config_sizes.c: control boxes as real processes behind narrow ways, many entry
- * boxes' reporters in the test's own loop, and an operator who sends configurations of any size.
+ * Fixture of test_large.c and bench/config_sizes.c: control boxes as real processes behind proxies with limited
+ * bandwidth, reporters of many entry boxes in the test's own loop, and an operator that sends configurations of any
+ * size.
  */
 #ifndef TRACKCOVE_TESTS_LARGE_LAB_H
 #define TRACKCOVE_TESTS_LARGE_LAB_H
@@ -24,8 +25,8 @@
 enum {
     CONTROLS = 3,
     ENTRIES = 66,
-    /* Each way of a connection: the link of an entry box, 10 Mbit/s. */
-    WAY_BYTES_S = 1250 * 1000,
+    /* Bandwidth of a connection in each direction: the link of an entry box, 10 Mbit/s. */
+    LINK_BYTES_S = 1250 * 1000,
     PROCESSES = CONTROLS + 1
 };
 
@@ -33,7 +34,7 @@
 
 struct large;
 
-/** One entry box: what it reports, and the version it acts on. */
+/** One entry box: its reporter, and the version of its configuration. */
 typedef struct {
     struct large *world;
     entry_box_t self;
@@ -41,7 +42,7 @@
     uint64_t version;
 } entry_t;
 
-/** One program, as a real process. */
+/** One program running as a real process. */
 typedef struct {
     const char *program;
     char ip[20], settings[96];
@@ -52,7 +53,7 @@
 typedef struct {
     process_t process;
     char peer[32], http[32], dir[64];
-    proxy_t *way;
+    proxy_t *proxy;
 } control_t;
 
 typedef struct large {
@@ -61,19 +62,19 @@
     int port;
     char root[48];
     control_t control[CONTROLS];
-    process_t forward; /* one entry box as a real process, beside the others' reporters */
+    process_t forward; /* one entry box as a real process, in addition to the reporters */
     entry_t entry[ENTRIES];
-    uint64_t want;         /* version that a wait is for */
-    int64_t pieces;        /* number of them that a wait is for */
-    const lab_call_t *put; /* whose refusal ends that wait */
+    uint64_t wanted_version; /* version that all_have_version waits for */
+    int64_t wanted_pieces;   /* count of received pieces to wait for */
+    const lab_call_t *put;   /* a refusal of this call also ends that wait */
 } large_t;
 
 /* ===== Processes ===== */
 
-/** Of processes that run, 0 for none: what a test that fails leaves must not outlive it. */
+/** Ids of running processes, 0 for free entries. They are killed when the test fails, so that none outlives it. */
 static volatile pid_t running[PROCESSES];
 
-static void end_running(int number)
+static void kill_running(int number)
 {
     for (int i = 0; i < PROCESSES; i++)
         if (running[i])
@@ -82,7 +83,7 @@
     raise(number);
 }
 
-static void note_running(pid_t before, pid_t now)
+static void set_running(pid_t before, pid_t now)
 {
     int at = 0;
     while (running[at] != before)
@@ -95,13 +96,13 @@
     const char *const bin = g_getenv("TRACKCOVE_BIN");
     char *const path = g_build_filename(bin ? bin : "build/bin", p->program, NULL);
     p->pid = process_spawn(path, p->settings);
-    note_running(0, p->pid);
+    set_running(0, p->pid);
     g_free(path);
 }
 
 static void process_kill(process_t *p)
 {
-    note_running(p->pid, 0);
+    set_running(p->pid, 0);
     g_assert_cmpint(kill(p->pid, SIGKILL), ==, 0);
     g_assert_cmpint(waitpid(p->pid, NULL, 0), ==, p->pid);
     p->pid = 0;
@@ -153,7 +154,7 @@
 static bool on_document(void *arg, const document_t *document)
 {
     entry_t *const e = arg;
-    g_assert_cmpuint(document->version, >, e->version); /* never back */
+    g_assert_cmpuint(document->version, >, e->version); /* versions only increase */
     e->version = document->version;
     return true;
 }
@@ -185,21 +186,21 @@
     }
 }
 
-static bool all_have_wanted(void *arg)
+static bool all_have_version(void *arg)
 {
     const large_t *const w = arg;
     for (int i = 0; i < ENTRIES; i++)
-        if (w->entry[i].version < w->want)
+        if (w->entry[i].version < w->wanted_version)
             return false;
     return true;
 }
 
 /* ===== Operator ===== */
 
-/** A configuration of @p routes routes, some 300 bytes each, with names by lot as operators' tools make them. */
+/** A configuration of @p routes routes, some 300 bytes each, with random names like those of operators' tools. */
 static char *make_config(uint64_t version, int routes)
 {
-    GRand *const random = g_rand_new_with_seed(7); /* what stays from version to version stays the same */
+    GRand *const random = g_rand_new_with_seed(7); /* the same routes in every version */
     GString *const text = g_string_new(NULL);
     g_string_append_printf(text, "{\"version\":%" G_GUINT64_FORMAT ",\"routes\":[", version);
     for (int i = 0; i < routes; i++) {
@@ -234,7 +235,7 @@
     return ((const lab_call_t *)arg)->done;
 }
 
-/** Send a configuration as operators do: again to another box, until it has a clear answer.
+/** Send a configuration as operators do: retry at the next box until the result is definite.
  * @return the box that acknowledged it, or refused it with @p expected */
 static int put_expecting(large_t *w, const char *body, int expected)
 {
@@ -258,10 +259,10 @@
     return put_expecting(w, body, 200);
 }
 
-/** The box that acknowledges what is there already. */
+/** The leader: the box that acknowledges an older version. */
 static int find_leader(large_t *w)
 {
-    char *const body = make_config(1, 1); /* overtaken: it changes nothing */
+    char *const body = make_config(1, 1); /* an older version: it changes nothing */
     const int leader = put(w, body);
     g_free(body);
     return leader;
@@ -274,13 +275,13 @@
     g_free(body);
 }
 
-/* ===== Life ===== */
+/* ===== Lifecycle ===== */
 
 static void set_up(large_t *w, gconstpointer data)
 {
     (void)data;
-    signal(SIGABRT, end_running);
-    signal(SIGTERM, end_running);
+    signal(SIGABRT, kill_running);
+    signal(SIGTERM, kill_running);
     w->loop = loop_create();
     w->client = web_client_create(w->loop);
     w->port = lab_free_block("127.0.3.10"); /* the first control box */
@@ -298,8 +299,8 @@
         g_snprintf(bound, sizeof(bound), "127.0.4.%d:%d", 10 + i, w->port);
         g_snprintf(c->dir, sizeof(c->dir), "%s/data-%d", w->root, i);
         g_assert_cmpint(g_mkdir(c->dir, 0700), ==, 0);
-        c->way = proxy_start(w->loop, c->peer, bound);
-        proxy_set_rate(c->way, WAY_BYTES_S);
+        c->proxy = proxy_start(w->loop, c->peer, bound);
+        proxy_set_rate(c->proxy, LINK_BYTES_S);
         start_control(w, c, true);
     }
     start_forward(w);
@@ -315,7 +316,7 @@
     for (int i = 0; i < CONTROLS; i++) {
         if (w->control[i].process.pid)
             process_kill(&w->control[i].process);
-        proxy_stop(w->control[i].way);
+        proxy_stop(w->control[i].proxy);
         folder_empty(w->control[i].dir);
         g_rmdir(w->control[i].dir);
     }
--- a/tests/platform/test_operators.c
+++ b/tests/platform/test_operators.c
@@ -1,7 +1,8 @@
-/* The operators' interface: evacuations of data centres, as its users send them.
+/* The operators' interface: calls that start, end and list evacuations of data centres.
  *
- * Seen: 404 to both calls. An order that was held up on its way arrives with the end of its connection right behind it,
- * when its caller has long ordered otherwise: carried out then, an evacuation that had ended would begin again. */
+ * Guards against 404 for these calls, and against delayed orders: an order that was delayed in the network arrives
+ * together with the close of its connection, after its caller has sent another order. If it were carried out, an
+ * evacuation that had ended would start again. */
 
 #include <glib.h>
 #include <string.h>
@@ -19,9 +20,9 @@
     operators_t operators[SEEDS];
     web_server_t *server[SEEDS];
     web_client_t *client;
-} site_t;
+} servers_t;
 
-static void begin(site_t *s, fixture_t *f)
+static void start_servers(servers_t *s, fixture_t *f)
 {
     tc_err_t err = {0};
     s->f = f;
@@ -36,15 +37,15 @@
     put(f, 4);
 }
 
-static void end(site_t *s)
+static void stop_servers(servers_t *s)
 {
     for (int i = 0; i < SEEDS; i++)
         web_server_stop(s->server[i]);
     web_client_destroy(s->client);
 }
 
-/** @return the status; @p text: in the answer, or NULL */
-static int call_at(site_t *s, int at, const char *method, const char *path, const char *text)
+/** Send a call. @param text expected in the response, or NULL @return the status */
+static int call_at(servers_t *s, int at, const char *method, const char *path, const char *text)
 {
     char *const request = g_strdup_printf("%s %s HTTP/1.1\r\nHost: x\r\n%s\r\n", method, path,
                                           strcmp(method, "POST") == 0 ? "Content-Length: 0\r\n" : "");
@@ -61,37 +62,37 @@
 static void test_calls(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    site_t s;
-    begin(&s, f);
+    servers_t s;
+    start_servers(&s, f);
     const int at = leader(f), other = (at + 1) % SEEDS;
     g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/a/start", NULL), ==, 200);
-    g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/a/start", NULL), ==, 200); /* sent again */
+    g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/a/start", NULL), ==, 200); /* idempotent */
     g_assert_cmpint(call_at(&s, at, "GET", "/evacuations", "[\"a\"]"), ==, 200);
     g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/nowhere/start", "nowhere"), ==, 400);
     g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/a/pause", NULL), ==, 404);
     g_assert_cmpint(call_at(&s, at, "GET", "/evacuations/a/start", NULL), ==, 404);
     g_assert_cmpint(call_at(&s, at, "POST", "/evacuations", NULL), ==, 404);
-    g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/b/end", NULL), ==, 200); /* never begun */
+    g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/b/end", NULL), ==, 200); /* was never started */
     g_assert_cmpint(call_at(&s, at, "POST", "/evacuations/a/end", NULL), ==, 200);
     g_assert_cmpint(call_at(&s, at, "GET", "/evacuations", "[]"), ==, 200);
     const int elsewhere = call_at(&s, other, "POST", "/evacuations/b/start", NULL);
-    if (elsewhere == 307) /* else it knows no leader at the moment */
+    if (elsewhere == 307) /* else it knows no leader at present */
         (void)call_at(&s, other, "POST", "/evacuations/b/start", "/evacuations/b/start");
     g_assert_true(elsewhere == 307 || elsewhere == 503);
-    end(&s);
+    stop_servers(&s);
 }
 
-static bool one_dropped(void *arg)
+static bool has_dropped_one(void *arg)
 {
     return counter_read("trackcove_operators_dropped_total") > *(const int64_t *)arg;
 }
 
-/** An order comes, and the end of its connection right behind it. */
-static void test_held_up(fixture_t *f, gconstpointer data)
+/** An order whose connection closes right after it is not carried out. */
+static void test_delayed_order(fixture_t *f, gconstpointer data)
 {
     (void)data;
-    site_t s;
-    begin(&s, f);
+    servers_t s;
+    start_servers(&s, f);
     const int at = leader(f);
     int64_t before = counter_read("trackcove_operators_dropped_total");
     tc_err_t err = {0};
@@ -103,15 +104,15 @@
     static const char order[] = "POST /evacuations/a/start HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
     g_assert_cmpint(send(fd, order, sizeof(order) - 1, MSG_NOSIGNAL), ==, sizeof(order) - 1);
     close(fd);
-    lab_run_until(f->loop, one_dropped, &before);
+    lab_run_until(f->loop, has_dropped_one, &before);
     g_assert_cmpint(call_at(&s, at, "GET", "/evacuations", "[]"), ==, 200);
-    end(&s);
+    stop_servers(&s);
 }
 
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add("/operators/calls", fixture_t, NULL, set_up, test_calls, tear_down);
-    g_test_add("/operators/held-up", fixture_t, NULL, set_up, test_held_up, tear_down);
+    g_test_add("/operators/delayed-order", fixture_t, NULL, set_up, test_delayed_order, tear_down);
     return g_test_run();
 }
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -1,4 +1,5 @@
-/* The platform's wire forms: each decoded and written as its pages say, against bytes. */
+/* The platform's wire formats: settings, configuration, requests, replies, lists and engine calls, decoded and written
+ * as the platform documents them. */
 
 #include <glib.h>
 #include <jansson.h>
@@ -39,7 +40,7 @@
     settings_free(&b);
     g_assert_cmpint(settings_parse("{\"node_name\":\"x\"}", &b, &err), ==, TC_E_INVALID);
     g_assert_cmpint(settings_parse("{", &b, &err), ==, TC_E_INVALID);
-    /* Mechanisms are named one by one; a wrong name is told. */
+    /* Mechanisms are switched off one by one; an unknown name is an error that includes it. */
     char *const without = g_strdup_printf("{\"without\":[\"queue\"],%s", SETTINGS + 1);
     g_assert_true(feature_is_enabled(FEATURE_QUEUE));
     g_assert_cmpint(settings_parse(without, &b, &err), ==, 0);
@@ -129,7 +130,7 @@
     route_table_unref(t);
 }
 
-/** The place is told, the key is not. */
+/** Errors include the place, never the key. */
 static void test_workspaces_refused(void)
 {
     static const struct {
@@ -160,7 +161,7 @@
     web_headers_on_value(to, value, strlen(value));
 }
 
-static char *written(const web_headers_t *headers, const dialect_call_t *step)
+static char *write_request(const web_headers_t *headers, const dialect_call_t *step)
 {
     GByteArray *const body = g_byte_array_new();
     g_byte_array_append(body, (const guint8 *)"body", 4);
@@ -171,7 +172,7 @@
     return (char *)g_byte_array_free(bytes, FALSE);
 }
 
-static void test_forged_headers_stop_here(void)
+static void test_forged_headers_are_dropped(void)
 {
     static const char *const forged[] = {
         "Stage",       "kv-from",    "Kv-Fetch",          "KV-BACKUP",      "Hold",
@@ -184,7 +185,7 @@
     add(&h, "Model", "m");
     for (size_t i = 0; i < G_N_ELEMENTS(forged); i++)
         add(&h, forged[i], "forged");
-    add(&h, "Connection", "X-Hop"); /* names a header of this connection */
+    add(&h, "Connection", "X-Hop"); /* lists a hop-by-hop header */
     web_headers_t with_hop = h;
     const dialect_call_t step = {.op = DIALECT_DECODE,
                                  .instance = "i-1",
@@ -192,7 +193,7 @@
                                  .handle_at = "10.0.0.2:80",
                                  .handle = "abc",
                                  .resume_after = "12"};
-    char *const text = written(&with_hop, &step);
+    char *const text = write_request(&with_hop, &step);
     g_assert_true(g_str_has_prefix(text, "POST /p/x?y HTTP/1.1\r\n"));
     g_assert_nonnull(strstr(text, "\r\nAttempt-Id: 9c41\r\n"));
     g_assert_nonnull(strstr(text, "\r\nDeadline-Ms: 1234\r\n"));
@@ -205,19 +206,20 @@
     web_headers_free(&h);
 }
 
-static void test_values_cannot_break_lines(void)
+static void test_values_cannot_add_lines(void)
 {
     web_headers_t h;
     web_headers_init(&h);
     add(&h, "X-A", "one\r\nStage: prefill");
     const dialect_call_t step = {.op = DIALECT_SERVE, .instance = "i", .time_left = 5, .resume_after = ""};
-    char *const text = written(&h, &step);
+    char *const text = write_request(&h, &step);
     g_assert_null(strstr(text, "\nStage"));
     g_free(text);
     web_headers_free(&h);
 }
 
-static dialect_reply_t reply_of(int status, const char *name, const char *value, const char *name2, const char *value2)
+static dialect_reply_t read_reply(int status, const char *name, const char *value, const char *name2,
+                                  const char *value2)
 {
     web_headers_t h;
     web_headers_init(&h);
@@ -234,18 +236,18 @@
 
 static void test_replies(void)
 {
-    g_assert_true(reply_of(503, "Not-Executed", "1", NULL, NULL).not_run);
-    g_assert_true(reply_of(421, NULL, NULL, NULL, NULL).not_run);
-    g_assert_false(reply_of(503, NULL, NULL, NULL, NULL).not_run); /* nothing else says so */
-    g_assert_false(reply_of(200, "Not-Executed", "1", NULL, NULL).not_run);
-    g_assert_true(reply_of(200, "Server-Seal", "x", NULL, NULL).authentic);
-    g_assert_false(reply_of(200, NULL, NULL, NULL, NULL).authentic);
-    g_assert_false(reply_of(200, "Server-Seal", "x", "Content-Encoding", "gzip").authentic);
-    g_assert_false(reply_of(200, "Attempt-Id", "other", NULL, NULL).matches_request);
-    g_assert_true(reply_of(200, "Attempt-Id", "id1", NULL, NULL).matches_request);
+    g_assert_true(read_reply(503, "Not-Executed", "1", NULL, NULL).not_run);
+    g_assert_true(read_reply(421, NULL, NULL, NULL, NULL).not_run);
+    g_assert_false(read_reply(503, NULL, NULL, NULL, NULL).not_run); /* only the header says so */
+    g_assert_false(read_reply(200, "Not-Executed", "1", NULL, NULL).not_run);
+    g_assert_true(read_reply(200, "Server-Seal", "x", NULL, NULL).authentic);
+    g_assert_false(read_reply(200, NULL, NULL, NULL, NULL).authentic);
+    g_assert_false(read_reply(200, "Server-Seal", "x", "Content-Encoding", "gzip").authentic);
+    g_assert_false(read_reply(200, "Attempt-Id", "other", NULL, NULL).matches_request);
+    g_assert_true(read_reply(200, "Attempt-Id", "id1", NULL, NULL).matches_request);
 }
 
-static availability_notice_t notice_of(int status, const char *name, const char *value)
+static availability_notice_t read_notice(int status, const char *name, const char *value)
 {
     web_headers_t h;
     web_headers_init(&h);
@@ -258,20 +260,20 @@
 
 static void test_notices(void)
 {
-    g_assert_cmpint(notice_of(503, "Retry-After", "3").retry_after, ==, 3000);
-    g_assert_cmpint(notice_of(429, "retry-after", "0.25").retry_after, ==, 250);
-    g_assert_cmpint(notice_of(200, "Retry-After", "3").retry_after, ==, 0); /* of refusals alone */
-    g_assert_cmpint(notice_of(503, "Retry-After", "1e300").retry_after, ==, 24 * 3600 * 1000);
+    g_assert_cmpint(read_notice(503, "Retry-After", "3").retry_after, ==, 3000);
+    g_assert_cmpint(read_notice(429, "retry-after", "0.25").retry_after, ==, 250);
+    g_assert_cmpint(read_notice(200, "Retry-After", "3").retry_after, ==, 0); /* only refusals have one */
+    g_assert_cmpint(read_notice(503, "Retry-After", "1e300").retry_after, ==, 24 * 3600 * 1000);
     static const char *const wrong[] = {"", "-1", "0", "nan", "soon", "3x", "Fri, 04 Dec 2026 10:00:00 GMT"};
     for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++)
-        g_assert_cmpint(notice_of(503, "Retry-After", wrong[i]).retry_after, ==, 0);
-    g_assert_true(notice_of(200, "Server-Leaving", "1").leaving);
-    g_assert_true(notice_of(503, "server-leaving", "1").leaving);
-    g_assert_false(notice_of(200, "Server-Leaving", "0").leaving);
-    g_assert_false(notice_of(200, "Server-Load", "1,0,8").leaving);
+        g_assert_cmpint(read_notice(503, "Retry-After", wrong[i]).retry_after, ==, 0);
+    g_assert_true(read_notice(200, "Server-Leaving", "1").leaving);
+    g_assert_true(read_notice(503, "server-leaving", "1").leaving);
+    g_assert_false(read_notice(200, "Server-Leaving", "0").leaving);
+    g_assert_false(read_notice(200, "Server-Load", "1,0,8").leaving);
 }
 
-static void test_facts(void)
+static void test_request_properties(void)
 {
     web_headers_t h;
     web_headers_init(&h);
@@ -313,8 +315,8 @@
 
 #define ENTRY(more) "{\"service\":\"s\",\"address\":\"10.1.0.9:80\",\"zone\":\"a\"," more "}"
 
-/** Entries that another writer made: those that name no back end to use are passed over, the others stand. */
-static void test_entries_of_other_writers(void)
+/** Entries that do not describe a usable back end are skipped; the others are read. */
+static void test_invalid_list_entries(void)
 {
     static const char *const entries[] = {
         ENTRY("\"id\":\"i-1\",\"state\":\"ready\",\"slots\":-3"),
@@ -364,7 +366,7 @@
     return b;
 }
 
-static size_t addresses(const entry_box_t *list, uint32_t n, const char *dc)
+static size_t address_count(const entry_box_t *list, uint32_t n, const char *dc)
 {
     const entry_box_t self = box("self:1", "a", true, false);
     const directory_boxes_t boxes = {.list = list, .n = n};
@@ -391,7 +393,7 @@
     return ttl;
 }
 
-/** Callers ask less often while many of the boxes that they ask do not answer. */
+/** The time to live is longer while many boxes are missing, so that callers ask less often. */
 static void test_directory_while_boxes_are_missing(void)
 {
     g_assert_cmpint(time_to_live(300, 0), ==, 1);
@@ -405,13 +407,13 @@
     const entry_box_t boxes[] = {box("a1:1", "a", true, false), box("a2:1", "a", true, false),
                                  box("a3:1", "a", false, false), box("a4:1", "a", true, true),
                                  box("b1:1", "b", true, false)};
-    g_assert_cmpuint(addresses(boxes, 5, "a"), ==, 2);  /* near ones that take callers */
-    g_assert_cmpuint(addresses(boxes, 5, "b"), ==, 3);  /* one alone is too few */
-    g_assert_cmpuint(addresses(boxes, 5, NULL), ==, 3); /* who says nothing gets all */
-    g_assert_cmpuint(addresses(boxes, 0, "a"), ==, 1);  /* nobody is known: this box */
+    g_assert_cmpuint(address_count(boxes, 5, "a"), ==, 2);  /* ready ones in the same data centre */
+    g_assert_cmpuint(address_count(boxes, 5, "b"), ==, 3);  /* one alone is too few: all are listed */
+    g_assert_cmpuint(address_count(boxes, 5, NULL), ==, 3); /* no data centre given: all */
+    g_assert_cmpuint(address_count(boxes, 0, "a"), ==, 1);  /* no box is known: this box */
 }
 
-/* ===== Prompts that engines keep ===== */
+/* ===== Prompt caches of engines ===== */
 
 static void read_parts(const char *value, dialect_request_t *facts)
 {
@@ -423,7 +425,7 @@
     web_headers_free(&h);
 }
 
-static void test_kept(void)
+static void test_cached_tokens(void)
 {
     dialect_request_t facts;
     read_parts("5c1e07a2:800,91bd3f06:410,e4402b7d:250", &facts);
@@ -435,7 +437,7 @@
     static const char gap[] = "{\"held\":[[\"\",\"e4402b7d\",250,\"m\"],[\"\",\"5c1e07a2\",800,\"m\"]]}";
     g_assert_cmpuint(dialect_read_cached_tokens(all, strlen(all), &facts), ==, 1460);
     g_assert_cmpuint(dialect_read_cached_tokens(gap, strlen(gap), &facts), ==,
-                     800); /* only up to the first that is missing */
+                     800); /* only up to the first missing part */
     g_assert_cmpuint(dialect_read_cached_tokens("{", 1, &facts), ==, 0);
     read_parts("5c1e07a2,x:1", &facts);
     g_assert_cmpuint(facts.parts_n, ==, 0);
@@ -457,7 +459,7 @@
     g_assert_cmpstr(engine.stage, ==, "decode");
     g_assert_true(engine.busy);
     g_assert_cmpuint(engine.orders, ==, 2);
-    g_assert_false(read_engine("{\"stage\":\"decode\"}", &engine)); /* an order must rest on a number */
+    g_assert_false(read_engine("{\"stage\":\"decode\"}", &engine)); /* an order needs the sequence number */
     g_assert_false(read_engine("{\"call_seq\":2}", &engine));
     g_assert_false(read_engine("{", &engine));
 }
@@ -466,11 +468,11 @@
 {
     static const char text[] = "{\"stage\":\"decode\",\"runs\":[[\"abc\",3300,7,1],[null,16,0,1],[\"def\",16,0,1]]}";
     GArray *const runs = dialect_read_runs(text, strlen(text));
-    g_assert_cmpuint(runs->len, ==, 2); /* one belongs to nobody's request */
+    g_assert_cmpuint(runs->len, ==, 2); /* one has no request id */
     g_assert_cmpstr(g_array_index(runs, dialect_run_t, 0).id, ==, "abc");
     g_assert_cmpuint(g_array_index(runs, dialect_run_t, 0).tokens, ==, 3300);
     g_array_free(runs, TRUE);
-    g_assert_null(dialect_read_runs("{\"stage\":\"decode\"}", 18)); /* it does not say */
+    g_assert_null(dialect_read_runs("{\"stage\":\"decode\"}", 18)); /* the list is missing */
     g_assert_null(dialect_read_runs("{", 1));
 }
 
@@ -487,7 +489,7 @@
     g_assert_cmpstr(json_string_value(json_object_get(body, "stage")), ==, "decode");
     g_assert_cmpstr(json_string_value(json_object_get(body, "holder")), ==, "box");
     g_assert_cmpint(json_integer_value(json_object_get(body, "fencing_token")), ==, 41);
-    g_assert_true(json_is_integer(json_object_get(body, "expected_rev"))); /* 0 is said too */
+    g_assert_true(json_is_integer(json_object_get(body, "expected_rev"))); /* 0 is sent too */
     json_decref(body);
     g_byte_array_free(bytes, TRUE);
 }
@@ -500,17 +502,17 @@
     g_test_add_func("/platform/config-refused", test_config_refused);
     g_test_add_func("/platform/workspaces", test_workspaces);
     g_test_add_func("/platform/workspaces-refused", test_workspaces_refused);
-    g_test_add_func("/platform/forged-headers-stop-here", test_forged_headers_stop_here);
-    g_test_add_func("/platform/values-cannot-break-lines", test_values_cannot_break_lines);
+    g_test_add_func("/platform/forged-headers-are-dropped", test_forged_headers_are_dropped);
+    g_test_add_func("/platform/values-cannot-add-lines", test_values_cannot_add_lines);
     g_test_add_func("/platform/replies", test_replies);
     g_test_add_func("/platform/notices", test_notices);
-    g_test_add_func("/platform/facts", test_facts);
+    g_test_add_func("/platform/request-properties", test_request_properties);
     g_test_add_func("/platform/list-of-back-ends", test_list);
-    g_test_add_func("/platform/entries-of-other-writers", test_entries_of_other_writers);
+    g_test_add_func("/platform/invalid-list-entries", test_invalid_list_entries);
     g_test_add_func("/platform/prefill-handle", test_handle);
     g_test_add_func("/platform/directory", test_directory);
     g_test_add_func("/platform/directory-while-boxes-are-missing", test_directory_while_boxes_are_missing);
-    g_test_add_func("/platform/kept", test_kept);
+    g_test_add_func("/platform/cached-tokens", test_cached_tokens);
     g_test_add_func("/platform/engine", test_engine);
     g_test_add_func("/platform/runs", test_runs);
     g_test_add_func("/platform/order", test_order);
--- a/tests/platform/test_suspended.c
+++ b/tests/platform/test_suspended.c
@@ -1,13 +1,12 @@
-/* The incident: machines may be suspended for seconds, and the clock that all leases, votes and time limits were
- * counted by left that time out. A leader that came back took its lease for held, a window of the retry budget for full
- * of what was long over, a request's time for left.
+/* Machines may be suspended for seconds. Leases, votes and time limits must count that time.
  *
- * How it came about: the project's clock was CLOCK_MONOTONIC, which goes on while a process is stopped by a signal, the
- * only stand-still that the tests knew, but not while its machine is suspended.
+ * Guards against a clock that leaves it out: CLOCK_MONOTONIC goes on while a process is stopped by a signal, but not
+ * while its machine is suspended. A resumed leader then took its lease for valid, a window of the retry budget counted
+ * old requests, and requests seemed to have time left. Also guards against timers that run before pending input: a loop
+ * that was suspended while it waited read one round of its sockets before its timers ran, so with more than 64 readable
+ * sockets, live streams were given up as silent.
  *
- * What proved it: a child below is suspended by a shim (tests/shim/suspend.c) while its parent counts the time. And, by
- * the same child: a loop that stood still within its wait read one round of its sockets before its timers ran, so that
- * with more than 64 of them full sound streams were given up as silent. */
+ * A child process is suspended by a shim (tests/shim/suspend.c) while its parent measures the time. */
 
 #include <glib.h>
 #include <signal.h>
@@ -22,9 +21,9 @@
 
 enum {
     SUSPENDED_MS = 600,
-    SILENCE_MS = 300, /* after which the child takes a pipe for silent */
-    PIPES = 100,      /* more than a loop handles in one round */
-    CLOCK_FD = 3      /* at which the child says what it found */
+    SILENCE_TIMEOUT_MS = 300, /* after which the child counts the pipes that had input */
+    PIPES = 100,              /* more than the loop handles in one round */
+    RESULT_FD = 3             /* on which the child reports its result */
 };
 
 /* ===== The child ===== */
@@ -34,8 +33,8 @@
     int pipes[PIPES][2];
     loop_watch_t watches[PIPES];
     loop_timer_t silence;
-    unsigned heard;
-    tc_time_t began;
+    unsigned pipes_read;
+    tc_time_t started_at;
 } child_t;
 
 static child_t child;
@@ -45,18 +44,18 @@
     const int fd = *(const int *)arg;
     char byte;
     (void)events;
-    child.heard += read(fd, &byte, 1) == 1;
+    child.pipes_read += read(fd, &byte, 1) == 1;
 }
 
-/** What the child found goes to its parent: ms passed by its clock, and pipes heard before the timer ran. */
+/** Report to the parent: the time that elapsed by the child's clock, ms, and the pipes read before the timer ran. */
 static void on_silence(void *arg)
 {
     (void)arg;
-    dprintf(CLOCK_FD, "%lld %u\n", (long long)(tc_time_now() - child.began), child.heard);
+    dprintf(RESULT_FD, "%lld %u\n", (long long)(tc_time_now() - child.started_at), child.pipes_read);
     loop_stop(child.loop);
 }
 
-/** Write to all pipes from another process, which goes on while this one is suspended. */
+/** Write to all pipes from another process, which keeps running while @p suspended is suspended. */
 static void write_while_suspended(pid_t suspended)
 {
     kill(suspended, SIGUSR2);
@@ -76,8 +75,8 @@
         child.watches[i] = (loop_watch_t){.fd = child.pipes[i][0], .on_io = on_byte, .arg = &child.pipes[i][0]};
         g_assert_cmpint(loop_watch(child.loop, &child.watches[i], EPOLLIN), ==, 0);
     }
-    child.began = tc_time_now();
-    loop_arm(child.loop, &child.silence, child.began + SILENCE_MS, on_silence, NULL);
+    child.started_at = tc_time_now();
+    loop_arm(child.loop, &child.silence, child.started_at + SILENCE_TIMEOUT_MS, on_silence, NULL);
     const pid_t me = getpid();
     if (fork() == 0)
         write_while_suspended(me);
@@ -90,8 +89,8 @@
 
 static char *own_path;
 
-/** Run the child with the shim. @param said two numbers */
-static void run_suspended(long long *passed, unsigned *heard)
+/** Run the child with the shim. @param elapsed_ms,pipes_read its report */
+static void run_suspended(long long *elapsed_ms, unsigned *pipes_read)
 {
     char *const dir = g_path_get_dirname(own_path);
     char *const shim = g_build_filename(dir, "..", "shim", "suspend.so", NULL);
@@ -102,7 +101,7 @@
     g_assert_cmpint(pipe(out), ==, 0);
     const pid_t pid = fork();
     if (pid == 0) {
-        dup2(out[1], CLOCK_FD);
+        dup2(out[1], RESULT_FD);
         setenv("LD_PRELOAD", shim, 1);
         setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
         execl(own_path, own_path, "--child", (char *)NULL);
@@ -111,20 +110,20 @@
     close(out[1]);
     g_assert_cmpint(read(out[0], text, sizeof(text) - 1), >, 0);
     g_assert_cmpint(waitpid(pid, &status, 0), ==, pid);
-    g_assert_cmpint(sscanf(text, "%lld %u", passed, heard), ==, 2);
+    g_assert_cmpint(sscanf(text, "%lld %u", elapsed_ms, pipes_read), ==, 2);
     close(out[0]);
     g_free(shim);
     g_free(dir);
 }
 
-/** The time for which the machine was suspended counts, and what came meanwhile is read before anything is given up. */
+/** The time of the suspension counts, and input that arrived meanwhile is read before timers run. */
 static void test_machine_is_suspended(void)
 {
-    long long passed;
-    unsigned heard;
-    run_suspended(&passed, &heard);
-    g_assert_cmpint(passed, >=, SUSPENDED_MS);
-    g_assert_cmpuint(heard, ==, PIPES);
+    long long elapsed_ms;
+    unsigned pipes_read;
+    run_suspended(&elapsed_ms, &pipes_read);
+    g_assert_cmpint(elapsed_ms, >=, SUSPENDED_MS);
+    g_assert_cmpuint(pipes_read, ==, PIPES);
 }
 
 int main(int argc, char **argv)
