--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -206,7 +206,7 @@
     web_headers_free(&h);
 }
 
-static void test_values_cannot_add_lines(void)
+static void test_values_cannot_break_lines(void)
 {
     web_headers_t h;
     web_headers_init(&h);
@@ -503,7 +503,7 @@
     g_test_add_func("/platform/workspaces", test_workspaces);
     g_test_add_func("/platform/workspaces-refused", test_workspaces_refused);
     g_test_add_func("/platform/forged-headers-are-dropped", test_forged_headers_are_dropped);
-    g_test_add_func("/platform/values-cannot-add-lines", test_values_cannot_add_lines);
+    g_test_add_func("/platform/values-cannot-break-lines", test_values_cannot_break_lines);
     g_test_add_func("/platform/replies", test_replies);
     g_test_add_func("/platform/notices", test_notices);
     g_test_add_func("/platform/request-properties", test_request_properties);
--- a/tests/unit/test_web.c
+++ b/tests/unit/test_web.c
@@ -455,8 +455,8 @@
     TEST("short-writes", test_short_writes);
     TEST("caller-stops-reading", test_caller_stops_reading);
     TEST("http10-caller-stops-reading", test_http10_caller_stops_reading);
-    TEST("http10-too-much-unsent", test_http10_too_much_unsent);
+    TEST("http10-caller-too-much-unsent", test_http10_too_much_unsent);
     TEST("http10-caller-half-closes", test_http10_caller_half_closes);
-    TEST("http10-server-stops", test_http10_server_stops);
+    TEST("http10-caller-server-stops", test_http10_server_stops);
     return g_test_run();
 }
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -391,7 +391,7 @@
     TEST("invalid-responses", test_responses);
     TEST("unreachable-is-not-sent", test_not_sent);
     TEST("early-response-keeps-no-connection", test_early_response);
-    TEST("reset-after-input-check", test_reset_after_input_check);
+    TEST("reset-after-a-look-at-the-input", test_reset_after_input_check);
     TEST("reset-while-sending", test_reset_while_sending);
     TEST("responses-to-other-requests", test_responses_to_other_requests);
     TEST("interim-responses", test_interim_responses);
