--- a/lib/web/web_client.c
+++ b/lib/web/web_client.c
@@ -223,8 +223,8 @@
     }
     if (call->complete) {
         http_parser_pause(&call->parser, 0);
-        /* If the response came before the whole request was sent, the rest of the request is still due on this
-         * connection, which then cannot be reused. */
+        /* If the response came before the whole request was sent, the rest is still due on this connection,
+         * which then cannot be reused. */
         const bool sent = call->written == call->request->len;
         const bool keep = sent && size > 0 && used == size && http_should_keep_alive(&call->parser);
         call_finish(call, WEB_RESULT_COMPLETE, keep);
@@ -304,8 +304,8 @@
 bool web_call_has_input(const web_call_t *call)
 {
     struct pollfd readable = {.fd = call->watch.fd, .events = POLLIN};
-    return poll(&readable, 1, 0) !=
-           0; /* recv would consume a reset, and the next read would look like an orderly end */
+    /* Uses poll, since recv would consume a reset, and the next read would look like an orderly end. */
+    return poll(&readable, 1, 0) != 0;
 }
 
 /** An idle connection without pending input that has not expired, or NULL. */
--- a/lib/web/web_fetch.c
+++ b/lib/web/web_fetch.c
@@ -28,7 +28,7 @@
 {
     web_fetch_t *const fetch = arg;
     fetch->call = NULL;
-    loop_disarm(&fetch->limit);
+    loop_disarm(&fetch->timeout_timer);
     fetch->fn(fetch->arg, how == WEB_RESULT_COMPLETE ? WEB_FETCH_OK : WEB_FETCH_FAILED);
 }
 
@@ -52,7 +52,7 @@
     fetch->arg = arg;
     const web_sink_t sink = {.on_head = on_head, .on_data = on_data, .on_end = on_end, .arg = fetch};
     fetch->call = web_call(options->client, options->addr, request, true, options->connect_ms, &sink);
-    loop_arm(options->loop, &fetch->limit, tc_time_now() + options->limit_ms, on_timeout, fetch);
+    loop_arm(options->loop, &fetch->timeout_timer, tc_time_now() + options->limit_ms, on_timeout, fetch);
 }
 
 void web_fetch_cancel(web_fetch_t *fetch)
@@ -60,5 +60,5 @@
     if (fetch->call)
         web_call_cancel(fetch->call);
     fetch->call = NULL;
-    loop_disarm(&fetch->limit);
+    loop_disarm(&fetch->timeout_timer);
 }
--- a/lib/web/web_fetch.h
+++ b/lib/web/web_fetch.h
@@ -29,7 +29,7 @@
     int status;       /**< HTTP status; 0 until a head is accepted */
     GByteArray *body;
     size_t body_bytes;
-    loop_timer_t limit;
+    loop_timer_t timeout_timer;
     bool (*is_ours)(const web_head_t *head);
     web_fetch_head_fn_t on_head;
     web_fetch_fn_t fn;
@@ -51,7 +51,7 @@
 
 /* ===== Public functions ===== */
 
-/** Send @p request (ownership passes), which must be safe to execute twice, since a kept connection may be used.
+/** Send @p request (ownership passes), which must be safe to execute twice, since an idle connection may be reused.
  *  @p fn runs once, never from within this call, unless the fetch is cancelled. */
 void web_fetch(web_fetch_t *fetch, const web_fetch_options_t *options, GByteArray *request, web_fetch_fn_t fn,
                void *arg);
--- a/lib/web/web_probe.c
+++ b/lib/web/web_probe.c
@@ -38,7 +38,7 @@
     finish(arg, WEB_PROBE_UNREACHABLE);
 }
 
-static void on_refused_at_once(void *arg)
+static void on_refused(void *arg)
 {
     finish(arg, WEB_PROBE_REFUSED);
 }
@@ -55,18 +55,18 @@
     const bool tried = parsed && fd >= 0;
     if (tried && (rc == 0 || errno == EINPROGRESS)) {
         loop_watch(loop, &probe->watch, EPOLLOUT);
-        loop_arm(loop, &probe->limit, tc_time_now() + limit_ms, on_timeout, probe);
+        loop_arm(loop, &probe->timeout_timer, tc_time_now() + limit_ms, on_timeout, probe);
         return;
     }
     const bool refused = tried && errno == ECONNREFUSED;
-    loop_arm(loop, &probe->limit, tc_time_now(), refused ? on_refused_at_once : on_timeout, probe);
+    loop_arm(loop, &probe->timeout_timer, tc_time_now(), refused ? on_refused : on_timeout, probe);
 }
 
 void web_probe_cancel(web_probe_t *probe)
 {
     if (!probe->loop)
         return;
-    loop_disarm(&probe->limit);
+    loop_disarm(&probe->timeout_timer);
     loop_unwatch(probe->loop, &probe->watch);
     if (probe->watch.fd >= 0)
         close(probe->watch.fd);
--- a/lib/web/web_probe.h
+++ b/lib/web/web_probe.h
@@ -28,7 +28,7 @@
 typedef struct {
     loop_t *loop; /**< NULL when idle */
     loop_watch_t watch;
-    loop_timer_t limit;
+    loop_timer_t timeout_timer;
     web_probe_fn_t fn;
     void *arg;
 } web_probe_t;
--- a/lib/web/web_server.c
+++ b/lib/web/web_server.c
@@ -20,9 +20,8 @@
     READ_BYTES = 16 * 1024,
     PIPELINED_MAX_BYTES = 64 * 1024, /* of later requests, buffered while one is handled */
     SWEEP_MS = 250,                  /* interval between checks of all timeouts */
-    BUFFER_KEEP_BYTES =
-        64 * 1024,   /* allocation that an empty buffer may keep: connections are long-lived, large bodies are rare */
-    LINGER_MS = 1000 /* for the caller to read the last response of a connection */
+    BUFFER_KEEP_BYTES = 64 * 1024,   /* kept by an empty buffer: connections live long, large bodies are rare */
+    LINGER_MS = 1000                 /* for the caller to read the last response of a connection */
 };
 
 static void exchange_on_io(void *arg, uint32_t events);
--- a/tests/platform/test_platform.c
+++ b/tests/platform/test_platform.c
@@ -40,7 +40,7 @@
     settings_free(&b);
     g_assert_cmpint(settings_parse("{\"node_name\":\"x\"}", &b, &err), ==, TC_E_INVALID);
     g_assert_cmpint(settings_parse("{", &b, &err), ==, TC_E_INVALID);
-    /* Mechanisms are switched off one by one; an unknown name is an error that includes it. */
+    /* Features are disabled one by one; an unknown name is an error that includes it. */
     char *const without = g_strdup_printf("{\"without\":[\"queue\"],%s", SETTINGS + 1);
     g_assert_true(feature_is_enabled(FEATURE_QUEUE));
     g_assert_cmpint(settings_parse(without, &b, &err), ==, 0);
