--- a/lib/cluster/engine_poller.c
+++ b/lib/cluster/engine_poller.c
@@ -128,7 +128,7 @@
     const web_fetch_options_t where = {.loop = p->loop,
                                        .client = p->client,
                                        .addr = engine->addr,
-                                       .is_ours = dialect_is_query_answer,
+                                       .accepts_head = dialect_is_query_answer,
                                        .on_head = on_head,
                                        .connect_ms = CONNECT_TIMEOUT_MS,
                                        .limit_ms = QUERY_TIMEOUT_MS};
--- a/lib/forward/forward_query.c
+++ b/lib/forward/forward_query.c
@@ -68,7 +68,7 @@
     const web_fetch_options_t where = {.loop = f->owner->loop,
                                        .client = f->owner->client,
                                        .addr = instance->listed.addr,
-                                       .is_ours = dialect_is_query_answer,
+                                       .accepts_head = dialect_is_query_answer,
                                        .on_head = on_engine_head,
                                        .connect_ms = limits->connect_ms,
                                        .limit_ms = limits->answer_ms};
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -202,7 +202,7 @@
     const web_fetch_options_t where = {.loop = r->loop,
                                        .client = r->client,
                                        .addr = move->engine.addr,
-                                       .is_ours = dialect_is_query_answer,
+                                       .accepts_head = dialect_is_query_answer,
                                        .on_head = on_head,
                                        .connect_ms = CONNECT_TIMEOUT_MS,
                                        .limit_ms = ORDER_TIMEOUT_MS};
--- a/lib/web/web_fetch.c
+++ b/lib/web/web_fetch.c
@@ -7,7 +7,7 @@
     web_fetch_t *const fetch = arg;
     if (fetch->on_head)
         fetch->on_head(fetch->arg, head);
-    if (fetch->is_ours && !fetch->is_ours(head))
+    if (fetch->accepts_head && !fetch->accepts_head(head))
         return WEB_HEAD_SKIP;
     fetch->status = head->status;
     return WEB_HEAD_ACCEPT;
@@ -45,7 +45,7 @@
     assert(!fetch->call); /* status and body belong to one call at a time */
     fetch->status = 0;
     g_byte_array_set_size(fetch->body, 0);
-    fetch->is_ours = options->is_ours;
+    fetch->accepts_head = options->accepts_head;
     fetch->on_head = options->on_head;
     fetch->body_bytes = options->body_bytes;
     fetch->fn = fn;
--- a/lib/web/web_fetch.h
+++ b/lib/web/web_fetch.h
@@ -30,7 +30,7 @@
     GByteArray *body;
     size_t body_bytes;
     loop_timer_t timeout_timer;
-    bool (*is_ours)(const web_head_t *head);
+    bool (*accepts_head)(const web_head_t *head);
     web_fetch_head_fn_t on_head;
     web_fetch_fn_t fn;
     void *arg;
@@ -40,12 +40,12 @@
 typedef struct {
     loop_t *loop;
     web_client_t *client;
-    const char *addr;                        /**< "IP:port" */
-    bool (*is_ours)(const web_head_t *head); /**< whether a response may belong to this fetch. Others, which arrive late
-                                                  on a reused connection, are skipped. NULL: any may */
-    web_fetch_head_fn_t on_head;             /**< or NULL; gets the same arg as fn */
-    tc_time_t connect_ms;                    /**< connect timeout */
-    tc_time_t limit_ms;                      /**< timeout of the whole fetch */
+    const char *addr;                             /**< "IP:port" */
+    bool (*accepts_head)(const web_head_t *head); /**< whether a response may belong to this fetch. Others, which arrive
+                                                  late on a reused connection, are skipped. NULL: any may */
+    web_fetch_head_fn_t on_head;                  /**< or NULL; gets the same arg as fn */
+    tc_time_t connect_ms;                         /**< connect timeout */
+    tc_time_t limit_ms;                           /**< timeout of the whole fetch */
     size_t body_bytes; /**< maximum response body; a longer one gives WEB_FETCH_FAILED. 0: no limit */
 } web_fetch_options_t;
 
