--- a/bench/bench.c
+++ b/bench/bench.c
@@ -34,7 +34,7 @@
 static gint opt_seeds = 3, opt_parallel = 3, opt_ports;
 
 enum { SHIFT_AT_S = 12, SHIFT_AFTER_S = 20 };
-enum { WARM_S = 3, PORTS_A_WORKER = 2000 };
+enum { WARMUP_S = 3, PORTS_PER_WORKER = 2000 };
 
 static GArray *runs;
 static GMutex lock;
@@ -52,7 +52,7 @@
 }
 
 /** Short prompts, then long ones: engines fixed in their roles beside the planner. */
-static void plan_shift(void)
+static void add_load_shift_runs(void)
 {
     for (int seed = 1; seed <= opt_seeds; seed++) {
         add_run("sahel", "cell", "load_shift", NULL, 1.2, seed, NO_FAULT);
@@ -60,7 +60,7 @@
     }
 }
 
-static void plan_runs(void)
+static void add_all_runs(void)
 {
     static const char *const deployments[] = {"sahel", "river"};
     static const char *const policies[] = {"random", "least_loaded", "share", "cell"};
@@ -77,7 +77,7 @@
                 add_run(deployments[d], "least_loaded", fault_names[f], NULL, 0.7, seed, (fault_t)f);
             }
         }
-    plan_shift();
+    add_load_shift_runs();
     for (size_t d = 0; d < G_N_ELEMENTS(deployments); d++)
         for (int seed = 1; seed <= opt_seeds; seed++) {
             add_run(deployments[d], "cell", "nobody_leaves", NULL, 1.0, seed, NO_FAULT);
@@ -95,7 +95,7 @@
     cluster_spawn(c, name);
 }
 
-static char *plain_entry(cluster_t *c)
+static char *find_non_scheduler_entry(cluster_t *c)
 {
     char *const scheduler = cluster_scheduler(c, 3000);
     char *const name = g_strdup(scheduler && strcmp(scheduler, "entry-1") == 0 ? "entry-2" : "entry-1");
@@ -103,10 +103,10 @@
     return name;
 }
 
-static void induce(cluster_t *c, fault_t fault)
+static void inject_fault(cluster_t *c, fault_t fault)
 {
     enum { FREEZE_US = 3000000, ENGINE_DOWN_US = 3000000, STALL_MS = 1500 };
-    char *name = fault == KILL_SCHEDULER ? cluster_scheduler(c, 3000) : plain_entry(c);
+    char *name = fault == KILL_SCHEDULER ? cluster_scheduler(c, 3000) : find_non_scheduler_entry(c);
     switch (fault) {
     case KILL_ENTRY:
     case KILL_SCHEDULER: kill_and_restart(c, name ? name : "entry-1"); break;
@@ -136,7 +136,7 @@
     char load[16], seconds[16], warm[16], seed[16];
     snprintf(load, sizeof(load), "%g", run->load);
     snprintf(seconds, sizeof(seconds), "%g", opt_seconds);
-    snprintf(warm, sizeof(warm), "%d", WARM_S);
+    snprintf(warm, sizeof(warm), "%d", WARMUP_S);
     snprintf(seed, sizeof(seed), "%d", run->seed);
     const bool shift = strcmp(run->scenario, "load_shift") == 0;
     if (shift)
@@ -173,8 +173,8 @@
                                 NULL};
     const GPid pid = cluster_begin(c, argv, "load.out");
     if (run->fault != NO_FAULT) {
-        g_usleep((gulong)((WARM_S + opt_seconds * 0.3) * 1e6));
-        induce(c, run->fault);
+        g_usleep((gulong)((WARMUP_S + opt_seconds * 0.3) * 1e6));
+        inject_fault(c, run->fault);
     }
     const int status = cluster_join(pid);
     char *const path = g_build_filename(cluster_dir(c), "load.out", NULL);
@@ -189,7 +189,7 @@
     return NULL;
 }
 
-static void do_run(const run_t *run, unsigned worker)
+static void execute_run(const run_t *run, unsigned worker)
 {
     char patch[192];
     const bool planner = strcmp(run->policy, "planner") == 0;
@@ -200,7 +200,7 @@
                                        .config_patch = patch,
                                        .entry_patch = "{\"threads\":160}", /* many deployments side by side */
                                        .stub_args = run->stub_args,
-                                       .port_offset = (unsigned)opt_ports + worker * PORTS_A_WORKER};
+                                       .port_offset = (unsigned)opt_ports + worker * PORTS_PER_WORKER};
     cluster_t *const c = cluster_start(&options);
     char *const text = c ? run_load(c, run) : NULL;
     const char *const line = text ? strstr(text, "{\"scenario\"") : NULL;
@@ -219,7 +219,7 @@
         cluster_stop(c, false);
 }
 
-static gpointer work(gpointer arg)
+static gpointer run_worker(gpointer arg)
 {
     for (;;) {
         g_mutex_lock(&lock);
@@ -227,7 +227,7 @@
         g_mutex_unlock(&lock);
         if (!run)
             return NULL;
-        do_run(run, GPOINTER_TO_UINT(arg));
+        execute_run(run, GPOINTER_TO_UINT(arg));
     }
 }
 
@@ -250,7 +250,7 @@
         return 2;
     }
     runs = g_array_new(FALSE, FALSE, sizeof(run_t));
-    plan_runs();
+    add_all_runs();
     out = fopen(opt_out, "w");
     if (!out) {
         fprintf(stderr, "bench: cannot write %s\n", opt_out);
@@ -260,7 +260,7 @@
     GThread *threads[16];
     const int n = opt_parallel < 16 ? opt_parallel : 16;
     for (int i = 0; i < n; i++)
-        threads[i] = g_thread_new("bench", work, GUINT_TO_POINTER(i));
+        threads[i] = g_thread_new("bench", run_worker, GUINT_TO_POINTER(i));
     for (int i = 0; i < n; i++)
         g_thread_join(threads[i]);
     fclose(out);
--- a/bench/config_sizes.c
+++ b/bench/config_sizes.c
@@ -16,12 +16,12 @@
 }
 
 /** Of the control boxes, the one that took most. */
-static long peak_of_controls(const large_t *w)
+static long control_peak_kb(const large_t *w)
 {
-    long most = 0;
+    long peak_kb_max = 0;
     for (int i = 0; i < CONTROLS; i++)
-        most = MAX(most, peak_kb(&w->control[i].process));
-    return most;
+        peak_kb_max = MAX(peak_kb_max, peak_kb(&w->control[i].process));
+    return peak_kb_max;
 }
 
 /** Two configurations of that size, one after the other, and what the second one cost. */
@@ -38,7 +38,7 @@
     document_t packed = {0};
     document_make(&packed, w.wanted_version, body, strlen(body));
     const int64_t before = counter_read("trackcove_peer_bytes_received_total");
-    const tc_time_t begun = tc_time_now();
+    const tc_time_t start = tc_time_now();
     lab_call_t *const call = begin_put(&w, leader, body);
     lab_run_until(w.loop, is_done, call);
     const tc_time_t acknowledged = tc_time_now();
@@ -48,11 +48,11 @@
     g_assert_cmpint(call->status, ==, 200);
     print_point("config_size_text_kb", routes, (double)strlen(body) / 1024);
     print_point("config_size_packed_kb", routes, packed.body_n / 1024.0);
-    print_point("config_size_control_kb", routes, (double)peak_of_controls(&w));
+    print_point("config_size_control_kb", routes, (double)control_peak_kb(&w));
     print_point("config_size_entry_kb", routes, (double)peak_kb(&w.forward));
     print_point("config_size_link_kb", routes, (double)bytes / ENTRIES / 1024);
-    print_point("config_size_acknowledged_ms", routes, (double)(acknowledged - begun));
-    print_point("config_size_in_force_ms", routes, (double)(MAX(in_force, acknowledged) - begun));
+    print_point("config_size_acknowledged_ms", routes, (double)(acknowledged - start));
+    print_point("config_size_in_force_ms", routes, (double)(MAX(in_force, acknowledged) - start));
     lab_call_free(call);
     codec_free(&document_desc, &packed);
     g_free(body);
--- a/bench/http_client.c
+++ b/bench/http_client.c
@@ -12,9 +12,9 @@
 #include "backend/sse.h"
 #include "http/http.h"
 
-enum { TOKENS = 400, GAP_US = 2000, PORT = 16901 };
+enum { TOKENS = 400, TOKEN_INTERVAL_US = 2000, PORT = 16901 };
 
-static double stamps[TOKENS + 1];
+static double sent_at_us[TOKENS + 1];
 
 static double now_us(clockid_t clock)
 {
@@ -33,25 +33,25 @@
                                "id: %d\ndata: {\"choices\":[{\"index\":0,\"text\":\" "
                                "token%06d\",\"finish_reason\":null}],\"pad\":\"0123456789012345\"}\n\n",
                                i, i);
-        stamps[i] = now_us(CLOCK_MONOTONIC);
+        sent_at_us[i] = now_us(CLOCK_MONOTONIC);
         http_stream_send(&stream, event, (size_t)n);
-        g_usleep(GAP_US);
+        g_usleep(TOKEN_INTERVAL_US);
     }
     http_stream_close(&stream);
     return 200;
 }
 
 typedef struct {
-    int got;
-    double late_us;
+    int n_events;
+    double max_delay_us;
 } reader_t;
 
 static bool on_event(void *arg, const sse_event_t *event)
 {
     reader_t *const r = arg;
-    r->got++;
-    const double late = now_us(CLOCK_MONOTONIC) - stamps[atoi(event->id)];
-    r->late_us = late > r->late_us ? late : r->late_us;
+    r->n_events++;
+    const double delay_us = now_us(CLOCK_MONOTONIC) - sent_at_us[atoi(event->id)];
+    r->max_delay_us = delay_us > r->max_delay_us ? delay_us : r->max_delay_us;
     return true;
 }
 
@@ -95,7 +95,7 @@
     else
         read_civetweb(&sse, way == 1 ? 1 : 64);
     printf("%-28s %6.1f us of processor time a token, latest token %7.1f ms late, %d tokens\n", name,
-           (now_us(CLOCK_THREAD_CPUTIME_ID) - begin) / TOKENS, reader.late_us / 1000, reader.got);
+           (now_us(CLOCK_THREAD_CPUTIME_ID) - begin) / TOKENS, reader.max_delay_us / 1000, reader.n_events);
     sse_free(&sse);
 }
 
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -15,9 +15,9 @@
 #include "harness/client.h"
 #include "harness/cluster.h"
 
-enum { OFFSET = 14000, IDLE_US = 5000000 };
+enum { PORT_OFFSET = 14000, IDLE_US = 5000000 };
 
-static void put(const char *measure, double x, double y)
+static void print_point(const char *measure, double x, double y)
 {
     printf("{\"measure\":\"%s\",\"x\":%g,\"y\":%.6g}\n", measure, x, y);
     fflush(stdout);
@@ -73,7 +73,7 @@
 
 static cluster_t *start(const char *deployment, unsigned entries)
 {
-    const cluster_options_t options = {.deployment = deployment, .entries = entries, .port_offset = OFFSET};
+    const cluster_options_t options = {.deployment = deployment, .entries = entries, .port_offset = PORT_OFFSET};
     cluster_t *const c = cluster_start(&options);
     if (!c)
         exit(1);
@@ -96,15 +96,15 @@
         bytes[i] = peer_bytes(c, names[i]);
     }
     g_usleep(IDLE_US);
-    const double span = now_ms() - begin;
+    const double elapsed_ms = now_ms() - begin;
     for (int i = 0; i < 3; i++) {
         char measure[48];
         snprintf(measure, sizeof(measure), "idle_%s_core_share", kinds[i]);
-        put(measure, entries, (cpu_ms(cluster_pid(c, names[i])) - cpu[i]) / span);
+        print_point(measure, entries, (cpu_ms(cluster_pid(c, names[i])) - cpu[i]) / elapsed_ms);
         snprintf(measure, sizeof(measure), "idle_%s_bytes_s", kinds[i]);
-        put(measure, entries, (peer_bytes(c, names[i]) - bytes[i]) * 1000 / span);
+        print_point(measure, entries, (peer_bytes(c, names[i]) - bytes[i]) * 1000 / elapsed_ms);
         snprintf(measure, sizeof(measure), "idle_%s_mb", kinds[i]);
-        put(measure, entries, resident_mb(cluster_pid(c, names[i])));
+        print_point(measure, entries, resident_mb(cluster_pid(c, names[i])));
     }
     g_free(scheduler);
     cluster_stop(c, false);
@@ -133,7 +133,7 @@
     return t;
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
     const double x = *(const double *)a, y = *(const double *)b;
     return x < y ? -1 : (x > y ? 1 : 0);
@@ -154,10 +154,10 @@
         g_free(text);
         g_free(path);
     }
-    qsort(waits->data, waits->len, sizeof(double), by_value);
+    qsort(waits->data, waits->len, sizeof(double), compare_doubles);
     if (waits->len > 0) {
-        put("place_wait_p50_us", load, g_array_index(waits, double, waits->len / 2));
-        put("place_wait_p99_us", load, g_array_index(waits, double, waits->len * 99 / 100));
+        print_point("place_wait_p50_us", load, g_array_index(waits, double, waits->len / 2));
+        print_point("place_wait_p99_us", load, g_array_index(waits, double, waits->len * 99 / 100));
     }
     g_array_free(waits, TRUE);
 }
@@ -171,7 +171,7 @@
     const double begin = now_ms();
     g_usleep(IDLE_US / 2);
     const totals_t idle_end = totals(c, ENTRIES);
-    const double idle_span = now_ms() - begin;
+    const double idle_elapsed_ms = now_ms() - begin;
     char *const entries = cluster_entries(c);
     char text[16];
     snprintf(text, sizeof(text), "%g", load);
@@ -192,18 +192,19 @@
                                 NULL};
     const double load_begin = now_ms();
     cluster_run(c, argv, NULL);
-    const double span = now_ms() - load_begin;
+    const double elapsed_ms = now_ms() - load_begin;
     const totals_t end = totals(c, ENTRIES);
     const double requests = end.requests - idle_end.requests, tokens = end.tokens - idle_end.tokens;
-    const double idle = span / idle_span;
-    put("load_cpu_us_a_token", load,
-        ((end.cpu - idle_end.cpu) - (idle_end.cpu - idle_begin.cpu) * idle) * 1000 / tokens);
-    put("load_peer_bytes_a_request", load,
-        ((end.bytes - idle_end.bytes) - (idle_end.bytes - idle_begin.bytes) * idle) / requests);
-    put("load_frames_a_request", load,
-        ((end.frames - idle_end.frames) - (idle_end.frames - idle_begin.frames) * idle) / requests);
-    put("load_sched_us_a_placement", load, (end.sched_us - idle_end.sched_us) / (end.granted - idle_end.granted));
-    put("load_entry_mb", load, resident_mb(cluster_pid(c, "entry-3")));
+    const double idle = elapsed_ms / idle_elapsed_ms;
+    print_point("load_cpu_us_a_token", load,
+                ((end.cpu - idle_end.cpu) - (idle_end.cpu - idle_begin.cpu) * idle) * 1000 / tokens);
+    print_point("load_peer_bytes_a_request", load,
+                ((end.bytes - idle_end.bytes) - (idle_end.bytes - idle_begin.bytes) * idle) / requests);
+    print_point("load_frames_a_request", load,
+                ((end.frames - idle_end.frames) - (idle_end.frames - idle_begin.frames) * idle) / requests);
+    print_point("load_sched_us_a_placement", load,
+                (end.sched_us - idle_end.sched_us) / (end.granted - idle_end.granted));
+    print_point("load_entry_mb", load, resident_mb(cluster_pid(c, "entry-3")));
     place_percentiles(c, ENTRIES, load);
     g_free(entries);
     cluster_stop(c, false);
@@ -211,7 +212,7 @@
 
 /* ===== Changes ===== */
 
-static bool change(cluster_t *c, const char *name, int value)
+static bool submit_change(cluster_t *c, const char *name, int value)
 {
     char patch[64];
     snprintf(patch, sizeof(patch), "{\"targets\":{\"max_queue\":%d}}", value);
@@ -224,7 +225,7 @@
     char request[32];
     snprintf(request, sizeof(request), "force-%d", number);
     const double begin = now_ms();
-    if (!change(c, request, 1000 + number))
+    if (!submit_change(c, request, 1000 + number))
         return -1;
     for (;;) {
         json_t *const status = cluster_operate(c, "/v1/status", NULL, NULL, 1000);
@@ -253,15 +254,15 @@
         if (ms >= 0)
             times[n++] = ms;
     }
-    qsort(times, (size_t)n, sizeof(double), by_value);
-    put(restarting ? "in_force_restart_p50_ms" : "in_force_p50_ms", entries, times[n / 2]);
-    put(restarting ? "in_force_restart_p99_ms" : "in_force_p99_ms", entries, times[n * 99 / 100]);
+    qsort(times, (size_t)n, sizeof(double), compare_doubles);
+    print_point(restarting ? "in_force_restart_p50_ms" : "in_force_p50_ms", entries, times[n / 2]);
+    print_point(restarting ? "in_force_restart_p99_ms" : "in_force_p99_ms", entries, times[n * 99 / 100]);
     cluster_stop(c, false);
 }
 
 /* ===== Leader's loss, catching up, rate ===== */
 
-static json_int_t version_of(cluster_t *c, const char *control)
+static json_int_t read_version(cluster_t *c, const char *control)
 {
     json_t *const config = cluster_call(c, control, "/v1/config", NULL, NULL);
     const json_int_t version = json_integer_value(json_object_get(config, "version"));
@@ -271,7 +272,7 @@
 
 static void measure_control(void)
 {
-    enum { CHANGES = 500, KILLS = 5 };
+    enum { CHANGES = 500, LEADER_KILLS = 5 };
     cluster_t *const c = start("sahel", 2);
     const char *leader = cluster_leader(c, 10000);
     const char *const behind = strcmp(leader, "control-3") == 0 ? "control-2" : "control-3";
@@ -280,24 +281,24 @@
     for (int i = 0; i < CHANGES; i++) {
         char request[32];
         snprintf(request, sizeof(request), "rate-%d", i);
-        if (!change(c, request, 2000 + i))
+        if (!submit_change(c, request, 2000 + i))
             exit(1);
     }
-    put("changes_a_second", CHANGES, CHANGES * 1000 / (now_ms() - begin));
-    const json_int_t newest = version_of(c, leader);
+    print_point("changes_a_second", CHANGES, CHANGES * 1000 / (now_ms() - begin));
+    const json_int_t newest = read_version(c, leader);
     const double spawn = now_ms();
     cluster_spawn(c, behind);
-    while (version_of(c, behind) < newest)
+    while (read_version(c, behind) < newest)
         g_usleep(5000);
-    put("catch_up_ms", CHANGES, now_ms() - spawn);
+    print_point("catch_up_ms", CHANGES, now_ms() - spawn);
     double sum = 0, worst = 0;
-    for (int i = 0; i < KILLS; i++) {
+    for (int i = 0; i < LEADER_KILLS; i++) {
         leader = cluster_leader(c, 10000);
         char request[32];
         snprintf(request, sizeof(request), "after-kill-%d", i);
         const double killed = now_ms();
         cluster_signal(c, leader, SIGKILL);
-        while (!change(c, request, 3000 + i))
+        while (!submit_change(c, request, 3000 + i))
             g_usleep(5000);
         const double ms = now_ms() - killed;
         sum += ms;
@@ -305,8 +306,8 @@
         cluster_spawn(c, leader);
         client_wait_in_force(c, 20000);
     }
-    put("leader_loss_mean_ms", KILLS, sum / KILLS);
-    put("leader_loss_worst_ms", KILLS, worst);
+    print_point("leader_loss_mean_ms", LEADER_KILLS, sum / LEADER_KILLS);
+    print_point("leader_loss_worst_ms", LEADER_KILLS, worst);
     cluster_stop(c, false);
 }
 
--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -31,7 +31,7 @@
     return (double)(info.uordblks + info.hblkhd);
 }
 
-static void put(const char *measure, double x, double y)
+static void print_point(const char *measure, double x, double y)
 {
     printf("{\"measure\":\"%s\",\"x\":%g,\"y\":%.6g}\n", measure, x, y);
     fflush(stdout);
@@ -62,7 +62,7 @@
     return config;
 }
 
-static void tell(sched_t *s, const char *id, uint32_t attempt, phase_t phase, tc_time_t now)
+static void report_progress(sched_t *s, const char *id, uint32_t attempt, phase_t phase, tc_time_t now)
 {
     msg_progress_t p = {.attempt = attempt, .phase = phase, .took_ms = 200, .computed_tokens = 3000};
     codec_copy_string(p.id, sizeof(p.id), id);
@@ -74,7 +74,7 @@
     uint32_t attempt;
 } placed_t;
 
-static uint32_t place(sched_t *s, const char *id, tc_time_t now)
+static uint32_t place_request(sched_t *s, const char *id, tc_time_t now)
 {
     uint64_t chain[2] = {g_str_hash(id), g_str_hash(id) + 1};
     msg_place_t message = {
@@ -93,7 +93,7 @@
 
 /** Where the records of engines outgrow the processor's caches, a request costs more than the line through smaller
  *  cells says: these sizes are fitted by themselves. */
-enum { CELL_MOST = 160 };
+enum { SMALL_CELL_ENGINES_MAX = 160 };
 
 static void measure_scheduler(unsigned engines)
 {
@@ -112,29 +112,30 @@
         if (i == 0)
             in_flight_heap = heap_bytes();
         snprintf(ring[i].id, sizeof(ring[i].id), "warm-%u", i);
-        ring[i].attempt = place(s, ring[i].id, now);
-        tell(s, ring[i].id, ring[i].attempt, PHASE_TRANSFER, now);
-        tell(s, ring[i].id, ring[i].attempt, PHASE_DECODE, now);
+        ring[i].attempt = place_request(s, ring[i].id, now);
+        report_progress(s, ring[i].id, ring[i].attempt, PHASE_TRANSFER, now);
+        report_progress(s, ring[i].id, ring[i].attempt, PHASE_DECODE, now);
     }
-    put(engines <= CELL_MOST ? "sched_bytes_a_request" : "sched_bytes_a_request_large", engines,
-        (heap_bytes() - in_flight_heap) / held);
+    print_point(engines <= SMALL_CELL_ENGINES_MAX ? "sched_bytes_a_request" : "sched_bytes_a_request_large", engines,
+                (heap_bytes() - in_flight_heap) / held);
     const double begin = cpu_us();
     for (unsigned i = 0; i < REQUESTS; i++) {
         placed_t *const old = &ring[i % held];
         now += 20;
-        tell(s, old->id, old->attempt, PHASE_FINISHED, now);
+        report_progress(s, old->id, old->attempt, PHASE_FINISHED, now);
         snprintf(old->id, sizeof(old->id), "run-%u", i);
-        old->attempt = place(s, old->id, now);
+        old->attempt = place_request(s, old->id, now);
         granted += old->attempt != 0;
-        tell(s, old->id, old->attempt, PHASE_TRANSFER, now);
-        tell(s, old->id, old->attempt, PHASE_DECODE, now);
+        report_progress(s, old->id, old->attempt, PHASE_TRANSFER, now);
+        report_progress(s, old->id, old->attempt, PHASE_DECODE, now);
     }
-    put(engines <= CELL_MOST ? "sched_us_a_request" : "sched_us_a_request_large", engines,
-        (cpu_us() - begin) / REQUESTS);
+    print_point(engines <= SMALL_CELL_ENGINES_MAX ? "sched_us_a_request" : "sched_us_a_request_large", engines,
+                (cpu_us() - begin) / REQUESTS);
     const double tick = cpu_us();
     for (int i = 0; i < 200; i++)
         sched_tick(s, now);
-    put(engines <= CELL_MOST ? "sched_us_a_tick" : "sched_us_a_tick_large", engines, (cpu_us() - tick) / 200);
+    print_point(engines <= SMALL_CELL_ENGINES_MAX ? "sched_us_a_tick" : "sched_us_a_tick_large", engines,
+                (cpu_us() - tick) / 200);
     if (granted < REQUESTS * 9 / 10)
         fprintf(stderr, "scale: only %u of %d granted\n", granted, REQUESTS);
     sched_destroy(s);
@@ -166,27 +167,27 @@
         const msg_beat_t beat = make_beat(i);
         members_on_heartbeat(m, &beat, 10);
     }
-    put("members_bytes_a_box", boxes, (heap_bytes() - heap) / boxes);
+    print_point("members_bytes_a_box", boxes, (heap_bytes() - heap) / boxes);
     const double begin = cpu_us();
     for (int r = 0; r < ROUNDS; r++)
         for (unsigned i = 0; i < boxes; i++) {
             const msg_beat_t beat = make_beat(i);
             members_on_heartbeat(m, &beat, 20 + r);
         }
-    put("members_us_a_beat", boxes, (cpu_us() - begin) / ROUNDS / boxes);
+    print_point("members_us_a_beat", boxes, (cpu_us() - begin) / ROUNDS / boxes);
     member_t *list;
     bool all;
     msg_beat_ack_t ack = {0};
     ack.members_n = members_list_changes(m, 0, &list, &all);
     ack.members = list;
-    put("members_bytes_whole_list", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
+    print_point("members_bytes_whole_list", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
     ack.members_n = 1;
     const double one = frame_bytes(MSG_BEAT_ACK, &ack);
     ack.members_n = 0;
-    put("members_bytes_one_news", boxes, one - frame_bytes(MSG_BEAT_ACK, &ack));
-    put("members_bytes_quiet_ack", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
+    print_point("members_bytes_one_news", boxes, one - frame_bytes(MSG_BEAT_ACK, &ack));
+    print_point("members_bytes_quiet_ack", boxes, frame_bytes(MSG_BEAT_ACK, &ack));
     const msg_beat_t beat = make_beat(boxes - 1);
-    put("members_bytes_beat", boxes, frame_bytes(MSG_BEAT, &beat));
+    print_point("members_bytes_beat", boxes, frame_bytes(MSG_BEAT, &beat));
     free(list);
     members_destroy(m);
 }
@@ -210,7 +211,7 @@
     return report;
 }
 
-static double news_bytes(list_feed_t *list, uint64_t known)
+static double update_bytes(list_feed_t *list, uint64_t known)
 {
     const msg_report_ack_t ack = {.entries = list_feed_update_since(list, known)};
     return frame_bytes(MSG_REPORT_ACK, &ack);
@@ -219,7 +220,7 @@
 /** What a leader does with a report, ten back ends in it, and what it tells of other boxes. */
 static void measure_roster(unsigned boxes)
 {
-    enum { ROUNDS = 100, LOADS = 10, LATER = 1000000, STILL_LATER = 2 * LATER };
+    enum { ROUNDS = 100, LOADS = 10, LATER_MS = 1000000, MUCH_LATER_MS = 2 * LATER_MS };
     backend_load_t loads[LOADS];
     memset(loads, 0, sizeof(loads));
     roster_t *const r = roster_create();
@@ -232,23 +233,23 @@
         for (unsigned i = 0; i < boxes; i++) {
             const msg_report_t report = make_report(i, loads, LOADS);
             roster_update(r, &report, round);
-            (void)list_feed_update_since(roster_list(r, LATER), 0);
+            (void)list_feed_update_since(roster_list(r, LATER_MS), 0);
         }
-    put("roster_us_a_report", boxes, (cpu_us() - begin) / ROUNDS / boxes);
-    const uint64_t known = list_feed_hash(roster_list(r, LATER));
+    print_point("roster_us_a_report", boxes, (cpu_us() - begin) / ROUNDS / boxes);
+    const uint64_t known = list_feed_hash(roster_list(r, LATER_MS));
     msg_report_t leaves = make_report(0, loads, LOADS);
     leaves.self.leaving = true;
     roster_update(r, &leaves, ROUNDS);
-    put("roster_bytes_quiet_ack", boxes,
-        news_bytes(roster_list(r, STILL_LATER), list_feed_hash(roster_list(r, STILL_LATER))));
-    put("roster_bytes_one_news", boxes, news_bytes(roster_list(r, STILL_LATER), known));
-    put("roster_bytes_whole_list", boxes, news_bytes(roster_list(r, STILL_LATER), 0));
+    print_point("roster_bytes_quiet_ack", boxes,
+                update_bytes(roster_list(r, MUCH_LATER_MS), list_feed_hash(roster_list(r, MUCH_LATER_MS))));
+    print_point("roster_bytes_one_news", boxes, update_bytes(roster_list(r, MUCH_LATER_MS), known));
+    print_point("roster_bytes_whole_list", boxes, update_bytes(roster_list(r, MUCH_LATER_MS), 0));
     roster_destroy(r);
 }
 
 /* ===== Configuration: a change against workspaces ===== */
 
-static void run(state_t *s, command_t *command)
+static void apply_command(state_t *s, command_t *command)
 {
     size_t size;
     char *const data = state_pack_command(command, &size);
@@ -275,7 +276,7 @@
     char *const all = make_workspaces(workspaces);
     state_t *const s = state_create();
     command_t found = {.kind = COMMAND_KIND_FOUND, .patch = all, .patch_n = (uint32_t)strlen(all)};
-    run(s, &found);
+    apply_command(s, &found);
     const double begin = cpu_us();
     for (unsigned i = 0; i < CHANGES; i++) {
         char patch[96];
@@ -283,18 +284,18 @@
         command_t plan = {
             .kind = COMMAND_KIND_PLAN, .base = state_version(s), .patch = patch, .patch_n = (uint32_t)strlen(patch)};
         codec_copy_string(plan.plan, sizeof(plan.plan), "p");
-        run(s, &plan);
+        apply_command(s, &plan);
         command_t confirm = {.kind = COMMAND_KIND_CONFIRM};
         codec_copy_string(confirm.plan, sizeof(confirm.plan), "p");
-        run(s, &confirm);
+        apply_command(s, &confirm);
     }
-    put("config_us_a_change", workspaces, (cpu_us() - begin) / CHANGES);
+    print_point("config_us_a_change", workspaces, (cpu_us() - begin) / CHANGES);
     size_t size;
     free(state_save(s, &size));
-    put("config_bytes_snapshot", workspaces, (double)size);
+    print_point("config_bytes_snapshot", workspaces, (double)size);
     msg_fetch_ack_t ack = {0};
     state_changes(s, state_version(s) - 1, &ack);
-    put("config_bytes_a_delta", workspaces, frame_bytes(MSG_FETCH_ACK, &ack));
+    print_point("config_bytes_a_delta", workspaces, frame_bytes(MSG_FETCH_ACK, &ack));
     codec_free(&msg_fetch_ack_desc, &ack);
     view_slot_t slot;
     view_init(&slot);
@@ -304,8 +305,8 @@
     if (view_set_config(view, 2, json, NULL) < 0)
         abort();
     view_publish(&slot, view);
-    put("entry_us_a_change", workspaces, cpu_us() - apply);
-    put("entry_bytes_config", workspaces, heap_bytes() - heap);
+    print_point("entry_us_a_change", workspaces, cpu_us() - apply);
+    print_point("entry_bytes_config", workspaces, heap_bytes() - heap);
     json_decref(json);
     state_destroy(s);
     g_free(all);
@@ -330,9 +331,9 @@
         codec_free(&result_desc, &result);
         free(data);
     }
-    put("claim_us", claims, (cpu_us() - begin) / claims);
-    put("claim_heap_bytes", claims, (heap_bytes() - heap) / claims);
-    put("claim_log_bytes", claims, (double)bytes / claims);
+    print_point("claim_us", claims, (cpu_us() - begin) / claims);
+    print_point("claim_heap_bytes", claims, (heap_bytes() - heap) / claims);
+    print_point("claim_log_bytes", claims, (double)bytes / claims);
     state_destroy(s);
 }
 
@@ -347,12 +348,12 @@
         snprintf(held[i].decode, sizeof(held[i].decode), "engine-%04u", i);
     }
     const msg_renew_t renew = {.held = held, .held_n = requests};
-    put("renew_list_bytes", requests, frame_bytes(MSG_RENEW, &renew));
+    print_point("renew_list_bytes", requests, frame_bytes(MSG_RENEW, &renew));
     msg_renew_t quiet = {.incarnation = 1796214793000, .epoch = 12, .count = requests, .digest = UINT64_MAX};
     codec_copy_string(quiet.cell, sizeof(quiet.cell), "region-1-cell-12");
     codec_copy_string(quiet.box, sizeof(quiet.box), "entry-410");
     const msg_renew_ack_t ack = {.epoch = 12};
-    put("renew_digest_bytes", requests, frame_bytes(MSG_RENEW, &quiet) + frame_bytes(MSG_RENEW_ACK, &ack));
+    print_point("renew_digest_bytes", requests, frame_bytes(MSG_RENEW, &quiet) + frame_bytes(MSG_RENEW_ACK, &ack));
     free(held);
 }
 
--- a/programs/controld/main.c
+++ b/programs/controld/main.c
@@ -11,7 +11,7 @@
 #include "control/control.h"
 #include "control/operators.h"
 
-enum { OPERATOR_THREADS = 16, EXIT_USAGE = 2, EXIT_START = 1 };
+enum { OPERATOR_THREADS = 16, EXIT_USAGE = 2, EXIT_START_FAILED = 1 };
 
 static loop_t *loop;
 
@@ -21,11 +21,11 @@
     loop_stop(loop);
 }
 
-static int complain(const tc_err_t *err)
+static int report_start_failure(const tc_err_t *err)
 {
     fprintf(stderr, "trackcove-controld: %s: %s: %s\n", err->step, err->peer, err->detail);
     log_failure(LOG_ERROR, "start_failed", err);
-    return EXIT_START;
+    return EXIT_START_FAILED;
 }
 
 static int run(const control_settings_t *settings)
@@ -33,13 +33,13 @@
     tc_err_t err = {0};
     loop = loop_create();
     if (!loop)
-        return EXIT_START;
+        return EXIT_START_FAILED;
     control_t *const control = control_create(loop, settings, (uint64_t)tc_time_wall(), &err);
     if (!control)
-        return complain(&err);
+        return report_start_failure(&err);
     http_server_t *const server = http_start(settings->http_listen, OPERATOR_THREADS, &err);
     if (!server)
-        return complain(&err);
+        return report_start_failure(&err);
     operators_t *const operators = operators_create(server, control, settings);
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
@@ -71,7 +71,7 @@
         return EXIT_USAGE;
     }
     if (log_open(settings.box, settings.log_file, &err) < 0)
-        return complain(&err);
+        return report_start_failure(&err);
     const int status = run(&settings);
     log_close();
     _exit(status); /* the operators' threads may be in the middle of a call */
--- a/programs/entryd/main.c
+++ b/programs/entryd/main.c
@@ -12,7 +12,7 @@
 #include "request/api.h"
 #include "request/entry.h"
 
-enum { EXIT_USAGE = 2, EXIT_START = 1 };
+enum { EXIT_USAGE = 2, EXIT_START_FAILED = 1 };
 
 static entry_t *entry;
 
@@ -22,11 +22,11 @@
     entry_drain(entry); /* an atomic store */
 }
 
-static int complain(const tc_err_t *err)
+static int report_start_failure(const tc_err_t *err)
 {
     fprintf(stderr, "trackcove-entryd: %s: %s: %s\n", err->step, err->peer, err->detail);
     log_failure(LOG_ERROR, "start_failed", err);
-    return EXIT_START;
+    return EXIT_START_FAILED;
 }
 
 static int run(const entry_settings_t *settings)
@@ -35,10 +35,10 @@
     loop_t *const loop = loop_create();
     entry = loop ? entry_create(loop, settings, &err) : NULL;
     if (!entry)
-        return complain(&err);
+        return report_start_failure(&err);
     http_server_t *const server = http_start(settings->http_listen, settings->threads, &err);
     if (!server)
-        return complain(&err);
+        return report_start_failure(&err);
     api_route(entry, server);
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
@@ -68,7 +68,7 @@
         return EXIT_USAGE;
     }
     if (log_open(settings.box, settings.log_file, &err) < 0)
-        return complain(&err);
+        return report_start_failure(&err);
     const int status = run(&settings);
     log_close();
     _exit(status); /* worker threads may be in a call to an engine */
--- a/programs/load/caller.h
+++ b/programs/load/caller.h
@@ -18,7 +18,7 @@
     uint32_t n_seeds;
     char entries[64][64];
     uint32_t n_entries;
-    double keep_until; /**< ms */
+    double entries_expire_ms; /**< ms */
 } load_caller_t;
 
 /** Make one request and wait for its end.
--- a/programs/load/main.c
+++ b/programs/load/main.c
@@ -17,12 +17,12 @@
 
 /* ===== Options ===== */
 
-enum { CALLERS = 24, THREAD_STACK = 256 * 1024, SETTLE_LIMIT_MS = 5000, EXIT_USAGE = 2, EXIT_WRONG = 1 };
+enum { CALLERS = 24, THREAD_STACK = 256 * 1024, SETTLE_TIMEOUT_MS = 5000, EXIT_USAGE = 2, EXIT_CHECK_FAILED = 1 };
 
 static gchar *opt_entries, *opt_mix = "sahel", *opt_admin, *opt_scenario = "run", *opt_policy = "cell";
-static gdouble opt_load = 1, opt_seconds = 10, opt_cancel = 0.02, opt_warm = 2;
-static gchar *opt_then;
-static gdouble opt_shift;
+static gdouble opt_load = 1, opt_measured_s = 10, opt_cancel = 0.02, opt_warmup_s = 2;
+static gchar *opt_second_mix;
+static gdouble opt_shift_s;
 static gint opt_seed = 1;
 static gboolean opt_strict, opt_quiet;
 
@@ -30,11 +30,11 @@
     {"entries", 'e', 0, G_OPTION_ARG_STRING, &opt_entries, "entry addresses callers know, comma between",
      "IP:PORT,..."},
     {"mix", 'm', 0, G_OPTION_ARG_STRING, &opt_mix, "sahel, river, sahel-short or sahel-long", "NAME"},
-    {"then", 0, 0, G_OPTION_ARG_STRING, &opt_then, "mix to change to in the middle", "NAME"},
-    {"shift-at", 0, 0, G_OPTION_ARG_DOUBLE, &opt_shift, "when, s after the start of measuring", "S"},
+    {"then", 0, 0, G_OPTION_ARG_STRING, &opt_second_mix, "mix to change to in the middle", "NAME"},
+    {"shift-at", 0, 0, G_OPTION_ARG_DOUBLE, &opt_shift_s, "when, s after the start of measuring", "S"},
     {"load", 'l', 0, G_OPTION_ARG_DOUBLE, &opt_load, "times the deployment's capacity (1.0)", "X"},
-    {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_seconds, "measured time, s (10)", "S"},
-    {"warm", 0, 0, G_OPTION_ARG_DOUBLE, &opt_warm, "time before it, not measured, s (2)", "S"},
+    {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_measured_s, "measured time, s (10)", "S"},
+    {"warm", 0, 0, G_OPTION_ARG_DOUBLE, &opt_warmup_s, "time before it, not measured, s (2)", "S"},
     {"seed", 's', 0, G_OPTION_ARG_INT, &opt_seed, "seed of arrivals and prompts (1)", "N"},
     {"cancel", 0, 0, G_OPTION_ARG_DOUBLE, &opt_cancel, "share of callers who leave in the middle (0.02)", "X"},
     {"admin", 0, 0, G_OPTION_ARG_STRING, &opt_admin, "stand-in's address, for its counts", "IP:PORT"},
@@ -47,7 +47,7 @@
 /* ===== Requests ===== */
 
 static load_caller_t callers[CALLERS];
-static const mix_t *mix, *then_mix;
+static const mix_t *mix, *second_mix;
 static tally_t tally;
 static atomic_int running;
 
@@ -64,7 +64,7 @@
     job_t *const job = arg;
     outcome_t outcome;
     load_caller_run(job->caller, mix->model, &job->request, job->id, job->cancel_after_ms, &outcome);
-    if (job->measured || outcome.saw == SAW_LOST || outcome.doubled)
+    if (job->measured || outcome.kind == OUTCOME_LOST || outcome.duplicated)
         tally_add(&tally, &outcome);
     g_free(job->request.prompt);
     free(job);
@@ -88,7 +88,7 @@
     atomic_fetch_add(&running, 1);
     if (pthread_create(&thread, attr, run_job, job) != 0) {
         fprintf(stderr, "trackcove-load: no more threads\n");
-        exit(EXIT_WRONG);
+        exit(EXIT_CHECK_FAILED);
     }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /** Poisson arrivals: requests come whether or not earlier ones have ended. */
-static void arrive(void)
+static void send_requests(void)
 {
     GRand *const random = g_rand_new_with_seed((guint32)opt_seed);
     pthread_attr_t attr;
@@ -111,19 +111,20 @@
     for (uint32_t i = 0; i < mix->n_kinds; i++)
         completions += mix->kinds[i].service ? 0 : mix->kinds[i].share;
     const double rate = opt_load * mix->capacity / completions;
-    const double begin = tc_time_exact(), end = begin + (opt_warm + opt_seconds) * 1000;
-    const double shift = begin + (opt_warm + opt_shift) * 1000;
-    double at = begin, said = begin;
+    const double begin = tc_time_exact(), end = begin + (opt_warmup_s + opt_measured_s) * 1000;
+    const double shift = begin + (opt_warmup_s + opt_shift_s) * 1000;
+    double at = begin, reported_at = begin;
     for (uint64_t number = 1;; number++) {
         at += -log(1 - g_rand_double(random)) * 1000 / rate;
         if (at >= end)
             break;
         sleep_until(at);
-        start_job(random, then_mix && at >= shift ? then_mix : mix, number, at >= begin + opt_warm * 1000, &attr);
-        if (!opt_quiet && tc_time_exact() - said > 2000) {
-            said = tc_time_exact();
-            fprintf(stderr, "  %.0f s: %llu sent, %d under way\n", (said - begin) / 1000, (unsigned long long)number,
-                    atomic_load(&running));
+        start_job(random, second_mix && at >= shift ? second_mix : mix, number, at >= begin + opt_warmup_s * 1000,
+                  &attr);
+        if (!opt_quiet && tc_time_exact() - reported_at > 2000) {
+            reported_at = tc_time_exact();
+            fprintf(stderr, "  %.0f s: %llu sent, %d under way\n", (reported_at - begin) / 1000,
+                    (unsigned long long)number, atomic_load(&running));
         }
     }
     g_rand_free(random);
@@ -143,22 +144,22 @@
     free(result.body);
     if (!body) {
         fprintf(stderr, "trackcove-load: %s: no counts\n", opt_admin);
-        exit(EXIT_WRONG);
+        exit(EXIT_CHECK_FAILED);
     }
     return body;
 }
 
-static double stat_of(const json_t *stats, const char *key)
+static double get_stat(const json_t *stats, const char *key)
 {
     return (double)json_integer_value(json_object_get(stats, key));
 }
 
 /** Pieces still held when all callers are gone; waits for a while until there are none. */
-static json_t *settle(void)
+static json_t *wait_for_released_memory(void)
 {
-    const double until = tc_time_exact() + SETTLE_LIMIT_MS;
+    const double until = tc_time_exact() + SETTLE_TIMEOUT_MS;
     json_t *stats = admin_stats();
-    while (stat_of(stats, "held_pieces") > 0 && tc_time_exact() < until) {
+    while (get_stat(stats, "held_pieces") > 0 && tc_time_exact() < until) {
         g_usleep(100000);
         json_decref(stats);
         stats = admin_stats();
@@ -182,9 +183,9 @@
     printf("%-28s %10u\n", "refused as not run", s->refused);
     printf("%-28s %10u\n", "outcome unknown", s->unknown);
     printf("%-28s %10u\n", "cancelled by the caller", s->cancelled);
-    printf("%-28s %10u / %u\n", "service calls whole", s->calls_whole, s->calls);
+    printf("%-28s %10u / %u\n", "service calls whole", s->calls_complete, s->calls);
     printf("%-28s %10u\n", "lost", s->lost);
-    printf("%-28s %10u\n", "doubled", s->doubled);
+    printf("%-28s %10u\n", "doubled", s->duplicated);
     printf("%-28s %10u\n", "false not run", s->false_not_run);
     printf("%-28s %10u\n", "ran twice", s->ran_twice);
     printf("%-28s %10.0f\n", "pieces held at the end", held);
@@ -198,10 +199,10 @@
         json_pack("{s:s,s:s,s:s,s:f,s:i,s:f,s:f,s:f,s:i,s:i,s:i,s:i,s:i,s:i,s:f,s:f,s:i,s:i,s:i}", "scenario",
                   opt_scenario, "mix", mix->name, "policy", opt_policy, "load", opt_load, "seed", opt_seed, "goodput",
                   share(s->good, s->offered), "wasted_prefill", wasted, "refused", share(s->refused, s->offered),
-                  "lost", (int)s->lost, "doubled", (int)s->doubled, "false_not_run", (int)s->false_not_run, "ran_twice",
-                  (int)s->ran_twice, "held_after", (int)held, "unknown", (int)(s->unknown + s->calls_unknown),
-                  "ttft_p95_ms", s->ttft_p95, "tpot_p95_ms", s->tpot_p95, "offered", (int)s->offered, "calls",
-                  (int)s->calls, "calls_whole", (int)s->calls_whole);
+                  "lost", (int)s->lost, "doubled", (int)s->duplicated, "false_not_run", (int)s->false_not_run,
+                  "ran_twice", (int)s->ran_twice, "held_after", (int)held, "unknown",
+                  (int)(s->unknown + s->calls_unknown), "ttft_p95_ms", s->ttft_p95, "tpot_p95_ms", s->tpot_p95,
+                  "offered", (int)s->offered, "calls", (int)s->calls, "calls_whole", (int)s->calls_complete);
     char *const text = json_dumps(line, JSON_REAL_PRECISION(5));
     printf("%s\n", text);
     free(text);
@@ -225,7 +226,7 @@
     g_strfreev(parts);
 }
 
-static bool parse(int argc, char **argv)
+static bool parse_options(int argc, char **argv)
 {
     GOptionContext *const context = g_option_context_new("- open-loop callers for trackcove");
     g_option_context_add_main_entries(context, options, NULL);
@@ -233,34 +234,34 @@
     const bool parsed = g_option_context_parse(context, &argc, &argv, &error);
     g_option_context_free(context);
     mix = mix_find(opt_mix);
-    then_mix = opt_then ? mix_find(opt_then) : NULL;
+    second_mix = opt_second_mix ? mix_find(opt_second_mix) : NULL;
     if (!parsed)
         fprintf(stderr, "trackcove-load: %s\n", error->message);
-    else if (!opt_entries || !mix || (opt_then && !then_mix))
+    else if (!opt_entries || !mix || (opt_second_mix && !second_mix))
         fprintf(stderr, "trackcove-load: %s\n",
-                mix && (!opt_then || then_mix) ? "--entries is required" : "no such mix: see --help");
-    return parsed && opt_entries && mix && (!opt_then || then_mix);
+                mix && (!opt_second_mix || second_mix) ? "--entries is required" : "no such mix: see --help");
+    return parsed && opt_entries && mix && (!opt_second_mix || second_mix);
 }
 
 int main(int argc, char **argv)
 {
-    if (!parse(argc, argv))
+    if (!parse_options(argc, argv))
         return EXIT_USAGE;
     signal(SIGPIPE, SIG_IGN);
     http_client_init("callers");
     tally_init(&tally);
     init_callers();
     json_t *const before = opt_admin ? admin_stats() : NULL;
-    arrive();
+    send_requests();
     while (atomic_load(&running) > 0)
         g_usleep(20000);
     double wasted = 0, held = 0;
     char runs_url[128] = "";
     if (opt_admin) {
-        json_t *const after = settle();
-        wasted = share(stat_of(after, "wasted") - stat_of(before, "wasted"),
-                       stat_of(after, "prefilled") - stat_of(before, "prefilled"));
-        held = stat_of(after, "held_pieces");
+        json_t *const after = wait_for_released_memory();
+        wasted = share(get_stat(after, "wasted") - get_stat(before, "wasted"),
+                       get_stat(after, "prefilled") - get_stat(before, "prefilled"));
+        held = get_stat(after, "held_pieces");
         json_decref(after);
         json_decref(before);
         snprintf(runs_url, sizeof(runs_url), "http://%s/admin/runs", opt_admin);
@@ -270,7 +271,7 @@
     if (!opt_quiet)
         print_table(&s, wasted, held);
     print_line(&s, wasted, held);
-    const bool right = s.lost == 0 && s.doubled == 0 && s.false_not_run == 0 && s.ran_twice == 0 && held == 0 &&
-                       s.invalid == 0 && s.whole > 0;
-    return opt_strict && !right ? EXIT_WRONG : 0;
+    const bool passed = s.lost == 0 && s.duplicated == 0 && s.false_not_run == 0 && s.ran_twice == 0 && held == 0 &&
+                        s.invalid == 0 && s.complete > 0;
+    return opt_strict && !passed ? EXIT_CHECK_FAILED : 0;
 }
--- a/programs/load/mix.c
+++ b/programs/load/mix.c
@@ -55,24 +55,24 @@
 
 void mix_draw(const mix_t *mix, GRand *random, uint64_t number, mix_request_t *request)
 {
-    double at = g_rand_double(random);
+    double draw = g_rand_double(random);
     const mix_kind_t *kind = &mix->kinds[mix->n_kinds - 1];
     for (uint32_t i = 0; i < mix->n_kinds; i++) {
-        if (at < mix->kinds[i].share) {
+        if (draw < mix->kinds[i].share) {
             kind = &mix->kinds[i];
             break;
         }
-        at -= mix->kinds[i].share;
+        draw -= mix->kinds[i].share;
     }
     request->kind = kind;
-    request->once = g_rand_double(random) < kind->once;
+    request->non_repeatable = g_rand_double(random) < kind->non_repeatable;
     request->workspace = (uint32_t)g_rand_int_range(random, 0, (gint)mix->workspaces);
     const uint32_t subject = (uint32_t)g_rand_int_range(random, 0, (gint)mix->subjects);
-    const double stretch = 0.75 + 0.5 * g_rand_double(random);
-    const uint32_t own = (uint32_t)((kind->prompt_tokens - kind->prefix_tokens) * stretch);
+    const double length_factor = 0.75 + 0.5 * g_rand_double(random);
+    const uint32_t unique_tokens = (uint32_t)((kind->prompt_tokens - kind->prefix_tokens) * length_factor);
     GString *const text = g_string_new(NULL);
     append_words(text, subject * 1000 + request->workspace, (size_t)kind->prefix_tokens * STUB_BYTES_PER_TOKEN);
-    append_words(text, number * 7919 + 17, (size_t)own * STUB_BYTES_PER_TOKEN);
+    append_words(text, number * 7919 + 17, (size_t)unique_tokens * STUB_BYTES_PER_TOKEN);
     request->prompt_size = text->len;
     request->prompt = g_string_free(text, FALSE);
 }
--- a/programs/load/mix.h
+++ b/programs/load/mix.h
@@ -16,8 +16,8 @@
     uint32_t prefix_tokens; /**< of these, shared with others about the same station or gauge */
     uint32_t max_tokens;
     uint32_t priority;
-    double once;         /**< part of them that may not be repeated */
-    const char *service; /**< plain service, or NULL for a completion */
+    double non_repeatable; /**< part of them that may not be repeated */
+    const char *service;   /**< plain service, or NULL for a completion */
 } mix_kind_t;
 
 typedef struct {
@@ -34,7 +34,7 @@
 /** One request drawn from a mix. */
 typedef struct {
     const mix_kind_t *kind;
-    bool once;
+    bool non_repeatable;
     uint32_t workspace;
     char *prompt; /**< g_free */
     size_t prompt_size;
--- a/programs/load/tally.c
+++ b/programs/load/tally.c
@@ -18,7 +18,7 @@
     pthread_mutex_unlock(&t->lock);
 }
 
-static int compare(gconstpointer a, gconstpointer b)
+static int compare_doubles(gconstpointer a, gconstpointer b)
 {
     const double x = *(const double *)a, y = *(const double *)b;
     return x < y ? -1 : (x > y ? 1 : 0);
@@ -28,29 +28,29 @@
 {
     if (values->len == 0)
         return 0;
-    g_array_sort(values, compare);
+    g_array_sort(values, compare_doubles);
     const guint at = (guint)(share * (values->len - 1) + 0.5);
     return g_array_index(values, double, at);
 }
 
-static void count(const outcome_t *o, double ttft_target, double tpot_target, summary_t *s)
+static void count_outcome(const outcome_t *o, double ttft_target, double tpot_target, summary_t *s)
 {
-    s->doubled += o->doubled;
-    s->lost += o->saw == SAW_LOST;
-    s->invalid += o->saw == SAW_INVALID;
+    s->duplicated += o->duplicated;
+    s->lost += o->kind == OUTCOME_LOST;
+    s->invalid += o->kind == OUTCOME_INVALID;
     if (o->service) {
         s->calls++;
-        s->calls_whole += o->saw == SAW_WHOLE;
-        s->calls_refused += o->saw == SAW_NOT_RUN;
-        s->calls_unknown += o->saw == SAW_UNKNOWN;
+        s->calls_complete += o->kind == OUTCOME_COMPLETE;
+        s->calls_refused += o->kind == OUTCOME_NOT_RUN;
+        s->calls_unknown += o->kind == OUTCOME_UNKNOWN;
         return;
     }
-    s->cancelled += o->saw == SAW_CANCELLED;
-    s->offered += o->saw != SAW_CANCELLED;
-    s->whole += o->saw == SAW_WHOLE;
-    s->refused += o->saw == SAW_NOT_RUN;
-    s->unknown += o->saw == SAW_UNKNOWN;
-    s->good += o->saw == SAW_WHOLE && o->ttft_ms <= ttft_target && o->tpot_ms <= tpot_target;
+    s->cancelled += o->kind == OUTCOME_CANCELLED;
+    s->offered += o->kind != OUTCOME_CANCELLED;
+    s->complete += o->kind == OUTCOME_COMPLETE;
+    s->refused += o->kind == OUTCOME_NOT_RUN;
+    s->unknown += o->kind == OUTCOME_UNKNOWN;
+    s->good += o->kind == OUTCOME_COMPLETE && o->ttft_ms <= ttft_target && o->tpot_ms <= tpot_target;
 }
 
 /** Ask the stand-ins how often each id ran, and hold it against what the callers were told. */
@@ -81,8 +81,8 @@
         const outcome_t *const o = &g_array_index(t->outcomes, outcome_t, i);
         const json_int_t runs = json_integer_value(json_array_get(json_object_get(answer, "runs"), i));
         const json_int_t answers = json_integer_value(json_array_get(json_object_get(answer, "answers"), i));
-        s->false_not_run += o->saw == SAW_NOT_RUN && runs > 0;
-        s->ran_twice += o->once && answers > 1;
+        s->false_not_run += o->kind == OUTCOME_NOT_RUN && runs > 0;
+        s->ran_twice += o->non_repeatable && answers > 1;
     }
     json_decref(answer);
     free(result.body);
@@ -96,10 +96,10 @@
     GArray *const tpot = g_array_new(FALSE, FALSE, sizeof(double));
     for (guint i = 0; i < t->outcomes->len; i++) {
         const outcome_t *const o = &g_array_index(t->outcomes, outcome_t, i);
-        count(o, ttft_target, tpot_target, s);
-        if (!o->service && o->saw == SAW_WHOLE && o->ttft_ms >= 0)
+        count_outcome(o, ttft_target, tpot_target, s);
+        if (!o->service && o->kind == OUTCOME_COMPLETE && o->ttft_ms >= 0)
             g_array_append_val(ttft, o->ttft_ms);
-        if (!o->service && o->saw == SAW_WHOLE && o->tpot_ms >= 0)
+        if (!o->service && o->kind == OUTCOME_COMPLETE && o->tpot_ms >= 0)
             g_array_append_val(tpot, o->tpot_ms);
     }
     s->ttft_p50 = percentile(ttft, 0.5);
--- a/programs/load/tally.h
+++ b/programs/load/tally.h
@@ -11,12 +11,19 @@
 #include <stdint.h>
 
 /** How one request ended, as its caller saw it. */
-typedef enum { SAW_WHOLE, SAW_NOT_RUN, SAW_UNKNOWN, SAW_CANCELLED, SAW_LOST, SAW_INVALID } saw_t;
+typedef enum {
+    OUTCOME_COMPLETE,
+    OUTCOME_NOT_RUN,
+    OUTCOME_UNKNOWN,
+    OUTCOME_CANCELLED,
+    OUTCOME_LOST,
+    OUTCOME_INVALID
+} outcome_kind_t;
 
 typedef struct {
     char id[64];
-    saw_t saw;
-    bool service, once, doubled;
+    outcome_kind_t kind;
+    bool service, non_repeatable, duplicated;
     double ttft_ms, tpot_ms; /**< -1: none */
 } outcome_t;
 
@@ -27,8 +34,8 @@
 
 /** Counts over a run. */
 typedef struct {
-    uint32_t offered, good, whole, refused, unknown, cancelled, lost, doubled, invalid;
-    uint32_t calls, calls_whole, calls_refused, calls_unknown;
+    uint32_t offered, good, complete, refused, unknown, cancelled, lost, duplicated, invalid;
+    uint32_t calls, calls_complete, calls_refused, calls_unknown;
     uint32_t false_not_run, ran_twice;
     double ttft_p50, ttft_p95, tpot_p50, tpot_p95;
 } summary_t;
--- a/programs/stub/admin.c
+++ b/programs/stub/admin.c
@@ -7,29 +7,29 @@
 /* ===== Faults and counts, for tests ===== */
 
 /** How streams are written from now on. @param n bytes, tokens or a place, by the kind */
-static bool wire_fault(sim_wire_t *wire, const char *kind, uint32_t n, uint32_t place)
+static bool apply_stream_fault(sim_stream_faults_t *faults, const char *kind, uint32_t n, uint32_t place)
 {
     if (strcmp(kind, "split") == 0) {
-        wire->piece = n;
+        faults->write_bytes = n;
     } else if (strcmp(kind, "batch") == 0) {
-        wire->tokens = n;
+        faults->event_tokens_max = n;
     } else if (strcmp(kind, "vary") == 0) {
-        wire->vary_from = n;
+        faults->diverge_from = n;
     } else if (strcmp(kind, "halt") == 0 || strcmp(kind, "break") == 0) {
-        wire->stop = kind[0] == 'h' ? SIM_STOP_HALT : SIM_STOP_BREAK;
-        wire->stop_byte = n;
-        wire->stop_place = place;
+        faults->stop = kind[0] == 'h' ? SIM_STOP_HALT : SIM_STOP_BREAK;
+        faults->stop_byte = n;
+        faults->stop_place = place;
     } else if (strcmp(kind, "go_on") == 0) {
-        wire->released++;
+        faults->resume_count++;
     } else if (strcmp(kind, "plain") == 0) {
-        *wire = (sim_wire_t){.released = wire->released + 1};
+        *faults = (sim_stream_faults_t){.resume_count = faults->resume_count + 1};
     } else {
         return false;
     }
     return true;
 }
 
-static bool engine_fault(sim_engine_t *e, const char *kind, double ms, double now)
+static bool apply_engine_fault(sim_engine_t *e, const char *kind, double ms, double now)
 {
     if (strcmp(kind, "die") == 0) {
         sim_kill(sim, e, now);
@@ -45,14 +45,14 @@
         e->delay_ms = ms;
     } else if (strcmp(kind, "leave") == 0 || strcmp(kind, "stay") == 0) {
         e->leaving = kind[0] == 'l';
-        e->list_at = now + sim->list_lag_ms;
+        e->list_update_at = now + sim->list_lag_ms;
     } else {
         return false;
     }
     return true;
 }
 
-static bool worker_fault(worker_t *w, const char *kind, double ms, double now)
+static bool apply_worker_fault(worker_t *w, const char *kind, double ms, double now)
 {
     if (strcmp(kind, "die") == 0)
         w->dead = true;
@@ -63,18 +63,18 @@
     else if (strcmp(kind, "shed") == 0)
         w->shed_until = now + ms;
     else if (strcmp(kind, "die_before") == 0)
-        w->die_before = now + ms;
+        w->die_before_until = now + ms;
     else if (strcmp(kind, "die_after") == 0)
-        w->die_after = now + ms;
+        w->die_after_until = now + ms;
     else if (strcmp(kind, "leave") == 0) {
         w->leaving = true;
-        w->list_at = now + sim->list_lag_ms;
+        w->list_update_at = now + sim->list_lag_ms;
     } else
         return false;
     return true;
 }
 
-static uint32_t number_of(const json_t *body, const char *key)
+static uint32_t get_uint(const json_t *body, const char *key)
 {
     return (uint32_t)json_integer_value(json_object_get(body, key));
 }
@@ -83,21 +83,21 @@
 {
     (void)arg;
     json_t *const body = stub_read_json(conn);
-    const char *const kind = stub_text(body, "kind");
+    const char *const kind = stub_json_string(body, "kind");
     const double ms = json_number_value(json_object_get(body, "ms"));
     bool done = false;
     pthread_mutex_lock(&sim->lock);
-    sim_engine_t *const e = sim_find_engine(sim, stub_text(body, "name"));
-    worker_t *const w = stub_find_worker(stub_text(body, "name"));
+    sim_engine_t *const e = sim_find_engine(sim, stub_json_string(body, "name"));
+    worker_t *const w = stub_find_worker(stub_json_string(body, "name"));
     if (e)
-        done = engine_fault(e, kind, ms, tc_time_exact()) ||
-               wire_fault(&e->wire, kind, number_of(body, "n"), number_of(body, "place"));
+        done = apply_engine_fault(e, kind, ms, tc_time_exact()) ||
+               apply_stream_fault(&e->stream_faults, kind, get_uint(body, "n"), get_uint(body, "place"));
     else if (w)
-        done = worker_fault(w, kind, ms, tc_time_exact());
+        done = apply_worker_fault(w, kind, ms, tc_time_exact());
     pthread_mutex_unlock(&sim->lock);
     json_decref(body);
     return done ? http_send_json(conn, 200, json_pack("{s:b}", "done", 1), 0)
-                : stub_fail(conn, 400, "invalid", "no such engine, worker or kind of fault");
+                : stub_send_error(conn, 400, "invalid", "no such engine, worker or kind of fault");
 }
 
 static json_t *engine_stats(const sim_engine_t *e)
@@ -109,8 +109,8 @@
     return json_pack(
         "{s:s,s:i,s:s,s:s,s:i,s:i,s:i,s:i,s:i,s:i,s:i}", "name", e->cfg.name, "started", (int)e->started, "role",
         role_names[e->cfg.role], "model", e->cfg.model, "live", (int)live, "pieces", (int)e->pieces_used, "batch",
-        (int)(e->n_loads ? e->loads[(e->n_loads - 1) % SIM_LOAD_SLOTS].batch : 0), "obeyed", (int)e->orders_obeyed,
-        "refused", (int)e->orders_refused, "backward", (int)e->orders_backward, "stopped", (int)e->stopped);
+        (int)(e->n_loads ? e->loads[(e->n_loads - 1) % SIM_LOAD_SAMPLES].batch : 0), "obeyed", (int)e->orders_applied,
+        "refused", (int)e->orders_rejected, "backward", (int)e->orders_applied_stale, "stopped", (int)e->stopped);
 }
 
 int stub_stats_handler(struct mg_connection *conn, void *arg)
--- a/programs/stub/sim.c
+++ b/programs/stub/sim.c
@@ -30,7 +30,7 @@
     r->engine->pieces_used -= r->pieces;
 }
 
-static bool take_memory(sim_request_t *r)
+static bool reserve_memory(sim_request_t *r)
 {
     if (r->engine->pieces_used + r->pieces > r->engine->cfg.pieces)
         return false;
@@ -40,15 +40,15 @@
 }
 
 /** A prefill result is gone before any decode engine had it. */
-static void waste(sim_t *sim, const sim_request_t *r, uint64_t *reason)
+static void count_wasted_prefill(sim_t *sim, const sim_request_t *r, uint64_t *reason)
 {
-    if (r->decode || r->used || r->state != SIM_HELD)
+    if (r->decode || r->transferred || r->state != SIM_HELD)
         return;
     sim->counts.wasted += r->computed;
     *reason += r->computed;
 }
 
-static void drop_source(sim_request_t *r)
+static void release_source(sim_request_t *r)
 {
     if (!r->source)
         return;
@@ -59,7 +59,7 @@
 static void end_request(sim_request_t *r, sim_state_t state, double now)
 {
     free_memory(r);
-    drop_source(r);
+    release_source(r);
     if (r->engine->running == r)
         r->engine->running = NULL;
     r->finished_at = now;
@@ -70,7 +70,7 @@
 {
     if (r->state >= SIM_DONE)
         return;
-    waste(sim, r, &sim->counts.wasted_cancel);
+    count_wasted_prefill(sim, r, &sim->counts.wasted_cancel);
     if (r->state == SIM_PREFILL) { /* half computed: what was done is lost */
         const double left = r->done_at > now ? r->done_at - now : 0;
         const double whole = SIM_PREFILL_BASE_MS + r->computed * 1000.0 / r->engine->cfg.prefill_rate;
@@ -127,7 +127,7 @@
     sim_request_t *q;
     cds_list_for_each_entry(q, &engine->requests, node)
         waiting += q->state == SIM_QUEUED;
-    if (waiting >= SIM_QUEUE_MAX)
+    if (waiting >= SIM_QUEUE_REQUESTS_MAX)
         return NULL;
     sim_request_t *const r = calloc(1, sizeof(*r));
     codec_copy_string(r->id, sizeof(r->id), id);
@@ -149,7 +149,7 @@
     return r;
 }
 
-void sim_attach(sim_request_t *r, sim_request_t *source)
+void sim_set_source(sim_request_t *r, sim_request_t *source)
 {
     r->source = source;
     source->refs++;
@@ -176,29 +176,29 @@
     for (; n < r->n_chain; n++) {
         int at = -1;
         for (int i = 0; i < SIM_CACHE_PIECES; i++)
-            if (e->cache[i] == r->chain[n] && e->cache_used[i] > 0)
+            if (e->cache[i] == r->chain[n] && e->cache_used_at[i] > 0)
                 at = i;
         if (at < 0)
             break;
-        e->cache_used[at] = now;
+        e->cache_used_at[at] = now;
     }
     return n;
 }
 
-static void note_event(sim_engine_t *e, uint64_t hash, bool stored, double now)
+static void record_cache_event(sim_engine_t *e, uint64_t hash, bool stored, double now)
 {
     e->n_events++;
-    e->events[e->n_events % SIM_EVENTS] =
+    e->events[e->n_events % SIM_CACHE_EVENTS_MAX] =
         (sim_event_t){.seq = e->n_events, .hash = hash, .stored = stored, .at = (tc_time_t)now};
 }
 
 uint32_t sim_cache_events(const sim_t *sim, const sim_engine_t *e, uint64_t since, uint32_t loss, sim_event_t *events,
                           uint32_t room, double now)
 {
-    const uint64_t oldest = e->n_events > SIM_EVENTS ? e->n_events - SIM_EVENTS + 1 : 1;
+    const uint64_t oldest = e->n_events > SIM_CACHE_EVENTS_MAX ? e->n_events - SIM_CACHE_EVENTS_MAX + 1 : 1;
     uint32_t n = 0;
     for (uint64_t seq = since + 1 > oldest ? since + 1 : oldest; seq <= e->n_events && n < room; seq++) {
-        const sim_event_t *const event = &e->events[seq % SIM_EVENTS];
+        const sim_event_t *const event = &e->events[seq % SIM_CACHE_EVENTS_MAX];
         if ((double)event->at > now - sim->load_lag_ms)
             break;
         if (XXH3_64bits(&seq, sizeof(seq)) % 100 >= loss)
@@ -216,23 +216,23 @@
                 slot = i;
                 break;
             }
-            if (e->cache_used[i] < e->cache_used[slot])
+            if (e->cache_used_at[i] < e->cache_used_at[slot])
                 slot = i;
         }
         if (e->cache[slot] != r->chain[n]) {
-            if (e->cache_used[slot] > 0)
-                note_event(e, e->cache[slot], false, now);
-            note_event(e, r->chain[n], true, now);
+            if (e->cache_used_at[slot] > 0)
+                record_cache_event(e, e->cache[slot], false, now);
+            record_cache_event(e, r->chain[n], true, now);
         }
         e->cache[slot] = r->chain[n];
-        e->cache_used[slot] = now;
+        e->cache_used_at[slot] = now;
     }
 }
 
 static void start_prefill(sim_t *sim, sim_engine_t *e, double now)
 {
     sim_request_t *const r = next_waiting(e, false);
-    if (!r || !take_memory(r))
+    if (!r || !reserve_memory(r))
         return;
     const uint32_t cached = cached_pieces(e, r, now) * SIM_PIECE_TOKENS;
     r->cached = cached < r->prompt_tokens ? cached : r->prompt_tokens - 1;
@@ -259,14 +259,14 @@
     cds_list_for_each_entry_safe(r, next, &e->requests, node) {
         if (r->state != SIM_HELD || now < r->hold_until)
             continue;
-        waste(sim, r, &sim->counts.wasted_hold);
+        count_wasted_prefill(sim, r, &sim->counts.wasted_hold);
         end_request(r, SIM_LOST, now);
     }
 }
 
 /* ===== Transfers ===== */
 
-static const link_cfg_t *link_of(const sim_t *sim, const sim_request_t *r)
+static const link_cfg_t *find_link(const sim_t *sim, const sim_request_t *r)
 {
     const char *const a = r->source->engine->cfg.dc, *const b = r->engine->cfg.dc;
     for (uint32_t i = 0; i < sim->config.links_n; i++) {
@@ -277,41 +277,41 @@
     return NULL;
 }
 
-static bool transfer_runs(const sim_request_t *r, double now)
+static bool transfer_is_active(const sim_request_t *r, double now)
 {
-    return r->state == SIM_TRANSFER && now >= r->transfer_from && now >= r->engine->stall_until;
+    return r->state == SIM_TRANSFER && now >= r->transfer_start_at && now >= r->engine->stall_until;
 }
 
-static uint32_t transfers_on(const sim_t *sim, const link_cfg_t *link, double now)
+static uint32_t count_transfers(const sim_t *sim, const link_cfg_t *link, double now)
 {
     uint32_t n = 0;
     for (uint32_t i = 0; i < sim->n_engines; i++) {
         const sim_request_t *r;
         cds_list_for_each_entry(r, &sim->engines[i].requests, node)
-            if (transfer_runs(r, now))
-                n += link_of(sim, r) == link;
+            if (transfer_is_active(r, now))
+                n += find_link(sim, r) == link;
     }
     return n;
 }
 
-static void advance_transfer(sim_t *sim, sim_request_t *r, double now, double span)
+static void advance_transfer(sim_t *sim, sim_request_t *r, double now, double elapsed_ms)
 {
     sim_request_t *const source = r->source;
     if (source->state != SIM_HELD) {
         end_request(r, SIM_LOST, now);
         return;
     }
-    if (!transfer_runs(r, now))
+    if (!transfer_is_active(r, now))
         return;
-    const link_cfg_t *const link = link_of(sim, r);
+    const link_cfg_t *const link = find_link(sim, r);
     const double rate = link ? link->rate / 1000.0 : 50;
-    r->transfer_left -= rate * span / transfers_on(sim, link, now);
+    r->transfer_tokens_left -= rate * elapsed_ms / count_transfers(sim, link, now);
     source->hold_until = now + SIM_HOLD_MS; /* it moves: it is kept */
-    if (r->transfer_left > 0)
+    if (r->transfer_tokens_left > 0)
         return;
-    source->used = true;
+    source->transferred = true;
     end_request(source, SIM_DONE, now);
-    drop_source(r);
+    release_source(r);
     set_state(r, SIM_DECODE);
 }
 
@@ -322,12 +322,12 @@
             end_request(r, SIM_LOST, now);
             continue;
         }
-        if (!take_memory(r))
+        if (!reserve_memory(r))
             return;
-        const link_cfg_t *const link = link_of(sim, r);
-        r->transfer_left = r->prompt_tokens;
-        r->transfer_from = now + (link ? link->delay_us / 1000.0 : 0);
-        r->source->moving = true;
+        const link_cfg_t *const link = find_link(sim, r);
+        r->transfer_tokens_left = r->prompt_tokens;
+        r->transfer_start_at = now + (link ? link->delay_us / 1000.0 : 0);
+        r->source->transferring = true;
         set_state(r, SIM_TRANSFER);
     }
 }
@@ -363,13 +363,13 @@
     return n;
 }
 
-static void advance_decode(sim_t *sim, sim_engine_t *e, double now, double span)
+static void advance_decode(sim_t *sim, sim_engine_t *e, double now, double elapsed_ms)
 {
     start_transfers(sim, e, now);
     sim_request_t *r;
     cds_list_for_each_entry(r, &e->requests, node)
         if (r->state == SIM_TRANSFER)
-            advance_transfer(sim, r, now, span);
+            advance_transfer(sim, r, now, elapsed_ms);
     if (e->step_end > 0 && now < e->step_end)
         return;
     if (e->step_end > 0)
@@ -377,16 +377,16 @@
     const uint32_t batch = count_state(e, SIM_DECODE);
     /* The next step begins where the last one ended, not where this tick happened to see it. */
     const double begin = e->step_end > 0 && now - e->step_end < 5 ? e->step_end : now;
-    e->step_end = batch ? begin + (SIM_STEP_BASE_US + SIM_STEP_EACH_US * (double)batch) / 1000 : 0;
+    e->step_end = batch ? begin + (SIM_STEP_BASE_US + SIM_STEP_PER_REQUEST_US * (double)batch) / 1000 : 0;
 }
 
 /* ===== Time ===== */
 
-static void forget_old(sim_engine_t *e, double now)
+static void evict_finished(sim_engine_t *e, double now)
 {
     sim_request_t *r, *next;
     cds_list_for_each_entry_safe(r, next, &e->requests, node) {
-        const double keep = r->decode ? SIM_KEEP_MS : 2000;
+        const double keep = r->decode ? SIM_STREAM_RETENTION_MS : 2000;
         if (r->state < SIM_DONE || now - r->finished_at < keep)
             continue;
         cds_list_del(&r->node);
@@ -396,7 +396,7 @@
 
 static void record_load(sim_engine_t *e, double now)
 {
-    sim_load_t *const slot = &e->loads[e->n_loads++ % SIM_LOAD_SLOTS];
+    sim_load_t *const slot = &e->loads[e->n_loads++ % SIM_LOAD_SAMPLES];
     *slot = (sim_load_t){.at = (tc_time_t)now,
                          .queue = count_state(e, SIM_QUEUED) + (e->running ? 1 : 0),
                          .batch = count_state(e, SIM_DECODE) + count_state(e, SIM_TRANSFER),
@@ -405,9 +405,9 @@
 
 sim_load_t sim_load_report(const sim_t *sim, const sim_engine_t *e, double now)
 {
-    const uint32_t kept = e->n_loads < SIM_LOAD_SLOTS ? e->n_loads : SIM_LOAD_SLOTS;
+    const uint32_t kept = e->n_loads < SIM_LOAD_SAMPLES ? e->n_loads : SIM_LOAD_SAMPLES;
     for (uint32_t back = 1; back <= kept; back++) {
-        const sim_load_t *const slot = &e->loads[(e->n_loads - back) % SIM_LOAD_SLOTS];
+        const sim_load_t *const slot = &e->loads[(e->n_loads - back) % SIM_LOAD_SAMPLES];
         if ((double)slot->at <= now - sim->load_lag_ms)
             return *slot;
     }
@@ -418,22 +418,22 @@
 {
     static double last;
     pthread_mutex_lock(&sim->lock);
-    const double span = last > 0 ? now - last : 0;
+    const double elapsed_ms = last > 0 ? now - last : 0;
     last = now;
     const bool load_due = now >= sim->next_load_at;
     if (load_due)
-        sim->next_load_at = now + SIM_LOAD_EVERY_MS;
+        sim->next_load_at = now + SIM_LOAD_INTERVAL_MS;
     for (uint32_t i = 0; i < sim->n_engines; i++) {
         sim_engine_t *const e = &sim->engines[i];
         if (e->dead)
             continue;
         advance_prefill(sim, e, now);
-        advance_decode(sim, e, now, span);
+        advance_decode(sim, e, now, elapsed_ms);
         if (load_due) {
             record_load(e, now);
-            forget_old(e, now);
+            evict_finished(e, now);
         }
-        if (e->leaving != e->leaving_listed && now >= e->list_at)
+        if (e->leaving != e->leaving_listed && now >= e->list_update_at)
             e->leaving_listed = e->leaving;
     }
     pthread_mutex_unlock(&sim->lock);
@@ -444,14 +444,14 @@
     sim_request_t *r, *next;
     cds_list_for_each_entry_safe(r, next, &e->requests, node) {
         if (r->state < SIM_DONE) {
-            waste(sim, r, &sim->counts.wasted_dead);
+            count_wasted_prefill(sim, r, &sim->counts.wasted_dead);
             end_request(r, SIM_LOST, now);
         }
         cds_list_del(&r->node);
         sim_unref(r);
     }
     memset(e->cache, 0, sizeof(e->cache));
-    memset(e->cache_used, 0, sizeof(e->cache_used));
+    memset(e->cache_used_at, 0, sizeof(e->cache_used_at));
     e->step_end = 0;
     e->running = NULL;
 }
--- a/programs/stub/sim.h
+++ b/programs/stub/sim.h
@@ -23,18 +23,18 @@
 
 enum {
     SIM_PIECE_TOKENS = 2000,
-    SIM_PREFILL_BASE_MS = 20, /* fixed cost of a prefill */
-    SIM_HOLD_MS = 900,        /* a prefill result that does not move is lost after this: "under a second" */
-    SIM_STEP_BASE_US = 18000, /* decode step of an empty batch */
-    SIM_STEP_EACH_US = 1200,  /* and for each request in it: 42 ms at twenty */
-    SIM_CACHE_PIECES = 64,    /* prompt prefix cache of an engine, in pieces */
-    SIM_QUEUE_MAX = 64,       /* waiting requests before an engine answers 429 */
-    SIM_KEEP_MS = 30000,      /* a finished stream can be fetched again for this long */
-    SIM_EVENTS = 512,         /* cache events kept */
-    SIM_LOAD_SLOTS = 64,      /* snapshots of load kept, one every SIM_LOAD_EVERY_MS */
-    SIM_LOAD_EVERY_MS = 50,
-    SIM_MODEL_MB = 16000,        /* weights of a model */
-    SIM_STORE_MB_A_SECOND = 8000 /* the weight store's rate, shared by all loads */
+    SIM_PREFILL_BASE_MS = 20,        /* fixed cost of a prefill */
+    SIM_HOLD_MS = 900,               /* a prefill result that does not move is lost after this: "under a second" */
+    SIM_STEP_BASE_US = 18000,        /* decode step of an empty batch */
+    SIM_STEP_PER_REQUEST_US = 1200,  /* and for each request in it: 42 ms at twenty */
+    SIM_CACHE_PIECES = 64,           /* prompt prefix cache of an engine, in pieces */
+    SIM_QUEUE_REQUESTS_MAX = 64,     /* waiting requests before an engine answers 429 */
+    SIM_STREAM_RETENTION_MS = 30000, /* a finished stream can be fetched again for this long */
+    SIM_CACHE_EVENTS_MAX = 512,      /* cache events kept */
+    SIM_LOAD_SAMPLES = 64,           /* snapshots of load kept, one every SIM_LOAD_INTERVAL_MS */
+    SIM_LOAD_INTERVAL_MS = 50,
+    SIM_MODEL_WEIGHTS_MB = 16000,    /* weights of a model */
+    SIM_WEIGHT_STORE_MB_PER_S = 8000 /* the weight store's rate, shared by all loads */
 };
 
 /* ===== Types ===== */
@@ -76,10 +76,10 @@
     double done_at; /* prefill: when it is computed, ms */
     double hold_until;
     struct sim_request *source; /* decode: the prefill result, referenced */
-    bool moving;                /* prefill result: a transfer has begun */
-    bool used;                  /* prefill result: arrived at a decode engine */
-    double transfer_left;       /* tokens */
-    double transfer_from;       /* not before, ms */
+    bool transferring;          /* prefill result: a transfer has begun */
+    bool transferred;           /* prefill result: arrived at a decode engine */
+    double transfer_tokens_left;
+    double transfer_start_at; /* not before, ms */
     double finished_at;
     int refs;
     pthread_cond_t changed;
@@ -99,34 +99,34 @@
 
 /** How an engine writes its streams. */
 typedef struct {
-    uint32_t piece;                 /* bytes in one write; 0: whole events */
-    uint32_t tokens;                /* most tokens in one event; 0: one */
-    uint32_t vary_from;             /* from this place on its tokens are others than those of its peers; 0: nowhere */
+    uint32_t write_bytes;           /* bytes in one write; 0: whole events */
+    uint32_t event_tokens_max;      /* most tokens in one event; 0: one */
+    uint32_t diverge_from;          /* from this place on its tokens are others than those of its peers; 0: nowhere */
     sim_stop_t stop;                /* for one event: the next one that ends at stop_place or behind it */
     uint32_t stop_place, stop_byte; /* bytes of that event which are still written */
-    uint32_t released;              /* how often halted streams were told to go on */
-} sim_wire_t;
+    uint32_t resume_count;          /* how often halted streams were told to go on */
+} sim_stream_faults_t;
 
 struct sim_engine {
     engine_cfg_t cfg;
     uint64_t incarnation;
     bool dead, leaving, leaving_listed;
     double refuse_until, stall_until, delay_ms, loading_until;
-    double list_at; /* when the platform's list learns of leaving */
+    double list_update_at; /* when the platform's list learns of leaving */
     struct cds_list_head requests;
     uint32_t pieces_used;
     sim_request_t *running; /* prefill */
     double step_end;        /* decode */
     uint64_t cache[SIM_CACHE_PIECES];
-    double cache_used[SIM_CACHE_PIECES];
-    sim_event_t events[SIM_EVENTS];
+    double cache_used_at[SIM_CACHE_PIECES];
+    sim_event_t events[SIM_CACHE_EVENTS_MAX];
     uint64_t n_events;
-    sim_load_t loads[SIM_LOAD_SLOTS];
+    sim_load_t loads[SIM_LOAD_SAMPLES];
     uint32_t n_loads;
     uint64_t order_term, order_index;
     uint32_t started; /* requests taken */
-    uint32_t orders_obeyed, orders_refused, orders_backward;
-    sim_wire_t wire;
+    uint32_t orders_applied, orders_rejected, orders_applied_stale;
+    sim_stream_faults_t stream_faults;
     uint32_t stopped; /* streams that were stopped within an event */
 };
 
@@ -165,7 +165,7 @@
 sim_request_t *sim_lookup(sim_engine_t *engine, const char *id);
 
 /** With the lock held: begin to fetch @p source to decode request @p r when memory allows. */
-void sim_attach(sim_request_t *r, sim_request_t *source);
+void sim_set_source(sim_request_t *r, sim_request_t *source);
 
 void sim_unref(sim_request_t *r);
 
--- a/programs/stub/stub.c
+++ b/programs/stub/stub.c
@@ -29,24 +29,24 @@
 /* ===== State ===== */
 
 enum {
-    BODY_MAX = 64 * 1024 * 1024,
+    BODY_BYTES_MAX = 64 * 1024 * 1024,
     STUB_THREADS = 1200,
-    CHANGE_MS = 100 /* between two looks whether a caller whose answer is due has left */
+    CHANGE_WAIT_MS = 100 /* between two looks whether a caller whose answer is due has left */
 };
 
 sim_t *sim;
-worker_t workers[STUB_WORKERS];
+worker_t workers[STUB_WORKERS_MAX];
 uint32_t n_workers;
 static double service_ms = 10;
-static gint event_loss = 5;
+static gint event_loss_percent = 5;
 
-int stub_fail(struct mg_connection *conn, int status, const char *type, const char *text)
+int stub_send_error(struct mg_connection *conn, int status, const char *type, const char *text)
 {
     return http_send_json(conn, status, json_pack("{s:{s:s,s:s}}", "error", "type", type, "message", text), 0);
 }
 
 /** End the connection without an answer, as a process does that dies. @return a status for CivetWeb's log */
-static int hang_up(struct mg_connection *conn)
+static int close_without_response(struct mg_connection *conn)
 {
     enum { NO_ANSWER = 499 };
     mg_close_connection(conn);
@@ -54,9 +54,9 @@
 }
 
 /** Wait on a request's condition, for a short while at most so that a lost connection is noticed. */
-static void wait_change(sim_request_t *r)
+static void wait_for_change(sim_request_t *r)
 {
-    tc_cond_wait_for(&r->changed, &sim->lock, CHANGE_MS);
+    tc_cond_wait_for(&r->changed, &sim->lock, CHANGE_WAIT_MS);
 }
 
 /** One-way delay between the caller's data centre and the engine's, both ways, as the links declare it. */
@@ -77,26 +77,27 @@
 /** Whether there is something to write behind place @p sent: an event's tokens, or the end. */
 static bool event_is_due(const sim_request_t *r, uint32_t sent)
 {
-    const uint32_t most = r->engine->wire.tokens ? r->engine->wire.tokens : 1;
-    return r->state >= SIM_DONE || r->generated >= sent + most;
+    const uint32_t tokens_max =
+        r->engine->stream_faults.event_tokens_max ? r->engine->stream_faults.event_tokens_max : 1;
+    return r->state >= SIM_DONE || r->generated >= sent + tokens_max;
 }
 
 /** One event of up to the engine's number of tokens, which stand one by one in token_ids. @return tokens out with it */
 static uint32_t append_event(GString *out, const sim_request_t *r, uint32_t sent)
 {
-    const sim_wire_t *const wire = &r->engine->wire;
-    const uint32_t most = wire->tokens ? wire->tokens : 1;
-    const uint32_t end = r->generated - sent < most ? r->generated : sent + most;
+    const sim_stream_faults_t *const faults = &r->engine->stream_faults;
+    const uint32_t tokens_max = faults->event_tokens_max ? faults->event_tokens_max : 1;
+    const uint32_t end = r->generated - sent < tokens_max ? r->generated : sent + tokens_max;
     GString *const ids = g_string_new(NULL);
     g_string_append_printf(out, "id: %u\ndata: {\"choices\":[{\"index\":0,\"text\":\"", end);
     for (uint32_t place = sent; place < end; place++) {
         char token[STUB_TOKEN_BYTES];
-        const bool varies = wire->vary_from && place + 1 >= wire->vary_from;
+        const bool varies = faults->diverge_from && place + 1 >= faults->diverge_from;
         stub_token_text(token, varies ? ~r->hash : r->hash, place);
         g_string_append(out, token);
         g_string_append_printf(ids, "%s%lu", ids->len ? "," : "", strtoul(token + 1, NULL, 16));
     }
-    if (wire->tokens)
+    if (faults->event_tokens_max)
         g_string_append_printf(out, "\",\"token_ids\":[%s],\"finish_reason\":", ids->str);
     else
         g_string_append(out, "\",\"finish_reason\":");
@@ -106,59 +107,59 @@
 }
 
 /** With the lock held: how the event that ends at @p place is written; a stop is used up. */
-static sim_wire_t wire_for(sim_engine_t *e, uint32_t place)
+static sim_stream_faults_t take_stream_faults(sim_engine_t *e, uint32_t place)
 {
-    sim_wire_t wire = e->wire;
-    if (wire.stop != SIM_STOP_NONE && place < wire.stop_place)
-        wire.stop = SIM_STOP_NONE;
-    if (wire.stop != SIM_STOP_NONE)
-        e->wire.stop = SIM_STOP_NONE;
-    return wire;
+    sim_stream_faults_t faults = e->stream_faults;
+    if (faults.stop != SIM_STOP_NONE && place < faults.stop_place)
+        faults.stop = SIM_STOP_NONE;
+    if (faults.stop != SIM_STOP_NONE)
+        e->stream_faults.stop = SIM_STOP_NONE;
+    return faults;
 }
 
 /** Whether an event is written by itself, not together with others that are due. */
-static bool is_special(const sim_wire_t *wire)
+static bool is_written_alone(const sim_stream_faults_t *faults)
 {
-    return wire->piece > 0 || wire->stop != SIM_STOP_NONE;
+    return faults->write_bytes > 0 || faults->stop != SIM_STOP_NONE;
 }
 
 /** Send bytes in pieces that arrive one by one. */
-static void send_pieces(http_stream_t *stream, const char *data, size_t size, size_t piece)
+static void send_in_chunks(http_stream_t *stream, const char *data, size_t size, size_t piece)
 {
-    enum { APART_US = 500 };
+    enum { CHUNK_INTERVAL_US = 500 };
     if (piece == 0) {
         http_stream_send(stream, data, size);
         return;
     }
     for (size_t at = 0; at < size && !stream->broken; at += piece) {
         http_stream_send(stream, data + at, size - at < piece ? size - at : piece);
-        g_usleep(APART_US);
+        g_usleep(CHUNK_INTERVAL_US);
     }
 }
 
 /** Stand still until told to go on, the request is cancelled, or no reader can be interested any more. */
-static void stand_still(sim_request_t *r, uint32_t released)
+static void pause_stream(sim_request_t *r, uint32_t resume_count)
 {
-    const double until = tc_time_exact() + SIM_KEEP_MS;
+    const double until = tc_time_exact() + SIM_STREAM_RETENTION_MS;
     pthread_mutex_lock(&sim->lock);
     r->engine->stopped++;
-    while (r->engine->wire.released == released && r->state != SIM_CANCELLED && !r->engine->dead &&
+    while (r->engine->stream_faults.resume_count == resume_count && r->state != SIM_CANCELLED && !r->engine->dead &&
            tc_time_exact() < until)
-        wait_change(r);
+        wait_for_change(r);
     pthread_mutex_unlock(&sim->lock);
 }
 
 /** Write events, of which the last, at @p last, may be stopped. @return false when the connection is to end */
 static bool write_events(http_stream_t *stream, sim_request_t *r, const GString *out, size_t last,
-                         const sim_wire_t *wire)
+                         const sim_stream_faults_t *faults)
 {
-    const size_t first = wire->stop == SIM_STOP_NONE ? out->len : MIN(last + wire->stop_byte, out->len);
-    send_pieces(stream, out->str, first, wire->piece);
-    if (wire->stop == SIM_STOP_HALT) {
-        stand_still(r, wire->released);
-        send_pieces(stream, out->str + first, out->len - first, wire->piece);
+    const size_t first = faults->stop == SIM_STOP_NONE ? out->len : MIN(last + faults->stop_byte, out->len);
+    send_in_chunks(stream, out->str, first, faults->write_bytes);
+    if (faults->stop == SIM_STOP_HALT) {
+        pause_stream(r, faults->resume_count);
+        send_in_chunks(stream, out->str + first, out->len - first, faults->write_bytes);
     }
-    return wire->stop != SIM_STOP_BREAK;
+    return faults->stop != SIM_STOP_BREAK;
 }
 
 /** Send tokens as they come, from place @p from on. The stream outlives its reader: only a cancel ends it. */
@@ -166,21 +167,21 @@
 {
     http_stream_t stream = {.conn = conn, .sse = true};
     uint32_t sent = from;
-    bool cut = false;
+    bool disconnect = false;
     GString *const out = g_string_new(NULL);
     pthread_mutex_lock(&sim->lock);
     while (!stream.broken) {
         while (!event_is_due(r, sent))
-            wait_change(r);
+            wait_for_change(r);
         if (r->generated <= sent && r->state != SIM_DONE)
             break;
         g_string_truncate(out, 0);
-        sim_wire_t wire = {.stop = SIM_STOP_NONE};
+        sim_stream_faults_t faults = {.stop = SIM_STOP_NONE};
         size_t last = 0; /* where the last event begins */
-        while (sent < r->generated && event_is_due(r, sent) && !is_special(&wire)) {
+        while (sent < r->generated && event_is_due(r, sent) && !is_written_alone(&faults)) {
             last = out->len;
             sent = append_event(out, r, sent);
-            wire = wire_for(r->engine, sent);
+            faults = take_stream_faults(r->engine, sent);
         }
         const bool done = r->state == SIM_DONE && sent >= r->length;
         if (done)
@@ -188,10 +189,10 @@
         const bool dead = r->engine->dead;
         pthread_mutex_unlock(&sim->lock);
         if (!dead)
-            cut = !write_events(&stream, r, out, last, &wire);
+            disconnect = !write_events(&stream, r, out, last, &faults);
         pthread_mutex_lock(&sim->lock);
-        r->engine->stopped += cut;
-        if (done || dead || cut)
+        r->engine->stopped += disconnect;
+        if (done || dead || disconnect)
             break;
     }
     const sim_state_t state = r->state;
@@ -199,17 +200,17 @@
     sim_unref(r);
     pthread_mutex_unlock(&sim->lock);
     g_string_free(out, TRUE);
-    if (cut)
-        return hang_up(conn);
+    if (disconnect)
+        return close_without_response(conn);
     if (state == SIM_DONE) {
         http_stream_close(&stream);
         return 200;
     }
     if (none_sent && state == SIM_LOST)
-        return stub_fail(conn, 409, "kv_lost", "the prefill result is gone");
+        return stub_send_error(conn, 409, "kv_lost", "the prefill result is gone");
     if (none_sent)
-        return stub_fail(conn, 410, "cancelled", "cancelled");
-    return hang_up(conn); /* cut without the last chunk: the reader sees a broken stream */
+        return stub_send_error(conn, 410, "cancelled", "cancelled");
+    return close_without_response(conn); /* cut without the last chunk: the reader sees a broken stream */
 }
 
 /* ===== Completions ===== */
@@ -218,7 +219,7 @@
 {
     pthread_mutex_lock(&sim->lock);
     while (r->state == SIM_QUEUED || r->state == SIM_PREFILL)
-        wait_change(r);
+        wait_for_change(r);
     const bool held = r->state == SIM_HELD || r->state == SIM_DONE;
     json_t *const body =
         json_pack("{s:s,s:s,s:{s:i,s:i,s:i},s:{s:b,s:b,s:s,s:s}}", "id", r->id, "object", "text_completion", "usage",
@@ -231,10 +232,10 @@
     if (held && !dead)
         return http_send_json(conn, 200, body, 0);
     json_decref(body);
-    return dead ? hang_up(conn) : stub_fail(conn, 410, "cancelled", "cancelled");
+    return dead ? close_without_response(conn) : stub_send_error(conn, 410, "cancelled", "cancelled");
 }
 
-const char *stub_text(const json_t *body, const char *key)
+const char *stub_json_string(const json_t *body, const char *key)
 {
     const char *const text = json_string_value(json_object_get(body, key));
     return text ? text : "";
@@ -242,11 +243,11 @@
 
 static sim_request_t *find_source(const json_t *kv)
 {
-    sim_engine_t *const from = sim_find_engine(sim, stub_text(kv, "remote_engine_id"));
-    return from ? sim_lookup(from, stub_text(kv, "remote_request_id")) : NULL;
+    sim_engine_t *const from = sim_find_engine(sim, stub_json_string(kv, "remote_engine_id"));
+    return from ? sim_lookup(from, stub_json_string(kv, "remote_request_id")) : NULL;
 }
 
-static int submit(struct mg_connection *conn, sim_engine_t *e, const json_t *body)
+static int submit_completion(struct mg_connection *conn, sim_engine_t *e, const json_t *body)
 {
     const json_t *const kv = json_object_get(body, "kv_transfer_params");
     const bool decode = json_is_true(json_object_get(kv, "do_remote_prefill"));
@@ -255,23 +256,24 @@
     pthread_mutex_lock(&sim->lock);
     sim_request_t *source = decode ? find_source(kv) : NULL;
     const bool wrong_role = e->cfg.role != (decode ? ROLE_DECODE : ROLE_PREFILL) ||
-                            tc_time_exact() < e->loading_until || strcmp(stub_text(body, "model"), e->cfg.model) != 0;
+                            tc_time_exact() < e->loading_until ||
+                            strcmp(stub_json_string(body, "model"), e->cfg.model) != 0;
     sim_request_t *r = NULL;
     if (!wrong_role && (!decode || source))
-        r = sim_submit(sim, e, stub_text(body, "request_id"), decode, json_string_value(prompt),
-                       json_string_length(prompt), stub_text(body, "cache_salt"), max_tokens,
+        r = sim_submit(sim, e, stub_json_string(body, "request_id"), decode, json_string_value(prompt),
+                       json_string_length(prompt), stub_json_string(body, "cache_salt"), max_tokens,
                        (uint32_t)json_integer_value(json_object_get(body, "priority")));
     if (r && decode)
-        sim_attach(r, source);
+        sim_set_source(r, source);
     if (source)
         sim_unref(source);
     pthread_mutex_unlock(&sim->lock);
     if (wrong_role)
-        return stub_fail(conn, 421, "wrong_role", "this engine does not serve that");
+        return stub_send_error(conn, 421, "wrong_role", "this engine does not serve that");
     if (decode && !source)
-        return stub_fail(conn, 409, "kv_lost", "no such prefill result");
+        return stub_send_error(conn, 409, "kv_lost", "no such prefill result");
     if (!r)
-        return stub_fail(conn, 429, "busy", "queue is full");
+        return stub_send_error(conn, 429, "busy", "queue is full");
     return decode ? stream_tokens(conn, r, 0) : answer_prefill(conn, r);
 }
 
@@ -279,39 +281,39 @@
 {
     size_t size;
     tc_err_t err = {0};
-    char *const text = http_read_body(conn, BODY_MAX, &size, &err);
+    char *const text = http_read_body(conn, BODY_BYTES_MAX, &size, &err);
     json_t *const body = text ? json_loadb(text, size, 0, NULL) : NULL;
     free(text);
     return body;
 }
 
-static int completions(struct mg_connection *conn, sim_engine_t *e)
+static int handle_completions(struct mg_connection *conn, sim_engine_t *e)
 {
     json_t *const body = stub_read_json(conn);
     if (!json_is_string(json_object_get(body, "prompt"))) {
         json_decref(body);
-        return stub_fail(conn, 400, "invalid", "prompt must be a string");
+        return stub_send_error(conn, 400, "invalid", "prompt must be a string");
     }
-    const int status = submit(conn, e, body);
+    const int status = submit_completion(conn, e, body);
     json_decref(body);
     return status;
 }
 
-static int resume(struct mg_connection *conn, sim_engine_t *e, const char *id)
+static int handle_resume(struct mg_connection *conn, sim_engine_t *e, const char *id)
 {
     const char *const query = mg_get_request_info(conn)->query_string;
     const uint32_t from = query && strncmp(query, "from=", 5) == 0 ? (uint32_t)strtoul(query + 5, NULL, 10) : 0;
     pthread_mutex_lock(&sim->lock);
     sim_request_t *const r = sim_lookup(e, id);
     pthread_mutex_unlock(&sim->lock);
-    return r ? stream_tokens(conn, r, from) : stub_fail(conn, 404, "not_found", "no such stream");
+    return r ? stream_tokens(conn, r, from) : stub_send_error(conn, 404, "not_found", "no such stream");
 }
 
-static int cancel(struct mg_connection *conn, sim_engine_t *e)
+static int handle_cancel(struct mg_connection *conn, sim_engine_t *e)
 {
     json_t *const body = stub_read_json(conn);
     pthread_mutex_lock(&sim->lock);
-    sim_request_t *const r = sim_lookup(e, stub_text(body, "request_id"));
+    sim_request_t *const r = sim_lookup(e, stub_json_string(body, "request_id"));
     if (r) {
         sim_cancel(sim, r, tc_time_exact());
         sim_unref(r);
@@ -323,7 +325,7 @@
 
 /* ===== Reports and orders ===== */
 
-static int state(struct mg_connection *conn, const sim_engine_t *e)
+static int handle_state(struct mg_connection *conn, const sim_engine_t *e)
 {
     json_t *const held = json_array();
     pthread_mutex_lock(&sim->lock);
@@ -339,7 +341,7 @@
     return http_send_json(conn, 200, body, 0);
 }
 
-static int load(struct mg_connection *conn, const sim_engine_t *e)
+static int handle_load(struct mg_connection *conn, const sim_engine_t *e)
 {
     pthread_mutex_lock(&sim->lock);
     const sim_load_t l = sim_load_report(sim, e, tc_time_exact());
@@ -349,13 +351,14 @@
         json_pack("{s:i,s:i,s:i}", "queue", (int)l.queue, "batch", (int)l.batch, "pieces_free", (int)l.pieces_free), 0);
 }
 
-static int cache_events(struct mg_connection *conn, const sim_engine_t *e)
+static int handle_cache_events(struct mg_connection *conn, const sim_engine_t *e)
 {
     const char *const query = mg_get_request_info(conn)->query_string;
     const uint64_t since = query && strncmp(query, "since=", 6) == 0 ? strtoull(query + 6, NULL, 10) : 0;
-    sim_event_t events[SIM_EVENTS];
+    sim_event_t events[SIM_CACHE_EVENTS_MAX];
     pthread_mutex_lock(&sim->lock);
-    const uint32_t n = sim_cache_events(sim, e, since, (uint32_t)event_loss, events, SIM_EVENTS, tc_time_exact());
+    const uint32_t n =
+        sim_cache_events(sim, e, since, (uint32_t)event_loss_percent, events, SIM_CACHE_EVENTS_MAX, tc_time_exact());
     pthread_mutex_unlock(&sim->lock);
     json_t *const list = json_array();
     for (uint32_t i = 0; i < n; i++) {
@@ -372,27 +375,27 @@
     return term > e->order_term || (term == e->order_term && index > e->order_index);
 }
 
-static void obey(sim_engine_t *e, const json_t *body, uint64_t term, uint64_t index, double now)
+static void apply_order(sim_engine_t *e, const json_t *body, uint64_t term, uint64_t index, double now)
 {
     if (!order_is_newer(e, term, index))
-        e->orders_backward++;
-    e->orders_obeyed++;
+        e->orders_applied_stale++;
+    e->orders_applied++;
     e->order_term = term;
     e->order_index = index;
     sim_kill(sim, e, now);
-    e->cfg.role = strcmp(stub_text(body, "role"), "decode") == 0 ? ROLE_DECODE : ROLE_PREFILL;
-    const bool loads =
-        strcmp(e->cfg.model, stub_text(body, "model")) != 0 || strcmp(e->cfg.version, stub_text(body, "version")) != 0;
-    codec_copy_string(e->cfg.model, sizeof(e->cfg.model), stub_text(body, "model"));
-    codec_copy_string(e->cfg.version, sizeof(e->cfg.version), stub_text(body, "version"));
+    e->cfg.role = strcmp(stub_json_string(body, "role"), "decode") == 0 ? ROLE_DECODE : ROLE_PREFILL;
+    const bool needs_load = strcmp(e->cfg.model, stub_json_string(body, "model")) != 0 ||
+                            strcmp(e->cfg.version, stub_json_string(body, "version")) != 0;
+    codec_copy_string(e->cfg.model, sizeof(e->cfg.model), stub_json_string(body, "model"));
+    codec_copy_string(e->cfg.version, sizeof(e->cfg.version), stub_json_string(body, "version"));
     enum { ROLE_CHANGE_MS = 500 };
     const double start = sim->store_free_at > now ? sim->store_free_at : now;
-    if (loads)
-        sim->store_free_at = start + SIM_MODEL_MB * 1000.0 / SIM_STORE_MB_A_SECOND;
-    e->loading_until = loads ? sim->store_free_at : now + ROLE_CHANGE_MS;
+    if (needs_load)
+        sim->store_free_at = start + SIM_MODEL_WEIGHTS_MB * 1000.0 / SIM_WEIGHT_STORE_MB_PER_S;
+    e->loading_until = needs_load ? sim->store_free_at : now + ROLE_CHANGE_MS;
 }
 
-static int order(struct mg_connection *conn, sim_engine_t *e)
+static int handle_order(struct mg_connection *conn, sim_engine_t *e)
 {
     json_t *const body = stub_read_json(conn);
     const uint64_t term = (uint64_t)json_integer_value(json_object_get(body, "term"));
@@ -401,12 +404,12 @@
     const bool repeat = term == e->order_term && index == e->order_index;
     const bool stale = !repeat && e->cfg.checks_fence && !order_is_newer(e, term, index);
     if (stale)
-        e->orders_refused++;
+        e->orders_rejected++;
     else if (!repeat)
-        obey(e, body, term, index, tc_time_exact());
+        apply_order(e, body, term, index, tc_time_exact());
     pthread_mutex_unlock(&sim->lock);
     json_decref(body);
-    return stale ? stub_fail(conn, 409, "fenced", "a newer order was obeyed before")
+    return stale ? stub_send_error(conn, 409, "fenced", "a newer order was obeyed before")
                  : http_send_json(conn, 200, json_pack("{s:b}", "done", 1), 0);
 }
 
@@ -417,39 +420,39 @@
     const char *const uri = mg_get_request_info(conn)->local_uri + strlen("/e/");
     const char *const slash = strchr(uri, '/');
     if (!slash || (size_t)(slash - uri) >= sizeof(name))
-        return stub_fail(conn, 404, "not_found", "no such engine");
+        return stub_send_error(conn, 404, "not_found", "no such engine");
     codec_copy_string(name, (size_t)(slash - uri) + 1, uri);
     sim_engine_t *const e = sim_find_engine(sim, name);
     if (!e)
-        return stub_fail(conn, 404, "not_found", "no such engine");
+        return stub_send_error(conn, 404, "not_found", "no such engine");
     pthread_mutex_lock(&sim->lock);
     const bool dead = e->dead;
     const bool refuse = tc_time_exact() < e->refuse_until;
     const double delay = e->delay_ms;
     pthread_mutex_unlock(&sim->lock);
     if (dead) {
-        return hang_up(conn);
+        return close_without_response(conn);
     }
     network_delay(conn, e->cfg.dc);
     if (delay > 0)
         g_usleep((gulong)(delay * 1000));
     if (refuse)
-        return stub_fail(conn, 503, "refused", "refusing by order of the test");
+        return stub_send_error(conn, 503, "refused", "refusing by order of the test");
     if (strcmp(slash, "/v1/completions") == 0)
-        return completions(conn, e);
+        return handle_completions(conn, e);
     if (strncmp(slash, "/v1/streams/", 12) == 0)
-        return resume(conn, e, slash + 12);
+        return handle_resume(conn, e, slash + 12);
     if (strcmp(slash, "/v1/cancel") == 0)
-        return cancel(conn, e);
+        return handle_cancel(conn, e);
     if (strcmp(slash, "/v1/state") == 0)
-        return state(conn, e);
+        return handle_state(conn, e);
     if (strcmp(slash, "/v1/load") == 0)
-        return load(conn, e);
+        return handle_load(conn, e);
     if (strcmp(slash, "/v1/events") == 0)
-        return cache_events(conn, e);
+        return handle_cache_events(conn, e);
     if (strcmp(slash, "/v1/orders") == 0)
-        return order(conn, e);
-    return stub_fail(conn, 404, "not_found", "no such page");
+        return handle_order(conn, e);
+    return stub_send_error(conn, 404, "not_found", "no such page");
 }
 
 /* ===== Plain services ===== */
@@ -472,12 +475,12 @@
         *slash = '\0';
     worker_t *const w = stub_find_worker(name);
     if (!w)
-        return stub_fail(conn, 404, "not_found", "no such worker");
+        return stub_send_error(conn, 404, "not_found", "no such worker");
     json_t *const body = stub_read_json(conn);
     json_decref(body);
     const double now = tc_time_exact();
-    if (w->dead || now < w->die_before) {
-        return hang_up(conn);
+    if (w->dead || now < w->die_before_until) {
+        return close_without_response(conn);
     }
     if (now < w->shed_until)
         return http_send_json(conn, 503, json_pack("{s:s}", "worker", w->name), (unsigned)(w->shed_until - now));
@@ -489,8 +492,8 @@
     sim_count_run(sim->answers, counted);
     pthread_mutex_unlock(&sim->lock);
     g_usleep((gulong)((service_ms + w->slow_ms) * 1000));
-    if (now < w->die_after || w->dead) {
-        return hang_up(conn);
+    if (now < w->die_after_until || w->dead) {
+        return close_without_response(conn);
     }
     return http_send_json(conn, 200, json_pack("{s:s,s:s}", "worker", w->name, "id", id), 0);
 }
@@ -507,7 +510,7 @@
         json_array_append_new(e->leaving_listed ? leaving : live, json_string(e->cfg.name));
     }
     for (uint32_t i = 0; i < n_workers; i++) {
-        if (workers[i].leaving != workers[i].leaving_listed && tc_time_exact() >= workers[i].list_at)
+        if (workers[i].leaving != workers[i].leaving_listed && tc_time_exact() >= workers[i].list_update_at)
             workers[i].leaving_listed = workers[i].leaving;
         json_array_append_new(workers[i].leaving_listed ? leaving : live, json_string(workers[i].name));
     }
@@ -541,7 +544,8 @@
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &config_path, "configuration with engines, services and links",
          "FILE"},
         {"load-lag-ms", 0, 0, G_OPTION_ARG_INT, &load_lag, "age of load reports, ms (500)", "MS"},
-        {"event-loss", 0, 0, G_OPTION_ARG_INT, &event_loss, "cache events that never come, in a hundred (5)", "N"},
+        {"event-loss", 0, 0, G_OPTION_ARG_INT, &event_loss_percent, "cache events that never come, in a hundred (5)",
+         "N"},
         {"list-lag-ms", 0, 0, G_OPTION_ARG_INT, &list_lag, "age of the platform's list, ms (1500)", "MS"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
     GOptionContext *const context = g_option_context_new("- stand-in engines, services and platform list");
--- a/programs/stub/stub.h
+++ b/programs/stub/stub.h
@@ -9,26 +9,26 @@
 #include "http/http.h"
 #include "stub/sim.h"
 
-enum { STUB_WORKERS = 64 };
+enum { STUB_WORKERS_MAX = 64 };
 
 /** A worker of a plain service. */
 typedef struct {
     char name[CODEC_STR_SIZE];
     bool dead, leaving, leaving_listed;
-    double slow_ms, list_at;
-    double shed_until;            /* it turns calls away and asks for none */
-    double die_before, die_after; /* until when calls die before, or after, the work is done */
+    double slow_ms, list_update_at;
+    double shed_until;                        /* it turns calls away and asks for none */
+    double die_before_until, die_after_until; /* until when calls die before, or after, the work is done */
 } worker_t;
 
 extern sim_t *sim;
-extern worker_t workers[STUB_WORKERS];
+extern worker_t workers[STUB_WORKERS_MAX];
 extern uint32_t n_workers;
 
 /** Answer with an error. @return @p status */
-int stub_fail(struct mg_connection *conn, int status, const char *type, const char *text);
+int stub_send_error(struct mg_connection *conn, int status, const char *type, const char *text);
 
 /** A string of a JSON object, "" when it is missing. */
-const char *stub_text(const json_t *body, const char *key);
+const char *stub_json_string(const json_t *body, const char *key);
 
 /** The request's body, NULL when it is no JSON. */
 json_t *stub_read_json(struct mg_connection *conn);
--- a/programs/trackcove/account.c
+++ b/programs/trackcove/account.c
@@ -6,7 +6,7 @@
 #include "forward/account.h"
 #include "trackcove/cli.h"
 
-static void show_cause(const cli_options_t *options, const account_service_t *s, cause_t cause)
+static void print_cause(const cli_options_t *options, const account_service_t *s, cause_t cause)
 {
     const double percent = 100.0 * s->count[cause] / s->callers;
     const char *const *const examples = s->examples[cause];
@@ -21,7 +21,7 @@
     printf("\n");
 }
 
-static void show(const cli_options_t *options, const GArray *services)
+static void print_services(const cli_options_t *options, const GArray *services)
 {
     for (guint i = 0; i < services->len; i++) {
         const account_service_t *const s = &g_array_index(services, account_service_t, i);
@@ -29,7 +29,7 @@
             printf("%s: %u callers\n", s->service, s->callers);
         for (int cause = 0; cause < CAUSE_COUNT; cause++)
             if (s->count[cause] > 0)
-                show_cause(options, s, (cause_t)cause);
+                print_cause(options, s, (cause_t)cause);
     }
 }
 
@@ -54,7 +54,7 @@
         fclose(in);
     }
     GArray *const services = account_classify(account);
-    show(options, services);
+    print_services(options, services);
     g_array_free(services, TRUE);
     account_destroy(account);
     return CLI_OK;
--- a/programs/trackcove/local.c
+++ b/programs/trackcove/local.c
@@ -73,13 +73,13 @@
     return CLI_FAILED;
 }
 
-static void explain_drop(void *line)
+static void free_line(void *line)
 {
     json_decref(line);
 }
 
 /** Keep a line that names the request. */
-static void explain_take(GPtrArray *lines, const char *text, const char *request)
+static void collect_line(GPtrArray *lines, const char *text, const char *request)
 {
     json_t *const line = json_loads(text, 0, NULL);
     const char *const named = json_string_value(json_object_get(line, "request"));
@@ -89,14 +89,14 @@
 }
 
 /** By the boxes' wall clocks, which may differ; lines of one box stay in their order. */
-static int explain_order(const void *a, const void *b)
+static int compare_times(const void *a, const void *b)
 {
     const json_int_t x = json_integer_value(json_object_get(*(json_t *const *)a, "time"));
     const json_int_t y = json_integer_value(json_object_get(*(json_t *const *)b, "time"));
     return x < y ? -1 : x > y;
 }
 
-static void explain_print(const cli_options_t *options, json_t *line)
+static void print_line(const cli_options_t *options, json_t *line)
 {
     if (options->json) {
         char *const text = json_dumps(line, JSON_COMPACT);
@@ -123,7 +123,7 @@
         return CLI_USAGE;
     }
     char text[LOG_LINE_MAX * 2];
-    GPtrArray *const lines = g_ptr_array_new_with_free_func(explain_drop);
+    GPtrArray *const lines = g_ptr_array_new_with_free_func(free_line);
     for (gchar **path = options->logs; *path; path++) {
         FILE *const in = fopen(*path, "r");
         if (!in) {
@@ -132,12 +132,12 @@
             return CLI_FAILED;
         }
         while (fgets(text, sizeof(text), in))
-            explain_take(lines, text, argv[0]);
+            collect_line(lines, text, argv[0]);
         fclose(in);
     }
-    g_ptr_array_sort(lines, explain_order);
+    g_ptr_array_sort(lines, compare_times);
     for (guint i = 0; i < lines->len; i++)
-        explain_print(options, g_ptr_array_index(lines, i));
+        print_line(options, g_ptr_array_index(lines, i));
     g_ptr_array_free(lines, TRUE);
     return CLI_OK;
 }
--- a/programs/trackcove/remote.c
+++ b/programs/trackcove/remote.c
@@ -10,7 +10,7 @@
 
 /* ===== Calls ===== */
 
-enum { CALL_LIMIT_MS = 7000, ROUNDS = 20, PAUSE_US = 150000, STATUS_NOT_LEADER = 421 };
+enum { CALL_TIMEOUT_MS = 7000, ROUNDS_MAX = 20, RETRY_DELAY_US = 150000, STATUS_NOT_LEADER = 421 };
 
 static json_t *call_once(const cli_options_t *o, const char *addr, const char *path, const char *body, int *status)
 {
@@ -22,7 +22,7 @@
                               .body = body,
                               .body_size = body ? strlen(body) : 0,
                               .headers = headers,
-                              .timeout = CALL_LIMIT_MS,
+                              .timeout = CALL_TIMEOUT_MS,
                               .peer = addr,
                               .step = "call"};
     http_result_t result;
@@ -49,7 +49,7 @@
 }
 
 /** Whether the answer must come from the leader. */
-static bool leader_only(const char *path, const json_t *answer)
+static bool needs_leader(const char *path, const json_t *answer)
 {
     return strcmp(path, "/v1/status") == 0 || strcmp(path, "/v1/members") == 0
                ? !json_is_true(json_object_get(answer, "leads"))
@@ -68,33 +68,33 @@
     json_decref(body);
     gchar **const boxes = g_strsplit(o->control, ",", 0);
     const guint n = g_strv_length(boxes);
-    json_t *answer = NULL, *second_best = NULL;
+    json_t *answer = NULL, *follower_answer = NULL;
     /* A resend with the same request id gets the first answer, so trying again is safe. */
-    for (guint i = 0; i < n * ROUNDS && !answer; i++) {
+    for (guint i = 0; i < n * ROUNDS_MAX && !answer; i++) {
         int status = 0;
-        json_t *const got = call_once(o, boxes[i % n], path, text, &status);
-        const bool elsewhere = status == STATUS_NOT_LEADER || (status == 503 && text) || leader_only(path, got);
-        if (status == 0 || elsewhere) {
-            if (got && leader_only(path, got) && !second_best)
-                second_best = json_incref(got);
-            json_decref(got);
+        json_t *const response = call_once(o, boxes[i % n], path, text, &status);
+        const bool retry_next = status == STATUS_NOT_LEADER || (status == 503 && text) || needs_leader(path, response);
+        if (status == 0 || retry_next) {
+            if (response && needs_leader(path, response) && !follower_answer)
+                follower_answer = json_incref(response);
+            json_decref(response);
             if (i % n == n - 1) {
-                if (second_best && i >= 2 * n)
+                if (follower_answer && i >= 2 * n)
                     break;
-                g_usleep(PAUSE_US);
+                g_usleep(RETRY_DELAY_US);
             }
             continue;
         }
-        answer = got;
+        answer = response;
         *code = status < 300 ? CLI_OK : (status == 400 ? CLI_USAGE : CLI_REFUSED);
     }
     g_strfreev(boxes);
     free(text);
-    if (!answer && second_best) {
+    if (!answer && follower_answer) {
         *code = CLI_OK;
-        return second_best;
+        return follower_answer;
     }
-    json_decref(second_best);
+    json_decref(follower_answer);
     if (!answer) {
         fprintf(stderr,
                 "trackcove: no control leader answered; the outcome is unknown: ask again with --request-id %s\n",
@@ -132,13 +132,13 @@
     return true;
 }
 
-static const char *text_of(const json_t *object, const char *key)
+static const char *get_string(const json_t *object, const char *key)
 {
     const char *const text = json_string_value(json_object_get(object, key));
     return text ? text : "";
 }
 
-static long long number_of(const json_t *object, const char *key)
+static long long get_integer(const json_t *object, const char *key)
 {
     return json_integer_value(json_object_get(object, key));
 }
@@ -159,19 +159,20 @@
     json_t *const s = cli_control(o, "/v1/status", NULL, &code);
     if (code != CLI_OK || cli_print_json(o, s))
         return code;
-    printf("leader     %s%s\n", text_of(s, "leader"),
+    printf("leader     %s%s\n", get_string(s, "leader"),
            json_is_true(json_object_get(s, "leads")) ? "" : " (not reached)");
-    printf("term       %lld\naccepted   %lld\nin force   %lld%s%s\n", number_of(s, "term"), number_of(s, "accepted"),
-           number_of(s, "in_force"), text_of(s, "lags")[0] ? "   lags: " : "", text_of(s, "lags"));
+    printf("term       %lld\naccepted   %lld\nin force   %lld%s%s\n", get_integer(s, "term"),
+           get_integer(s, "accepted"), get_integer(s, "in_force"), get_string(s, "lags")[0] ? "   lags: " : "",
+           get_string(s, "lags"));
     size_t i;
     json_t *item;
     json_array_foreach(json_object_get(s, "control"), i, item)
-        printf("control    %-14s %s  %s%s\n", text_of(item, "box"), text_of(item, "id"),
+        printf("control    %-14s %s  %s%s\n", get_string(item, "box"), get_string(item, "id"),
                json_is_true(json_object_get(item, "voter")) ? "voter" : "catching up",
                json_is_true(json_object_get(item, "leader")) ? ", leader" : "");
     json_array_foreach(json_object_get(s, "cells"), i, item)
-        printf("cell       %-14s on %s, epoch %lld\n", text_of(item, "cell"), text_of(item, "box"),
-               number_of(item, "epoch"));
+        printf("cell       %-14s on %s, epoch %lld\n", get_string(item, "cell"), get_string(item, "box"),
+               get_integer(item, "epoch"));
     return code;
 }
 
@@ -183,7 +184,7 @@
     if (code != CLI_OK)
         return code;
     cli_options_t at_leader = *o;
-    char *const leader = g_strdup(text_of(status, "leader"));
+    char *const leader = g_strdup(get_string(status, "leader"));
     at_leader.control = leader;
     json_t *const list = cli_control(&at_leader, "/v1/members", NULL, &code);
     if (code != CLI_OK || cli_print_json(o, list))
@@ -193,8 +194,9 @@
     size_t i;
     json_t *b;
     json_array_foreach(list, i, b)
-        printf("%-14s %-18s %-22s %8lld %6lld %9lld %s\n", text_of(b, "box"), text_of(b, "dc"), text_of(b, "http_addr"),
-               number_of(b, "version"), number_of(b, "room"), number_of(b, "silent_ms"),
+        printf("%-14s %-18s %-22s %8lld %6lld %9lld %s\n", get_string(b, "box"), get_string(b, "dc"),
+               get_string(b, "http_addr"), get_integer(b, "version"), get_integer(b, "room"),
+               get_integer(b, "silent_ms"),
                !json_is_true(json_object_get(b, "live"))      ? "silent"
                : json_is_true(json_object_get(b, "draining")) ? "draining"
                                                               : "live");
@@ -208,12 +210,12 @@
     json_t *const answer = cli_get(o->entry, "/v1/entries?caller=operator", &code);
     if (code != CLI_OK || cli_print_json(o, answer))
         return code;
-    printf("keep for %lld ms\n", number_of(answer, "keep_ms"));
+    printf("keep for %lld ms\n", get_integer(answer, "keep_ms"));
     size_t i;
     json_t *e;
     json_array_foreach(json_object_get(answer, "entries"), i, e)
-        printf("%-14s %-22s %-18s room %lld\n", text_of(e, "box"), text_of(e, "addr"), text_of(e, "dc"),
-               number_of(e, "room"));
+        printf("%-14s %-22s %-18s room %lld\n", get_string(e, "box"), get_string(e, "addr"), get_string(e, "dc"),
+               get_integer(e, "room"));
     return code;
 }
 
@@ -227,22 +229,22 @@
     size_t i, k;
     json_t *h, *e;
     json_array_foreach(json_object_get(answer, "holders"), i, h)
-        printf("cell %s is scheduled by %s (epoch %lld)\n", text_of(h, "cell"), text_of(h, "box"),
-               number_of(h, "epoch"));
+        printf("cell %s is scheduled by %s (epoch %lld)\n", get_string(h, "cell"), get_string(h, "box"),
+               get_integer(h, "epoch"));
     json_array_foreach(json_object_get(answer, "hosted"), i, h) {
-        printf("here: cell %s, %lld queued, %lld placed, %lld being cancelled\n", text_of(h, "cell"),
-               number_of(h, "queued"), number_of(h, "placed"), number_of(h, "cancelling"));
+        printf("here: cell %s, %lld queued, %lld placed, %lld being cancelled\n", get_string(h, "cell"),
+               get_integer(h, "queued"), get_integer(h, "placed"), get_integer(h, "cancelling"));
         json_array_foreach(json_object_get(h, "engines"), k, e)
             printf("  %-12s %-8s pieces %3lld/%-3lld batch %2lld backlog %4lld ms  %.0f tokens/s%s%s\n",
-                   text_of(e, "name"), text_of(e, "role"), number_of(e, "reserved"), number_of(e, "pieces"),
-                   number_of(e, "batch"), number_of(e, "backlog_ms"), json_real_value(json_object_get(e, "rate")),
+                   get_string(e, "name"), get_string(e, "role"), get_integer(e, "reserved"), get_integer(e, "pieces"),
+                   get_integer(e, "batch"), get_integer(e, "backlog_ms"), json_real_value(json_object_get(e, "rate")),
                    json_is_true(json_object_get(e, "up")) ? "" : "  down",
                    json_is_true(json_object_get(e, "leaving")) ? "  leaving" : "");
     }
     return code;
 }
 
-static int show_whole(const cli_options_t *o, const char *path)
+static int print_answer(const cli_options_t *o, const char *path)
 {
     int code;
     json_t *const answer = cli_control(o, path, NULL, &code);
@@ -254,13 +256,13 @@
 int cmd_config(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc, (void)argv;
-    return show_whole(o, "/v1/config");
+    return print_answer(o, "/v1/config");
 }
 
 int cmd_plans(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc, (void)argv;
-    return show_whole(o, "/v1/plans");
+    return print_answer(o, "/v1/plans");
 }
 
 int cmd_history(const cli_options_t *o, int argc, char **argv)
@@ -274,9 +276,9 @@
     json_t *c;
     json_array_foreach(list, i, c) {
         char *const patch = json_dumps(json_object_get(c, "patch"), JSON_COMPACT);
-        GDateTime *const when = g_date_time_new_from_unix_utc(number_of(c, "wall_ms") / 1000);
+        GDateTime *const when = g_date_time_new_from_unix_utc(get_integer(c, "wall_ms") / 1000);
         char *const stamp = g_date_time_format(when, "%F %T");
-        printf("%6lld  %s  %-12s %.100s\n", number_of(c, "version"), stamp, text_of(c, "operator"), patch);
+        printf("%6lld  %s  %-12s %.100s\n", get_integer(c, "version"), stamp, get_string(c, "operator"), patch);
         g_free(stamp);
         g_date_time_unref(when);
         free(patch);
@@ -287,30 +289,30 @@
 int cmd_watch(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc, (void)argv;
-    enum { WATCH_US = 200000 };
+    enum { WATCH_INTERVAL_US = 200000 };
     long long accepted = -1, in_force = -1;
     for (int lines = 0; o->count == 0 || lines < o->count;) {
         int code;
         json_t *const s = cli_control(o, "/v1/status", NULL, &code);
         if (code != CLI_OK)
             return code;
-        if (number_of(s, "accepted") != accepted || number_of(s, "in_force") != in_force) {
-            accepted = number_of(s, "accepted");
-            in_force = number_of(s, "in_force");
-            printf("accepted %lld, in force %lld%s%s\n", accepted, in_force, text_of(s, "lags")[0] ? ", lags: " : "",
-                   text_of(s, "lags"));
+        if (get_integer(s, "accepted") != accepted || get_integer(s, "in_force") != in_force) {
+            accepted = get_integer(s, "accepted");
+            in_force = get_integer(s, "in_force");
+            printf("accepted %lld, in force %lld%s%s\n", accepted, in_force, get_string(s, "lags")[0] ? ", lags: " : "",
+                   get_string(s, "lags"));
             fflush(stdout);
             lines++;
         }
         json_decref(s);
-        g_usleep(WATCH_US);
+        g_usleep(WATCH_INTERVAL_US);
     }
     return CLI_OK;
 }
 
 /* ===== Changing ===== */
 
-static int change(const cli_options_t *o, const char *path, json_t *body)
+static int submit_change(const cli_options_t *o, const char *path, json_t *body)
 {
     json_object_set_new(body, "request_id", json_string(o->request_id));
     int code;
@@ -321,18 +323,19 @@
     if (effect) {
         printf("plan       %s\nfor        version %lld\ntakes      %lld ms, of them %lld ms of the weight "
                "store\ncapacity   %.2f of a role out for that time\n",
-               text_of(answer, "plan"), number_of(answer, "base"), number_of(effect, "takes_ms"),
-               number_of(effect, "weight_store_ms"), json_real_value(json_object_get(effect, "capacity_out_share")));
+               get_string(answer, "plan"), get_integer(answer, "base"), get_integer(effect, "takes_ms"),
+               get_integer(effect, "weight_store_ms"), json_real_value(json_object_get(effect, "capacity_out_share")));
         size_t i;
         json_t *e;
         json_array_foreach(json_object_get(effect, "engines"), i, e)
-            printf("engine     %-12s -> %s %s %s%s\n", text_of(e, "engine"), text_of(e, "role"), text_of(e, "model"),
-                   text_of(e, "version"), json_is_true(json_object_get(e, "removed")) ? "removed" : "");
+            printf("engine     %-12s -> %s %s %s%s\n", get_string(e, "engine"), get_string(e, "role"),
+                   get_string(e, "model"), get_string(e, "version"),
+                   json_is_true(json_object_get(e, "removed")) ? "removed" : "");
         printf("patch      ");
         print_value(json_object_get(answer, "patch"));
-        printf("nothing has changed yet: trackcove confirm %s\n", text_of(answer, "plan"));
+        printf("nothing has changed yet: trackcove confirm %s\n", get_string(answer, "plan"));
     } else {
-        printf("%s, version %lld\n", text_of(answer, "detail"), number_of(answer, "version"));
+        printf("%s, version %lld\n", get_string(answer, "detail"), get_integer(answer, "version"));
     }
     return code;
 }
@@ -350,10 +353,10 @@
     json_t *const body = json_pack("{s:o}", "patch", patch);
     if (o->base >= 0)
         json_object_set_new(body, "base", json_integer(o->base));
-    return change(o, "/v1/plan", body);
+    return submit_change(o, "/v1/plan", body);
 }
 
-static bool read_version(const char *text, long long *version)
+static bool parse_version(const char *text, long long *version)
 {
     char *end;
     *version = strtoll(text, &end, 10);
@@ -367,18 +370,19 @@
 {
     (void)argc;
     long long version;
-    return read_version(argv[0], &version) ? change(o, "/v1/plan", json_pack("{s:I}", "rollback", (json_int_t)version))
-                                           : CLI_USAGE;
+    return parse_version(argv[0], &version)
+               ? submit_change(o, "/v1/plan", json_pack("{s:I}", "rollback", (json_int_t)version))
+               : CLI_USAGE;
 }
 
 int cmd_diff(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc;
     long long version;
-    if (!read_version(argv[0], &version))
+    if (!parse_version(argv[0], &version))
         return CLI_USAGE;
     char *const path = g_strdup_printf("/v1/diff?version=%lld", version);
-    const int code = show_whole(o, path);
+    const int code = print_answer(o, path);
     g_free(path);
     return code;
 }
@@ -386,23 +390,23 @@
 int cmd_confirm(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc;
-    return change(o, "/v1/confirm", json_pack("{s:s}", "plan", argv[0]));
+    return submit_change(o, "/v1/confirm", json_pack("{s:s}", "plan", argv[0]));
 }
 
 int cmd_reject(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc;
-    return change(o, "/v1/reject", json_pack("{s:s}", "plan", argv[0]));
+    return submit_change(o, "/v1/reject", json_pack("{s:s}", "plan", argv[0]));
 }
 
 int cmd_drain(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc;
-    return change(o, "/v1/drain", json_pack("{s:s,s:b}", "box", argv[0], "on", 1));
+    return submit_change(o, "/v1/drain", json_pack("{s:s,s:b}", "box", argv[0], "on", 1));
 }
 
 int cmd_undrain(const cli_options_t *o, int argc, char **argv)
 {
     (void)argc;
-    return change(o, "/v1/drain", json_pack("{s:s,s:b}", "box", argv[0], "on", 0));
+    return submit_change(o, "/v1/drain", json_pack("{s:s,s:b}", "box", argv[0], "on", 0));
 }
