--- a/lib/peer/key.c
+++ b/lib/peer/key.c
@@ -11,7 +11,7 @@
 int key_load(cluster_key_t *key, const char *path, tc_err_t *err)
 {
     if (sodium_init() < 0)
-        return tc_err_set(err, TC_E_IO, "load cluster key", path, "libsodium could not start");
+        return tc_err_set(err, TC_E_IO, "load cluster key", path, "libsodium initialization failed");
     FILE *const in = fopen(path, "rb");
     if (!in)
         return tc_err_set(err, TC_E_IO, "load cluster key", path, "%s", strerror(errno));
@@ -32,7 +32,7 @@
 {
     static const char known[] = "trackcove, closed network";
     if (sodium_init() < 0)
-        return tc_err_set(err, TC_E_IO, "open cluster key", NULL, "libsodium could not start");
+        return tc_err_set(err, TC_E_IO, "open cluster key", NULL, "libsodium initialization failed");
     crypto_generichash(key->bytes, sizeof(key->bytes), (const unsigned char *)known, sizeof(known) - 1, NULL, 0);
     return TC_OK;
 }
--- a/lib/peer/loop.c
+++ b/lib/peer/loop.c
@@ -13,11 +13,14 @@
 /* ===== Types ===== */
 
 enum {
-    LOOP_TICKS_MAX = 256, /* a program has a dozen; a test's loop carries those of 70 boxes */
+    LOOP_TICKS_MAX = 256, /* a program has a dozen; the loop of a test runs those of 70 boxes */
     LOOP_EVENTS_MAX = 64,
-    LOOP_STALL_MS = 20, /* since the sockets were looked at: this process stood still, or one thing duration long */
-    LOOP_IDLE_MS = 1000,
-    LONGEST_WINDOW_MS = 1000 /* the longest turn is that of this time and of as much before it */
+    /** The process counts as stalled when this much time has passed since its sockets were polled: it was stopped, or
+     *  one callback took long. */
+    LOOP_STALL_MS = 20,
+    LOOP_IDLE_MS = 1000, /* longest wait for events */
+    /** The longest callback is reported over the current window of this length and the one before it. */
+    LONGEST_WINDOW_MS = 1000
 };
 
 typedef struct {
@@ -44,17 +47,17 @@
     struct cds_list_head timers; /* soonest first */
     struct epoll_event events[LOOP_EVENTS_MAX];
     int n_watched;
-    int n_events;             /* of the round being handled, so that loop_unwatch can drop them */
-    tc_time_t polled_at;      /* when the sockets were last looked at */
-    bool overslept;           /* a wait for them duration longer than it was to: this process stood still in it */
-    tc_time_t callback_begin; /* when what runs now began */
-    loop_callback_time_t longest, previous; /* since window_begin, and in the LONGEST_WINDOW_MS before it */
+    int n_events;                           /* of the batch being handled, so that loop_unwatch can drop them */
+    tc_time_t polled_at;                    /* when the sockets were last polled */
+    bool overslept;                         /* epoll_wait took longer than its timeout: the process was stalled in it */
+    tc_time_t callback_begin;               /* of the callback that runs now */
+    loop_callback_time_t longest, previous; /* since window_begin, and in the window before it */
     tc_time_t window_begin;
 };
 
-/* ===== How long things take ===== */
+/* ===== Callback times ===== */
 
-/** Something has run, and the next thing begins. */
+/** Accounts for the callback that has just returned; the next one begins now. */
 static void end_callback(loop_t *loop, const char *source)
 {
     const tc_time_t now = tc_time_now();
@@ -80,7 +83,7 @@
 {
     const uint64_t one = 1;
     const ssize_t n = write(loop->wake_fd, &one, sizeof(one));
-    (void)n; /* a full eventfd is awake already */
+    (void)n; /* EAGAIN: the counter is full, so the loop wakes anyway */
 }
 
 void loop_post(loop_t *loop, loop_fn_t fn, void *arg)
@@ -151,7 +154,7 @@
 
 void loop_add_tick(loop_t *loop, tc_time_t period, loop_fn_t fn, void *arg)
 {
-    assert(loop->n_ticks < LOOP_TICKS_MAX); /* a fixed set, known when the program is written */
+    assert(loop->n_ticks < LOOP_TICKS_MAX); /* the set of ticks is fixed at compile time */
     loop->ticks[loop->n_ticks++] = (tick_t){.period = period, .next = tc_time_now(), .fn = fn, .arg = arg};
 }
 
@@ -190,7 +193,7 @@
     timer->due = due;
     timer->fn = fn;
     timer->arg = arg;
-    /* Most timers are armed for later than those that stand: look from the end. */
+    /* Most timers are due later than those already armed: search from the end. */
     loop_timer_t *other;
     cds_list_for_each_entry_reverse(other, &loop->timers, node) {
         if (other->due <= due)
@@ -207,7 +210,7 @@
     cds_list_del(&timer->node);
 }
 
-/** Run what is due. @return ms until the next timer, at most @p soonest */
+/** Runs the timers that are due. @return ms until the next one, at most @p soonest */
 static tc_time_t run_timers(loop_t *loop, tc_time_t soonest)
 {
     const tc_time_t now = tc_time_now();
@@ -250,7 +253,7 @@
             loop->events[i].data.ptr = NULL;
 }
 
-/* ===== Life ===== */
+/* ===== Create, run and destroy ===== */
 
 loop_t *loop_create(void)
 {
@@ -291,12 +294,12 @@
     loop->n_events = 0;
 }
 
-/** Wait for events and handle them. @return how many there were */
+/** Waits up to @p wait ms for events and handles them. @return their number */
 static int run_events(loop_t *loop, tc_time_t wait)
 {
     const tc_time_t due = tc_time_now() + (wait > 0 ? wait : 0);
     int n = epoll_wait(loop->epoll_fd, loop->events, LOOP_EVENTS_MAX, (int)(wait > 0 ? wait : 0));
-    if (n < 0) /* a process that was stopped wakes so, whatever its sockets have */
+    if (n < 0) /* EINTR, as after a stop and continue: sockets may be ready nevertheless */
         n = epoll_wait(loop->epoll_fd, loop->events, LOOP_EVENTS_MAX, 0);
     loop->n_events = n > 0 ? n : 0;
     loop->polled_at = loop->callback_begin = tc_time_now();
@@ -305,17 +308,18 @@
     return n;
 }
 
-/** Most timers judge the silence of somebody else: when this process stood still, what others said meanwhile is read
- *  first, else sound streams, calls and leaders are given up at its waking. Each socket has its turn once, as the
- * system hands them out in turn: where more comes than is handled, ticks would wait for as long as that lasts. What was
- * posted runs as well: what wakes the loop for it is read here, so that the next wait would not end for it. */
+/** Handles socket events before timers when the process was stalled. Most timers time out on the silence of a peer, so
+ *  without this, healthy streams, calls and leaders would be given up after a stall. Each socket is handled once, as
+ *  epoll returns them round-robin: under more input than the loop can handle, ticks would otherwise be delayed for as
+ *  long as it lasts. Posted functions run as well: their wake-up event is consumed here, so the next wait would not end
+ *  for them. */
 static void catch_up(loop_t *loop)
 {
     if (!loop->overslept && tc_time_now() - loop->polled_at < LOOP_STALL_MS)
         return;
     loop->overslept = false;
     int n = 1;
-    for (int left = loop->n_watched + 1; left > 0 && n > 0; left -= n) /* the one more wakes the loop */
+    for (int left = loop->n_watched + 1; left > 0 && n > 0; left -= n) /* plus one for the wake-up event */
         n = run_events(loop, 0);
     run_posted(loop);
 }
@@ -325,7 +329,7 @@
     while (!atomic_load(&loop->stopping)) {
         catch_up(loop);
         if (atomic_load(&loop->stopping))
-            return; /* what woke the loop for that is read already */
+            return; /* the wake-up event of loop_stop is consumed already */
         const tc_time_t wait = run_timers(loop, run_ticks(loop));
         (void)run_events(loop, wait);
         run_posted(loop);
--- a/lib/peer/peer.c
+++ b/lib/peer/peer.c
@@ -42,7 +42,7 @@
     conn->state = CONN_CONNECTING;
     const int rc = connect(fd, (const struct sockaddr *)&to, size);
     const int failed = errno;
-    conn->writing = true;
+    conn->want_write = true;
     loop_watch(net->loop, &conn->watch, EPOLLIN | EPOLLOUT);
     if (rc != 0 && failed != EINPROGRESS) {
         tc_err_set(err, TC_E_UNREACHABLE, "connect", addr, "%s", strerror(failed));
@@ -70,35 +70,35 @@
         key_make_nonce(&mine);
         codec_copy_string(conn->nonce, sizeof(conn->nonce), mine.nonce);
         loop_watch(net->loop, &conn->watch, EPOLLIN);
-        (void)send_hello(conn, NULL, NULL);
+        (void)conn_send_hello(conn, NULL, NULL);
     }
 }
 
-/** A connection to use for @p addr: one that is ready, else one on its way, else a new one. */
+/** Connection for @p addr: a ready one, else one that is connecting, else a newly dialled one. */
 static conn_t *conn_for(peer_net_t *net, const char *addr, tc_err_t *err)
 {
     const conn_group_t *const group = g_hash_table_lookup(net->groups, addr);
     if (!group)
         return conn_dial(net, addr, err);
-    conn_t *conn, *coming = NULL;
-    cds_list_for_each_entry(conn, &group->conns, beside) {
-        conn_count_looks(1);
+    conn_t *conn, *connecting = NULL;
+    cds_list_for_each_entry(conn, &group->conns, group_node) {
+        conn_count_visited(1);
         if (conn->state == CONN_READY)
             return conn;
-        coming = conn;
+        connecting = conn;
     }
-    assert(coming); /* an empty group is dropped */
-    return coming;
+    assert(connecting); /* empty groups are removed */
+    return connecting;
 }
 
 /* ===== Deadlines ===== */
 
-/** What time asks of a connection. */
+/** Which deadline of a connection has expired. */
 typedef enum { DUE_NOTHING, DUE_CONNECT, DUE_HELLO, DUE_CALL, DUE_SILENCE, DUE_PING } due_t;
 
-static pending_t *overdue_call(const conn_t *conn, tc_time_t now)
+static pending_call_t *overdue_call(const conn_t *conn, tc_time_t now)
 {
-    pending_t *p;
+    pending_call_t *p;
     cds_list_for_each_entry(p, &conn->pending, node)
         if (now >= p->deadline)
             return p;
@@ -113,10 +113,10 @@
         return DUE_HELLO;
     if (overdue_call(conn, now))
         return DUE_CALL;
-    const tc_time_t quiet = conn->state == CONN_READY && conn->quiet_since ? now - conn->quiet_since : 0;
-    if (quiet >= SILENT_LIMIT_MS)
+    const tc_time_t silence = conn->state == CONN_READY && conn->unanswered_since ? now - conn->unanswered_since : 0;
+    if (silence >= SILENCE_TIMEOUT_MS)
         return DUE_SILENCE;
-    return quiet >= PING_AFTER_MS && !conn->pinged ? DUE_PING : DUE_NOTHING;
+    return silence >= PING_IDLE_MS && !conn->pinged ? DUE_PING : DUE_NOTHING;
 }
 
 static void find_due(peer_net_t *net, tc_time_t now)
@@ -126,17 +126,17 @@
     cds_list_for_each_entry(conn, &net->conns, node)
         if (conn_due(conn, now) != DUE_NOTHING)
             g_array_append_val(net->due, conn->id);
-    conn_count_looks(g_hash_table_size(net->by_id));
+    conn_count_visited(g_hash_table_size(net->by_id));
 }
 
 static void expire_call(conn_t *conn, tc_time_t now)
 {
-    pending_t *const p = overdue_call(conn, now);
+    pending_call_t *const p = overdue_call(conn, now);
     pending_fail(p, conn->addr, p->sent ? TC_E_TIMEOUT : TC_E_UNREACHABLE, "call", "no answer in time");
 }
 
-/** Afterwards the same is due no more. */
-static void conn_do_due(conn_t *conn, due_t due, tc_time_t now)
+/** Handles one expired deadline, so that it is not due again. */
+static void conn_handle_due(conn_t *conn, due_t due, tc_time_t now)
 {
     switch (due) {
     case DUE_CONNECT: conn_close(conn, TC_E_UNREACHABLE, "connect", "nobody answers"); break;
@@ -148,8 +148,8 @@
     }
 }
 
-/** A call's callback may send, and find any connection broken, which ends that and its calls: connections are kept by
- *  number over a step, and looked up anew. */
+/** The callback of a call may send, which may close any connection. Connections are therefore kept by id and looked up
+ *  again after each step. */
 static void on_tick(void *arg)
 {
     peer_net_t *const net = arg;
@@ -160,8 +160,8 @@
         conn_t *conn = conn_by_id(net, id);
         due_t due = conn ? conn_due(conn, now) : DUE_NOTHING;
         while (due != DUE_NOTHING) {
-            conn_do_due(conn, due, now);
-            conn_count_looks(1);
+            conn_handle_due(conn, due, now);
+            conn_count_visited(1);
             conn = conn_by_id(net, id);
             due = conn ? conn_due(conn, now) : DUE_NOTHING;
         }
@@ -170,7 +170,7 @@
 
 /* ===== Public functions: sending ===== */
 
-/** A message on its way to the loop's thread. */
+/** A message handed over to the loop's thread. */
 typedef struct {
     struct cds_list_head node;
     peer_net_t *net;
@@ -179,7 +179,7 @@
     uint64_t call;
     char *data;
     size_t size;
-    frame_turn_t turn;
+    frame_priority_t priority;
     tc_time_t deadline;
     peer_reply_t callback;
     void *arg;
@@ -200,22 +200,22 @@
         outgoing_fail(o, &err);
         return;
     }
-    pending_t *const pending = o->callback ? calloc(1, sizeof(*pending)) : NULL;
-    if (!conn_queue(conn, o->data, o->size, o->call, o->turn)) {
+    pending_call_t *const pending = o->callback ? calloc(1, sizeof(*pending)) : NULL;
+    if (!conn_queue(conn, o->data, o->size, o->call, o->priority)) {
         free(pending);
         tc_err_set(&err, TC_E_FULL, "send", o->addr, "the peer takes its messages too slowly");
         outgoing_fail(o, &err);
         return;
     }
     if (pending) {
-        *pending = (pending_t){.id = o->call, .deadline = o->deadline, .callback = o->callback, .arg = o->arg};
+        *pending = (pending_call_t){.id = o->call, .deadline = o->deadline, .callback = o->callback, .arg = o->arg};
         cds_list_add_tail(&pending->node, &conn->pending);
     }
     if (conn->state == CONN_READY)
         (void)conn_flush(conn);
 }
 
-/** @return the one that was sent first, or NULL */
+/** @return the oldest one, removed from the list, or NULL */
 static outgoing_t *outgoing_take(peer_net_t *net)
 {
     pthread_mutex_lock(&net->lock);
@@ -231,7 +231,7 @@
 static void run_outgoing(void *arg)
 {
     outgoing_t *const o = outgoing_take(arg);
-    assert(o); /* only the net's end takes others, and drops what is posted */
+    assert(o); /* only peer_destroy takes others, and it cancels the posted functions */
     outgoing_deliver(o);
     free(o);
 }
@@ -241,7 +241,7 @@
     peer_net_t *const net = o->net;
     pthread_mutex_lock(&net->lock);
     cds_list_add_tail(&o->node, &net->outgoing);
-    loop_post(net->loop, run_outgoing, net); /* within the lock: each thread's messages keep their place among all */
+    loop_post(net->loop, run_outgoing, net); /* under the lock, so that the messages of each thread keep their order */
     pthread_mutex_unlock(&net->lock);
 }
 
@@ -271,7 +271,7 @@
 void peer_call(peer_net_t *net, const char *addr, uint32_t type, const void *message, tc_time_t limit,
                peer_reply_t callback, void *arg)
 {
-    assert(callback); /* a message nobody waits for is peer_send's */
+    assert(callback); /* one-way messages use peer_send */
     outgoing_t *const o = outgoing_create(net, addr, type, message, true);
     o->deadline = tc_time_now() + limit;
     o->callback = callback;
@@ -287,7 +287,7 @@
 void peer_send_urgent(peer_net_t *net, const char *addr, uint32_t type, const void *message)
 {
     outgoing_t *const o = outgoing_create(net, addr, type, message, false);
-    o->turn = FRAME_FIRST;
+    o->priority = FRAME_URGENT;
     outgoing_post(o);
 }
 
@@ -296,10 +296,10 @@
     peer_backlog_t backlog = {.bytes = net->queued};
     conn_t *conn;
     cds_list_for_each_entry(conn, &net->conns, node) {
-        struct cds_list_head *const queue = cds_list_empty(&conn->out) ? &conn->waiting : &conn->out;
+        struct cds_list_head *const queue = cds_list_empty(&conn->send_queue) ? &conn->deferred : &conn->send_queue;
         if (cds_list_empty(queue))
             continue;
-        const tc_time_t age = now - cds_list_first_entry(queue, out_t, node)->at;
+        const tc_time_t age = now - cds_list_first_entry(queue, queued_frame_t, node)->at;
         if (age < backlog.oldest)
             continue;
         backlog.oldest = age;
@@ -308,7 +308,7 @@
     return backlog;
 }
 
-/** A thread waiting in peer_call_wait. */
+/** A thread blocked in peer_call_wait. */
 typedef struct {
     sem_t done;
     int rc;
@@ -317,7 +317,7 @@
     tc_err_t *err;
 } waiter_t;
 
-/** Copy a decoded message by packing it once more: the one copy that owns all its parts. */
+/** Deep-copies a decoded message by encoding and decoding it. */
 static int copy_message(uint32_t type, void *to, const void *from, tc_err_t *err)
 {
     size_t size;
@@ -364,7 +364,7 @@
         return;
     size_t size;
     char *const data = frame_pack(type, call.call, true, message, &size);
-    if (conn_queue(conn, data, size, 0, FRAME_IN_TURN))
+    if (conn_queue(conn, data, size, 0, FRAME_NORMAL))
         (void)conn_flush(conn);
 }
 
@@ -378,7 +378,7 @@
     peer_reply(net, call, MSG_ERROR, &error);
 }
 
-/* ===== Public functions: life ===== */
+/* ===== Public functions: create and destroy ===== */
 
 static int start_listening(peer_net_t *net, const char *addr, tc_err_t *err)
 {
@@ -441,9 +441,9 @@
 {
     loop_remove_ticks(net->loop, net);
     peer_stop_listening(net);
-    while (!cds_list_empty(&net->conns)) /* what a callback sends may end another connection */
+    while (!cds_list_empty(&net->conns)) /* a callback may send, which may close another connection */
         conn_close(cds_list_first_entry(&net->conns, conn_t, node), TC_E_CANCELLED, "stop", "stopping");
-    /* Messages that the loop has not taken up belong to the net as well. */
+    /* Messages that the loop has not taken up are cancelled as well. */
     for (outgoing_t *o = outgoing_take(net); o; o = outgoing_take(net))
         outgoing_cancel(o);
     loop_cancel_posted(net->loop, net);
--- a/lib/peer/peer_conn.c
+++ b/lib/peer/peer_conn.c
@@ -1,4 +1,4 @@
-/* One connection: calls that wait, writing, handshake, reading. */
+/* One connection: pending calls, writing, handshake, reading. */
 
 #include <arpa/inet.h>
 #include <assert.h>
@@ -29,7 +29,7 @@
 
 static void conn_on_io(void *arg, uint32_t events);
 
-/* ===== Addresses and back-off ===== */
+/* ===== Addresses and backoff ===== */
 
 int peer_parse_addr(const char *text, struct sockaddr_storage *to, unsigned *size, tc_err_t *err)
 {
@@ -85,10 +85,10 @@
         codec_copy_string(b->addr, sizeof(b->addr), addr);
         cds_list_add(&b->node, &net->backoffs);
     }
-    b->pause = b->pause ? b->pause * 2 : BACKOFF_MIN_MS;
-    b->pause = b->pause > BACKOFF_MAX_MS ? BACKOFF_MAX_MS : b->pause;
+    b->delay = b->delay ? b->delay * 2 : BACKOFF_MIN_MS;
+    b->delay = b->delay > BACKOFF_MAX_MS ? BACKOFF_MAX_MS : b->delay;
     net->jitter = net->jitter * 1103515245u + 12345u;
-    b->until = tc_time_now() + b->pause / 2 + (tc_time_t)((net->jitter >> 16) % (unsigned)(b->pause / 2 + 1));
+    b->until = tc_time_now() + b->delay / 2 + (tc_time_t)((net->jitter >> 16) % (unsigned)(b->delay / 2 + 1));
 }
 
 static void backoff_clear(const peer_net_t *net, const char *addr)
@@ -100,32 +100,32 @@
     free(b);
 }
 
-/* ===== Calls waiting ===== */
+/* ===== Pending calls ===== */
 
-static void pending_end(pending_t *pending, int rc, uint32_t type, const void *message, const tc_err_t *err)
+static void pending_end(pending_call_t *pending, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
     cds_list_del(&pending->node);
     pending->callback(pending->arg, rc, type, message, err);
     free(pending);
 }
 
-void pending_fail(pending_t *pending, const char *peer, int code, const char *step, const char *detail)
+void pending_fail(pending_call_t *pending, const char *peer, int code, const char *step, const char *detail)
 {
     tc_err_t err = {0};
     tc_err_set(&err, code, step, peer, "%s", detail);
     pending_end(pending, code, MSG_NONE, NULL, &err);
 }
 
-static pending_t *pending_find(const conn_t *conn, uint64_t id)
+static pending_call_t *pending_find(const conn_t *conn, uint64_t id)
 {
-    pending_t *p;
+    pending_call_t *p;
     cds_list_for_each_entry(p, &conn->pending, node)
         if (p->id == id)
             return p;
     return NULL;
 }
 
-/* ===== Connections: making and ending ===== */
+/* ===== Connections: create and close ===== */
 
 conn_t *conn_create(peer_net_t *net, int fd, bool dialed)
 {
@@ -136,21 +136,21 @@
     conn->id = ++net->next_id;
     conn->dialed = dialed;
     conn->watch = (loop_watch_t){.fd = fd, .on_io = conn_on_io, .arg = conn};
-    conn->connect_deadline = tc_time_now() + CONNECT_LIMIT_MS;
-    conn->hello_deadline = tc_time_now() + HELLO_LIMIT_MS;
-    CDS_INIT_LIST_HEAD(&conn->out);
-    CDS_INIT_LIST_HEAD(&conn->waiting);
+    conn->connect_deadline = tc_time_now() + CONNECT_TIMEOUT_MS;
+    conn->hello_deadline = tc_time_now() + HANDSHAKE_TIMEOUT_MS;
+    CDS_INIT_LIST_HEAD(&conn->send_queue);
+    CDS_INIT_LIST_HEAD(&conn->deferred);
     CDS_INIT_LIST_HEAD(&conn->pending);
     cds_list_add(&conn->node, &net->conns);
     g_hash_table_insert(net->by_id, GSIZE_TO_POINTER(conn->id), conn);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    const unsigned unacked = UNACKED_LIMIT_MS;
+    const unsigned unacked = UNACKED_TIMEOUT_MS;
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof(unacked));
     return conn;
 }
 
-void conn_count_looks(unsigned n)
+void conn_count_visited(unsigned n)
 {
     counter_add(&c_looked, n);
 }
@@ -161,7 +161,7 @@
     if (!group)
         return;
     conn->group = NULL;
-    cds_list_del(&conn->beside);
+    cds_list_del(&conn->group_node);
     if (cds_list_empty(&group->conns))
         g_hash_table_remove(conn->net->groups, group->addr);
 }
@@ -171,7 +171,7 @@
     leave_group(conn);
     codec_copy_string(conn->addr, sizeof(conn->addr), addr);
     if (!conn->addr[0])
-        return; /* it listens nowhere */
+        return; /* the peer has no listener */
     conn_group_t *group = g_hash_table_lookup(conn->net->groups, conn->addr);
     if (!group) {
         group = g_new0(conn_group_t, 1);
@@ -179,11 +179,11 @@
         CDS_INIT_LIST_HEAD(&group->conns);
         g_hash_table_insert(conn->net->groups, group->addr, group);
     }
-    cds_list_add(&conn->beside, &group->conns);
+    cds_list_add(&conn->group_node, &group->conns);
     conn->group = group;
 }
 
-/** Count bytes that wait, or, below 0, that wait no more. */
+/** Adjusts the counts of queued bytes; @p bytes is negative when some were sent or dropped. */
 static void count_queued(conn_t *conn, ssize_t bytes)
 {
     conn->out_bytes += (size_t)bytes;
@@ -193,7 +193,7 @@
 
 static void free_frames(struct cds_list_head *list)
 {
-    out_t *item, *next;
+    queued_frame_t *item, *next;
     cds_list_for_each_entry_safe(item, next, list, node) {
         free(item->data);
         free(item);
@@ -209,11 +209,11 @@
     g_hash_table_remove(conn->net->by_id, GSIZE_TO_POINTER(conn->id));
     if (conn->dialed && conn->state != CONN_READY)
         backoff_grow(conn->net, conn->addr);
-    pending_t *p, *next;
+    pending_call_t *p, *next;
     cds_list_for_each_entry_safe(p, next, &conn->pending, node)
         pending_fail(p, conn->addr, p->sent ? code : (code == TC_E_AUTH ? TC_E_AUTH : TC_E_UNREACHABLE), step, detail);
-    free_frames(&conn->out);
-    free_frames(&conn->waiting);
+    free_frames(&conn->send_queue);
+    free_frames(&conn->deferred);
     count_queued(conn, -(ssize_t)conn->out_bytes);
     free(conn->in);
     free(conn);
@@ -223,18 +223,17 @@
 
 static void conn_want_write(conn_t *conn, bool want)
 {
-    if (conn->writing == want)
+    if (conn->want_write == want)
         return;
-    conn->writing = want;
+    conn->want_write = want;
     loop_watch_modify(conn->net->loop, &conn->watch, EPOLLIN | (want ? EPOLLOUT : 0u));
 }
 
-/** Write what can be written. @return false when the connection is gone */
 bool conn_flush(conn_t *conn)
 {
-    out_t *item, *next;
-    cds_list_for_each_entry_safe(item, next, &conn->out, node) {
-        pending_t *const pending = item->call ? pending_find(conn, item->call) : NULL;
+    queued_frame_t *item, *next;
+    cds_list_for_each_entry_safe(item, next, &conn->send_queue, node) {
+        pending_call_t *const pending = item->call ? pending_find(conn, item->call) : NULL;
         const ssize_t n = send(conn->watch.fd, item->data + item->written, item->size - item->written, MSG_NOSIGNAL);
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
             conn_want_write(conn, true);
@@ -262,53 +261,55 @@
     return true;
 }
 
-/** Whether a frame may wait here: for this peer, and beside what waits for others. */
+/** Whether a frame fits into the limits of this peer's queue and of all queues together. */
 static bool has_room(const conn_t *conn, size_t size)
 {
-    if (size > PEER_FRAME_MAX_BYTES || conn->out_bytes + size > OUT_MAX)
+    if (size > PEER_FRAME_MAX_BYTES || conn->out_bytes + size > CONN_QUEUE_MAX_BYTES)
         return false;
-    return size <= LARGE_FRAME || conn->net->queued + size <= QUEUED_MAX;
+    return size <= LARGE_FRAME_BYTES || conn->net->queued + size <= TOTAL_QUEUE_MAX_BYTES;
 }
 
-/** Put a frame behind those that go first, and behind the one that is being written. The handshake's frames go first as
- *  well: its last one may still wait when the connection is ready, and a peer refuses whatever comes before it. */
-static void queue_first(struct cds_list_head *queue, out_t *item)
+/** Inserts a frame after the urgent ones and after the one that is partly written. Handshake frames are urgent as well:
+ *  the last one may still be queued when the connection becomes ready, and the peer refuses any frame before it. */
+static void queue_urgent(struct cds_list_head *queue, queued_frame_t *item)
 {
     struct cds_list_head *behind = queue;
-    out_t *other;
+    queued_frame_t *other;
     cds_list_for_each_entry(other, queue, node) {
-        if (!other->first && other->written == 0)
+        if (!other->urgent && other->written == 0)
             break;
         behind = &other->node;
     }
     cds_list_add(&item->node, behind);
 }
 
-bool conn_queue(conn_t *conn, char *data, size_t size, uint64_t call, frame_turn_t turn)
+bool conn_queue(conn_t *conn, char *data, size_t size, uint64_t call, frame_priority_t priority)
 {
-    out_t *const item = calloc(1, sizeof(*item));
+    queued_frame_t *const item = calloc(1, sizeof(*item));
     if (!item || !has_room(conn, size)) {
         counter_add(&c_full, 1);
         free(item);
         free(data);
         return false;
     }
-    *item = (out_t){.data = data, .size = size, .call = call, .at = tc_time_now(), .first = turn != FRAME_IN_TURN};
+    *item = (queued_frame_t){
+        .data = data, .size = size, .call = call, .at = tc_time_now(), .urgent = priority != FRAME_NORMAL};
     count_queued(conn, (ssize_t)size);
-    struct cds_list_head *const queue = turn == FRAME_HELLO || conn->state == CONN_READY ? &conn->out : &conn->waiting;
-    if (item->first)
-        queue_first(queue, item);
+    struct cds_list_head *const queue =
+        priority == FRAME_HANDSHAKE || conn->state == CONN_READY ? &conn->send_queue : &conn->deferred;
+    if (item->urgent)
+        queue_urgent(queue, item);
     else
         cds_list_add_tail(&item->node, queue);
-    if (conn->quiet_since == 0 && conn->state == CONN_READY)
-        conn->quiet_since = item->at;
+    if (conn->unanswered_since == 0 && conn->state == CONN_READY)
+        conn->unanswered_since = item->at;
     return true;
 }
 
 /* ===== Handshake =====
  * acceptor -> hello {nonce A}
  * dialler  -> hello {nonce B, mac over A and B}
- * acceptor -> hello {nonce A, mac over B and A}; both are ready
+ * acceptor -> hello {nonce A, mac over B and A}; then both sides are ready
  */
 
 static void fill_hello(const conn_t *conn, msg_hello_t *hello)
@@ -319,8 +320,7 @@
     hello->incarnation = conn->net->options.incarnation;
 }
 
-/** @param their_nonce NULL sends no proof yet. @return false when the connection is gone */
-bool send_hello(conn_t *conn, const char *direction, const char *their_nonce)
+bool conn_send_hello(conn_t *conn, const char *direction, const char *their_nonce)
 {
     msg_hello_t hello = {0};
     fill_hello(conn, &hello);
@@ -328,23 +328,23 @@
         key_prove(&conn->net->key, direction, their_nonce, &hello, hello.mac);
     size_t size;
     char *const data = frame_pack(MSG_HELLO, 0, false, &hello, &size);
-    conn_queue(conn, data, size, 0, FRAME_HELLO);
+    conn_queue(conn, data, size, 0, FRAME_HANDSHAKE);
     return conn_flush(conn);
 }
 
-/** @param reply to a ping of the peer's @return false when the connection is gone */
-static bool send_ping(conn_t *conn, const msg_ping_t *ping, bool reply)
+/** @param reply whether it answers a ping of the peer @return false when the connection is closed */
+static bool conn_send_ping(conn_t *conn, const msg_ping_t *ping, bool reply)
 {
     size_t size;
     char *const data = frame_pack(MSG_PING, 0, reply, ping, &size);
-    return !conn_queue(conn, data, size, 0, FRAME_IN_TURN) || conn_flush(conn);
+    return !conn_queue(conn, data, size, 0, FRAME_NORMAL) || conn_flush(conn);
 }
 
 bool conn_ping(conn_t *conn)
 {
     const msg_ping_t ping = {.sent = (uint64_t)tc_time_now()};
     conn->pinged = true;
-    return send_ping(conn, &ping, false);
+    return conn_send_ping(conn, &ping, false);
 }
 
 static bool conn_ready(conn_t *conn, const msg_hello_t *hello)
@@ -354,10 +354,10 @@
     if (!conn->dialed)
         conn_set_addr(conn, hello->addr);
     backoff_clear(conn->net, conn->addr);
-    if (!cds_list_empty(&conn->waiting))
-        conn->quiet_since = tc_time_now();
-    cds_list_splice(&conn->waiting, conn->out.prev);
-    CDS_INIT_LIST_HEAD(&conn->waiting);
+    if (!cds_list_empty(&conn->deferred))
+        conn->unanswered_since = tc_time_now();
+    cds_list_splice(&conn->deferred, conn->send_queue.prev);
+    CDS_INIT_LIST_HEAD(&conn->deferred);
     return conn_flush(conn);
 }
 
@@ -370,7 +370,7 @@
     conn_close(conn, TC_E_AUTH, "handshake", err.detail);
 }
 
-/** @return false when the connection is gone */
+/** @return false when the connection is closed */
 static bool handle_hello(conn_t *conn, const msg_hello_t *hello)
 {
     const cluster_key_t *const key = &conn->net->key;
@@ -378,13 +378,13 @@
         msg_hello_t mine = {0};
         key_make_nonce(&mine);
         codec_copy_string(conn->nonce, sizeof(conn->nonce), mine.nonce);
-        return send_hello(conn, "dial", hello->nonce);
+        return conn_send_hello(conn, "dial", hello->nonce);
     }
     if (!key_verify(key, conn->dialed ? "accept" : "dial", conn->nonce, hello)) {
         refuse_hello(conn);
         return false;
     }
-    if (!conn->dialed && !send_hello(conn, "accept", hello->nonce))
+    if (!conn->dialed && !conn_send_hello(conn, "accept", hello->nonce))
         return false;
     return conn_ready(conn, hello);
 }
@@ -393,9 +393,9 @@
 
 static void handle_reply(conn_t *conn, const frame_t *frame)
 {
-    pending_t *const pending = pending_find(conn, frame->call);
+    pending_call_t *const pending = pending_find(conn, frame->call);
     if (!pending)
-        return; /* its deadline passed before */
+        return; /* the call has timed out already */
     if (frame->type != MSG_ERROR) {
         pending_end(pending, TC_OK, frame->type, frame->message, NULL);
         return;
@@ -408,7 +408,7 @@
     pending_end(pending, code, MSG_NONE, NULL, &err);
 }
 
-/** @return false when the connection is gone */
+/** @return false when the connection is closed */
 static bool handle_frame(conn_t *conn, const char *data, size_t size)
 {
     frame_t frame = {0};
@@ -429,7 +429,7 @@
             alive = false;
         }
     } else if (frame.type == MSG_PING && !frame.reply) {
-        alive = send_ping(conn, frame.message, true);
+        alive = conn_send_ping(conn, frame.message, true);
     } else if (frame.reply) {
         handle_reply(conn, &frame);
     } else {
@@ -445,7 +445,7 @@
     return g_hash_table_lookup(net->by_id, GSIZE_TO_POINTER(id));
 }
 
-/** Handle every whole frame read so far. @return false when the connection is gone */
+/** Handles every complete frame in the read buffer. @return false when the connection is closed */
 static bool conn_parse(conn_t *conn)
 {
     peer_net_t *const net = conn->net;
@@ -453,14 +453,14 @@
     size_t at = 0;
     while (conn->in_size - at >= FRAME_LENGTH_BYTES) {
         const size_t length = frame_length(conn->in + at);
-        if (length > (conn->state == CONN_READY ? PEER_FRAME_MAX_BYTES : HELLO_FRAME_MAX)) {
+        if (length > (conn->state == CONN_READY ? PEER_FRAME_MAX_BYTES : HELLO_FRAME_MAX_BYTES)) {
             conn_close(conn, TC_E_BROKEN, "read", "frame over the size limit");
             return false;
         }
         if (conn->in_size - at - FRAME_LENGTH_BYTES < length)
             break;
         if (!handle_frame(conn, conn->in + at + FRAME_LENGTH_BYTES, length) || conn_by_id(net, id) != conn)
-            return false; /* a handler's reply may have found the connection broken */
+            return false; /* a reply sent by the handler may have closed the connection */
         at += FRAME_LENGTH_BYTES + length;
     }
     memmove(conn->in, conn->in + at, conn->in_size - at);
@@ -470,16 +470,16 @@
 
 static void conn_read(conn_t *conn)
 {
-    if (conn->in_room - conn->in_size < READ_SIZE) {
-        char *const larger = realloc(conn->in, conn->in_room + READ_SIZE);
+    if (conn->in_capacity - conn->in_size < READ_BYTES) {
+        char *const larger = realloc(conn->in, conn->in_capacity + READ_BYTES);
         if (!larger) {
             conn_close(conn, TC_E_BROKEN, "read", "out of memory");
             return;
         }
         conn->in = larger;
-        conn->in_room += READ_SIZE;
+        conn->in_capacity += READ_BYTES;
     }
-    const ssize_t n = recv(conn->watch.fd, conn->in + conn->in_size, READ_SIZE, 0);
+    const ssize_t n = recv(conn->watch.fd, conn->in + conn->in_size, READ_BYTES, 0);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
         return;
     if (n <= 0) {
@@ -487,13 +487,13 @@
         return;
     }
     counter_add(&c_bytes_in, n);
-    conn->quiet_since = 0;
+    conn->unanswered_since = 0;
     conn->pinged = false;
     conn->in_size += (size_t)n;
     (void)conn_parse(conn);
 }
 
-static bool conn_connected(conn_t *conn)
+static bool conn_on_connected(conn_t *conn)
 {
     int failed = 0;
     socklen_t size = sizeof(failed);
@@ -503,7 +503,7 @@
         return false;
     }
     conn->state = CONN_HELLO;
-    conn->writing = true;
+    conn->want_write = true;
     conn_want_write(conn, false);
     return true;
 }
@@ -512,7 +512,7 @@
 {
     conn_t *const conn = arg;
     if (conn->state == CONN_CONNECTING) {
-        if (!conn_connected(conn))
+        if (!conn_on_connected(conn))
             return;
     } else if ((events & EPOLLOUT) && !conn_flush(conn)) {
         return;
