--- a/lib/common/box_count.c
+++ b/lib/common/box_count.c
@@ -1,14 +1,14 @@
 #include "common/box_count.h"
 
-void box_count_update(box_count_t *s, unsigned n, tc_time_t window, tc_time_t now)
+void box_count_update(box_count_t *count, unsigned n, tc_time_t window, tc_time_t now)
 {
-    if (n == 0 || (n < s->n && now - s->seen <= window))
+    if (n == 0 || (n < count->n && now - count->seen <= window))
         return;
-    s->n = n;
-    s->seen = now;
+    count->n = n;
+    count->seen = now;
 }
 
-unsigned box_count_get(const box_count_t *s)
+unsigned box_count_get(const box_count_t *count)
 {
-    return s->n > 0 ? s->n : BOX_COUNT_DEFAULT;
+    return count->n > 0 ? count->n : BOX_COUNT_DEFAULT;
 }
--- a/lib/common/box_count.h
+++ b/lib/common/box_count.h
@@ -1,6 +1,6 @@
 /** @file box_count.h
- * How many boxes share what all of them together may do: each has an equal part of it while nobody adds up.
- * No clock: the time goes in.
+ * Number of boxes that share a common budget. Without a leader that does the accounting, each box has an equal part.
+ * Reads no clock: the caller passes the time.
  */
 #ifndef TRACKCOVE_COMMON_BOX_COUNT_H
 #define TRACKCOVE_COMMON_BOX_COUNT_H
@@ -11,25 +11,26 @@
 
 /* ===== Constants ===== */
 
-/** Boxes that a box reckons with until it has heard how many there are: after a restart of everything, each that took
- *  itself for the only one would take the whole for its own. */
+/** Number assumed until the real one is known. After a restart of all boxes, a box that assumed to be alone would take
+ *  the whole budget for itself, as would all others. */
 #define BOX_COUNT_DEFAULT 90u
 
 /* ===== Types ===== */
 
-/** Zeroed before the first is heard of. */
+/** Zeroed before the first update. */
 typedef struct {
-    unsigned n;     /* 0: never heard */
-    tc_time_t seen; /* when that many were there last */
+    unsigned n;     /* 0: not known yet */
+    tc_time_t seen; /* when n boxes were last reported */
 } box_count_t;
 
 /* ===== Public functions ===== */
 
-/** So many boxes are there now, this one included; 0: none was heard of, which changes nothing. A box that is missing,
- *  since it or the leader was cut off, may still spend its part, so it counts for one @p window more. */
-void box_count_update(box_count_t *sharers, unsigned n, tc_time_t window, tc_time_t now);
+/** Records that @p n boxes are present, this one included; 0 means unknown and changes nothing. A lower number takes
+ *  effect only one @p window later: a box that is missing because it or the leader was cut off may still spend its
+ *  part. */
+void box_count_update(box_count_t *count, unsigned n, tc_time_t window, tc_time_t now);
 
-/** How many share. @return BOX_COUNT_DEFAULT until the first is heard of */
-unsigned box_count_get(const box_count_t *sharers);
+/** @return the number of boxes, or BOX_COUNT_DEFAULT while it is unknown */
+unsigned box_count_get(const box_count_t *count);
 
 #endif
--- a/lib/common/codec.c
+++ b/lib/common/codec.c
@@ -70,7 +70,7 @@
 {
     char *copy = malloc(size + 1);
     if (!copy)
-        abort(); /* nothing sensible can go on without a few bytes */
+        abort(); /* out of memory is not recoverable here */
     if (size)
         memcpy(copy, data, size);
     copy[size] = '\0';
@@ -143,7 +143,7 @@
         pack_field(&desc->fields[i], object, packer);
 }
 
-/** Read any msgpack number; false when it is none. */
+/** Reads any msgpack number or boolean. @return false for another type */
 static bool read_number(const msgpack_object *from, double *value)
 {
     switch (from->type) {
@@ -166,7 +166,7 @@
 {
     double value;
     if (!read_number(from, &value) || !(value >= field->min && value <= field->max)) {
-        /* Hash chains and incarnations use the whole 64 bits: exact, not through a double. */
+        /* Hash chains and incarnations use all 64 bits, which a double cannot hold. */
         if (field->kind != CODEC_U64 || from->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
             return bad_field(desc, field, err);
     }
@@ -219,7 +219,7 @@
     case CODEC_STR:
         if (from->type != MSGPACK_OBJECT_STR || from->via.str.size >= field->size)
             return bad_field(desc, field, err);
-        if (from->via.str.size > 0) /* an empty string comes without a place */
+        if (from->via.str.size > 0) /* the pointer of an empty string may be NULL */
             memcpy(field_at(object, field), from->via.str.ptr, from->via.str.size);
         ((char *)field_at(object, field))[from->via.str.size] = '\0';
         return TC_OK;
@@ -237,7 +237,7 @@
     }
 }
 
-/** As codec_unpack, but leaves it to the outermost caller to free a half-read object. */
+/** As codec_unpack, but on error the outermost caller frees the partly decoded object. */
 static int unpack_struct(const codec_desc_t *desc, void *object, const msgpack_object *from, tc_err_t *err)
 {
     set_defaults(desc, object);
@@ -321,7 +321,7 @@
 static int json_struct(json_reader_t *reader, const codec_desc_t *desc, void *object, const json_t *from,
                        const char *map_key);
 
-/** Extend the reader's path; returns the old length for json_leave. */
+/** Appends @p name to the reader's path. @return the old length, at which the caller truncates the path again */
 static size_t json_enter(json_reader_t *reader, const char *name)
 {
     const size_t old = strlen(reader->path);
@@ -384,7 +384,7 @@
     return TC_OK;
 }
 
-/** @param map_key when the struct is an item of a map: the key, which becomes its first field */
+/** @param map_key key of the struct in its map, which becomes its first field; NULL outside maps */
 static int json_struct(json_reader_t *reader, const codec_desc_t *desc, void *object, const json_t *from,
                        const char *map_key)
 {
--- a/lib/common/codec.h
+++ b/lib/common/codec.h
@@ -1,10 +1,10 @@
 /** @file codec.h
  * One codec for every generated type, driven by descriptors.
  *
- * lib/gen/schema.c holds a codec_desc_t for each struct of the schema. From it
- * this module packs and unpacks msgpack (messages between our processes, the
- * replicated log) and reads and writes JSON (settings, configuration). Bounds
- * and required fields are checked in both directions of reading.
+ * lib/gen/schema.c holds a codec_desc_t for each struct of the schema. With it
+ * this module encodes and decodes msgpack (messages between processes, the
+ * replicated log) and JSON (settings, configuration). Bounds are checked when
+ * decoding either format, required fields when decoding JSON.
  */
 #ifndef TRACKCOVE_COMMON_CODEC_H
 #define TRACKCOVE_COMMON_CODEC_H
@@ -21,11 +21,11 @@
 
 /* ===== Types ===== */
 
-/** Size of a `str` field, end mark included: names, ids, addresses. */
+/** Size in bytes of a `str` field, with its terminating zero: names, ids, addresses. */
 #define CODEC_STR_SIZE 96
-/** Size of a `path` field, end mark included: files and URLs. */
+/** Size in bytes of a `path` field, with its terminating zero: files and URLs. */
 #define CODEC_PATH_SIZE 256
-/** Most elements a list may hold when read; guards memory against a bad peer. */
+/** Most elements of a decoded list; bounds the memory that a faulty peer can make this process allocate. */
 #define CODEC_LIST_MAX 100000
 
 typedef enum {
@@ -36,7 +36,7 @@
     CODEC_BOOL,
     CODEC_ENUM,
     CODEC_STR,     /**< char array inside the struct */
-    CODEC_TEXT,    /**< heap bytes with a count and an end mark */
+    CODEC_TEXT,    /**< heap bytes with a count and a terminating zero */
     CODEC_U64LIST, /**< heap array of uint64_t with a count */
     CODEC_STRUCT,  /**< struct by value */
     CODEC_LIST,    /**< heap array of structs with a count */
@@ -70,27 +70,27 @@
 
 /* ===== Public functions ===== */
 
-/** Append @p object as a msgpack array. */
+/** Appends @p object as a msgpack array. */
 void codec_pack(const codec_desc_t *desc, const void *object, msgpack_packer *packer);
 
-/** Read @p object from msgpack. Missing trailing fields keep their defaults, extra ones are ignored,
- * so that neighbouring versions understand each other. On error nothing is left to free.
+/** Decodes @p object from msgpack. Missing trailing fields get their defaults and extra ones are ignored, so that
+ * adjacent versions are compatible. On error nothing is left to free.
  * @return 0 or TC_E_INVALID naming the field */
 int codec_unpack(const codec_desc_t *desc, void *object, const msgpack_object *from, tc_err_t *err);
 
-/** As codec_pack, into bytes for free(). */
+/** As codec_pack, into a heap buffer of @p size bytes, which the caller frees. */
 char *codec_pack_bytes(const codec_desc_t *desc, const void *object, size_t *size);
 
-/** Read @p object from all of @p data. @return 0, TC_E_CORRUPT when the bytes are not one whole value, or as
- *  codec_unpack */
+/** Decodes @p object from all of @p data. @return 0, TC_E_CORRUPT when the bytes are not a single complete value, or an
+ *  error of codec_unpack */
 int codec_unpack_bytes(const codec_desc_t *desc, void *object, const char *data, size_t size, tc_err_t *err);
 
-/** Whether the bytes are one whole msgpack value whose counts fit its size: the library allocates by the counts it
- *  reads, so bytes from outside are looked at first. */
+/** Whether the bytes are a single complete msgpack value whose counts fit into its size. The msgpack library allocates
+ *  memory by the counts it reads, so untrusted bytes are checked first. */
 bool codec_scan(const char *data, size_t size);
 
-/** Read @p object from JSON. Unknown keys, wrong types, values out of range and missing required fields
- * are refused with the field's full path, unit and range. On error nothing is left to free. */
+/** Decodes @p object from JSON. Unknown keys, wrong types, values out of range and missing required fields are refused
+ * with the field's full path, unit and range. On error nothing is left to free. */
 int codec_from_json(const codec_desc_t *desc, void *object, const json_t *from, tc_err_t *err);
 
 /** As codec_from_json, from text. @param source names the text in errors, e.g. the file. */
@@ -100,16 +100,16 @@
 /** As codec_from_json, from a file. */
 int codec_from_json_file(const codec_desc_t *desc, void *object, const char *path, tc_err_t *err);
 
-/** Write as JSON. @return a new reference, owned by the caller */
+/** Encodes as JSON. @return a new reference, owned by the caller */
 json_t *codec_to_json(const codec_desc_t *desc, const void *object);
 
-/** Free what @p object owns (not @p object itself) and zero it. */
+/** Frees what @p object owns (not @p object itself) and zeroes it. */
 void codec_free(const codec_desc_t *desc, void *object);
 
-/** Set a `text` field, replacing what it holds. */
+/** Replaces the value of a `text` field by a copy of @p data. */
 void codec_set_text(char **field, uint32_t *count, const char *data, size_t size);
 
-/** Copy a string into a `str` or `path` field; longer strings are cut. */
+/** Copies a string into a `str` or `path` field; longer strings are truncated. */
 #define CODEC_COPY(field, text) codec_copy_string((field), sizeof(field), (text))
 void codec_copy_string(char *to, size_t size, const char *from);
 
--- a/lib/common/codec_bytes.c
+++ b/lib/common/codec_bytes.c
@@ -1,4 +1,4 @@
-/* Whole objects as bytes, and a look at foreign bytes before the library allocates by their word. */
+/* Objects as byte buffers, and validation of untrusted msgpack before the library allocates memory by its counts. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -7,14 +7,14 @@
 
 /* ===== Scanning ===== */
 
-/** Deepest nesting any message of ours has, with room to grow. */
+/** Deepest nesting accepted: that of the messages in the schema, with room to grow. */
 enum { SCAN_DEPTH_MAX = 16 };
 
 typedef struct {
     const uint8_t *at, *end;
 } scan_t;
 
-/** Read a big-endian number of @p bytes behind the current byte. */
+/** Reads the big-endian number in the @p bytes after the current byte. */
 static bool read_be(const scan_t *scan, unsigned bytes, uint64_t *value)
 {
     *value = 0;
@@ -25,7 +25,7 @@
     return true;
 }
 
-/** What follows a first byte: a count of bytes to pass, or of values inside. */
+/** One msgpack token: its size in bytes, and the number of values nested in it. */
 typedef struct {
     uint64_t bytes, values;
 } token_t;
@@ -77,7 +77,7 @@
         return false;
     scan->at += token.bytes;
     if (token.values > (uint64_t)(scan->end - scan->at))
-        return false; /* every value inside takes a byte at least: this one promises more than came */
+        return false; /* each nested value takes at least one byte, so the count exceeds the data */
     for (uint64_t i = 0; i < token.values; i++)
         if (!scan_value(scan, depth + 1))
             return false;
--- a/lib/common/compress.c
+++ b/lib/common/compress.c
@@ -7,14 +7,15 @@
 /* ===== Constants ===== */
 
 enum {
-    /* Measured on 3.9 MB of routes: level 1 packs to 0.20 MB with 0.6 MB of working memory, level 9 to 0.20 MB with 2
-     * MB and in ten times the time. */
+    /** On 3.9 MB of routes, level 1 compresses to 0.20 MB with 0.6 MB of working memory; level 9 also to 0.20 MB, with
+     *  2 MB and in ten times the time. */
     LEVEL = 1,
-    WINDOW_LOG = 17, /* 128 KB: what unpacking keeps; 512 KB pack no better */
-    PIECE = 16 * 1024
+    /** 128 KB, which decompression keeps in memory; 512 KB does not compress better. */
+    WINDOW_LOG = 17,
+    PIECE_BYTES = 16 * 1024
 };
 
-/* ===== Packing ===== */
+/* ===== Compression ===== */
 
 char *compress_text(const char *text, size_t size, size_t *packed)
 {
@@ -27,7 +28,7 @@
     ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog, WINDOW_LOG);
     const size_t n = ZSTD_compress2(context, bytes, room, text, size);
     if (ZSTD_isError(n))
-        abort(); /* there is room for the worst case: only memory can be missing */
+        abort(); /* the buffer fits the worst case, so this is out of memory */
     ZSTD_freeCCtx(context);
     char *const fitted = malloc(n);
     if (!fitted)
@@ -38,12 +39,12 @@
     return fitted;
 }
 
-/* ===== Unpacking ===== */
+/* ===== Decompression ===== */
 
 struct decompressor {
     ZSTD_DCtx *context;
     ZSTD_inBuffer in;
-    bool ended; /* the packed text is complete */
+    bool ended; /* the compressed text is complete */
 };
 
 decompressor_t *decompressor_create(const char *packed, size_t size)
@@ -90,7 +91,7 @@
 int decompress_text(const char *packed, size_t size, decompress_sink_t sink, void *arg, tc_err_t *err)
 {
     decompressor_t *const reader = decompressor_create(packed, size);
-    char piece[PIECE];
+    char piece[PIECE_BYTES];
     size_t n = 1;
     int rc = TC_OK;
     while (rc == TC_OK && n > 0) {
--- a/lib/common/counter.c
+++ b/lib/common/counter.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Written only by constructors, before any thread exists. */
+/* Modified only by constructors, before any thread starts. */
 static counter_t *first_counter;
 
 void counter_register(counter_t *counter)
--- a/lib/common/counter.h
+++ b/lib/common/counter.h
@@ -1,7 +1,7 @@
 /** @file counter.h
- * Counters of our own, shown as Prometheus text at /metrics.
+ * Process-wide counters, exported as Prometheus text at /metrics.
  *
- * Define one per module with COUNTER_DEFINE; it registers itself before main.
+ * Define one per module with COUNTER_DEFINE; it registers the counter before main.
  */
 #ifndef TRACKCOVE_COMMON_COUNTER_H
 #define TRACKCOVE_COMMON_COUNTER_H
@@ -45,10 +45,10 @@
     atomic_store_explicit(&counter->value, n, memory_order_relaxed);
 }
 
-/** Write all as Prometheus text. @return bytes written, cut at @p size */
+/** Writes all counters as Prometheus text. @return bytes written; counters that do not fit into @p size are left out */
 size_t counter_print(char *to, size_t size);
 
-/** Value of a counter by name, or -1. For tests and status pages. */
+/** @return the value of the counter with this name, or -1. For tests and status pages. */
 int64_t counter_read(const char *name);
 
 #endif
--- a/lib/common/err.h
+++ b/lib/common/err.h
@@ -1,55 +1,55 @@
 /** @file err.h
- * Errors: a negative number, the step at which it arose and the peer it arose with.
+ * Errors: a negative code, the operation that failed and the peer involved.
  *
- * Functions that can fail return 0 or a negative TC_E_* number and, where the
+ * Functions that can fail return 0 or a negative TC_E_* code and, where the
  * caller passes a non-NULL tc_err_t, fill it. Texts are for people; programs
- * look only at the number.
+ * only check the code.
  */
 #ifndef TRACKCOVE_COMMON_ERR_H
 #define TRACKCOVE_COMMON_ERR_H
 
 /* ===== Types ===== */
 
-/** Error numbers. Zero is success; all errors are negative. */
+/** Error codes. Zero is success; all errors are negative. */
 enum {
     TC_OK = 0,
-    TC_E_INVALID = -1,     /**< input or settings of the wrong shape or range */
+    TC_E_INVALID = -1,     /**< input or settings have the wrong type or range */
     TC_E_NOMEM = -2,       /**< out of memory */
     TC_E_IO = -3,          /**< a system call on a file or socket failed */
     TC_E_TIMEOUT = -4,     /**< the deadline passed */
-    TC_E_UNREACHABLE = -5, /**< no connection was made: the peer saw nothing */
+    TC_E_UNREACHABLE = -5, /**< no connection was made, so nothing reached the peer */
     TC_E_BROKEN = -6,      /**< the connection broke after something was sent */
-    TC_E_REFUSED = -7,     /**< the peer understood and refused */
+    TC_E_REFUSED = -7,     /**< the peer refused the request */
     TC_E_AUTH = -8,        /**< key, token or role is missing or wrong */
     TC_E_NOT_LEADER = -9,  /**< ask another control box */
-    TC_E_CONFLICT = -10,   /**< someone else was first */
+    TC_E_CONFLICT = -10,   /**< another request took effect first */
     TC_E_CORRUPT = -11,    /**< a checksum or record on disk is wrong */
     TC_E_FULL = -12,       /**< a bounded queue or the disk is full */
-    TC_E_CANCELLED = -13,  /**< the caller is gone */
+    TC_E_CANCELLED = -13,  /**< the caller left, or this process is stopping */
     TC_E_FENCED = -14,     /**< a newer leader, attempt or incarnation exists */
-    TC_E_NOT_FOUND = -15,  /**< no such thing */
+    TC_E_NOT_FOUND = -15,  /**< the named item does not exist */
     TC_E_STALLED = -16,    /**< a transfer made no progress in time */
 };
 
 /** An error with its origin. */
 typedef struct {
     int code;         /**< TC_E_*, or 0 */
-    const char *step; /**< static string: what was being done */
-    char peer[96];    /**< box, engine or file it was done with; may be empty */
+    const char *step; /**< static string: the operation that failed */
+    char peer[96];    /**< box, engine or file involved; may be empty */
     char detail[224]; /**< for people */
 } tc_err_t;
 
 /* ===== Public functions ===== */
 
-/** Fill @p err (may be NULL) and return @p code, so that it can be used in a return statement.
- * @param step a string that lives for ever; @param peer may be NULL. */
+/** Fills @p err (may be NULL) and returns @p code, for use in a return statement.
+ * @param step a string of static storage duration; @param peer may be NULL. */
 int tc_err_set(tc_err_t *err, int code, const char *step, const char *peer, const char *format, ...)
     __attribute__((format(printf, 5, 6)));
 
-/** Name of an error number, for logs: "timeout" for TC_E_TIMEOUT. */
+/** Name of an error code, for logs: "timeout" for TC_E_TIMEOUT. */
 const char *tc_err_name(int code);
 
-/** Return the error early when @p call fails. */
+/** Returns the error code from the enclosing function when @p call fails. */
 #define TC_CHECK(call)                                                                                                 \
     do {                                                                                                               \
         const int tc_check_rc_ = (call);                                                                               \
--- a/lib/common/feature.c
+++ b/lib/common/feature.c
@@ -28,7 +28,7 @@
 
 const char *feature_name(feature_t feature)
 {
-    assert(feature < FEATURE_COUNT); /* each has a name */
+    assert(feature < FEATURE_COUNT); /* FEATURE_COUNT is not a feature */
     return names[feature];
 }
 
--- a/lib/common/feature.h
+++ b/lib/common/feature.h
@@ -1,8 +1,8 @@
 /** @file feature.h
- * Mechanisms that settings can switch off, one by one: to measure what each is worth, and for an operator who must do
- * without one. All are on unless the settings name them.
+ * Features that settings can disable one by one, to measure the benefit of each, or for an operator who has to run
+ * without one. All are enabled unless the settings name them.
  *
- * Set while the process starts, before its loop runs; read from anywhere after that.
+ * Set at process start, before the loop runs; read from any thread after that.
  */
 #ifndef TRACKCOVE_COMMON_FEATURE_H
 #define TRACKCOVE_COMMON_FEATURE_H
@@ -14,36 +14,40 @@
 /* ===== Types ===== */
 
 typedef enum {
-    FEATURE_SCHEDULER,         /**< the leader places requests; off: each box by itself */
-    FEATURE_QUEUE,             /**< the scheduler has requests wait for room; off: they are refused at once */
-    FEATURE_EARLY_REFUSAL,     /**< it refuses at once what it expects to be late; off: when the time is over */
-    FEATURE_ADOPTION,          /**< it counts what boxes placed by themselves; off: only while it begins */
-    FEATURE_CORRECTION,        /**< a refusal corrects the count of its engine; off: it shuts the engine for a while */
-    FEATURE_ENGINE_READER,     /**< the leader reads what engines run */
-    FEATURE_LOCAL_PREFILL,     /**< decode engines read prompts that wait for a prefill engine */
-    FEATURE_DC_AFFINITY,       /**< engines in one data centre are preferred */
-    FEATURE_ROLES,             /**< engines move between the pools */
-    FEATURE_RESUMPTION,        /**< a box takes a broken stream up at another engine; off: its caller has to */
-    FEATURE_CACHE_AFFINITY,    /**< a stream that its caller takes up goes to the engine that keeps its prompt */
-    FEATURE_SAME_ENGINE_RETRY, /**< an engine whose answer was lost is asked once more before another one */
-    FEATURE_HOLDS,             /**< a box that places by itself has memory set aside before a prompt is read */
-    FEATURE_RETRY_LENDING,     /**< the leader hands out a part of the retry budget; off: boxes have all of it */
-    FEATURE_FAILURE_RETRY,     /**< a failure that a back end stands for is tried once more elsewhere */
-    FEATURE_EJECTION,          /**< back ends that failed are left alone for a while */
-    FEATURE_STARTUP_WAIT,      /**< requests wait for a box that has just started */
-    FEATURE_CAP_LEADER, /**< the leader lets requests in by one count of all boxes; off: each box by its own part */
-    FEATURE_CAP_DEMAND, /**< the part of a box follows what it let in last; off: parts are equal */
-    FEATURE_WORKSPACE_SHARE, /**< who waits gives way by how much of its workspace waits; off: by due time alone */
+    FEATURE_SCHEDULER,     /**< the leader places requests; disabled: each box places its own */
+    FEATURE_QUEUE,         /**< the scheduler queues requests until an engine has room; disabled: they are refused */
+    FEATURE_EARLY_REFUSAL, /**< the scheduler refuses a request at once when it expects to miss its deadline; disabled:
+                                when the deadline has passed */
+    FEATURE_ADOPTION,      /**< the scheduler accounts for requests that boxes placed; disabled: only while it starts */
+    FEATURE_CORRECTION, /**< a refusal corrects the load recorded for its engine; disabled: it closes the engine for a
+                             while */
+    FEATURE_ENGINE_READER,     /**< the leader polls engines for what they run */
+    FEATURE_LOCAL_PREFILL,     /**< decode engines prefill prompts that wait for a prefill engine */
+    FEATURE_DC_AFFINITY,       /**< engines in the same data centre are preferred */
+    FEATURE_ROLES,             /**< engines are moved between the pools */
+    FEATURE_RESUMPTION,        /**< a box resumes a broken stream on another engine; disabled: its caller has to */
+    FEATURE_CACHE_AFFINITY,    /**< a stream that its caller resumes goes to the engine that caches its prompt */
+    FEATURE_SAME_ENGINE_RETRY, /**< an engine whose answer was lost is asked again before another one */
+    FEATURE_HOLDS,             /**< a box that places its own requests reserves decode memory before prefill */
+    FEATURE_RETRY_LENDING,     /**< the leader grants a part of the retry budget; disabled: boxes have all of it */
+    FEATURE_FAILURE_RETRY,     /**< a failure reported by a back end is retried once on another one */
+    FEATURE_EJECTION,          /**< back ends that failed are not used for a while */
+    FEATURE_STARTUP_WAIT,      /**< requests wait for the configuration of a box that has just started */
+    FEATURE_CAP_LEADER,      /**< the leader admits requests by one count over all boxes; disabled: each box by its own
+                                  part */
+    FEATURE_CAP_DEMAND,      /**< the part of a box follows what it admitted last; disabled: parts are equal */
+    FEATURE_WORKSPACE_SHARE, /**< queued requests yield by how much of their workspace is queued; disabled: by deadline
+                                  alone */
     FEATURE_COUNT
 } feature_t;
 
 /* ===== Public functions ===== */
 
-/** Name of it in the settings. */
+/** Name of a feature in the settings. */
 const char *feature_name(feature_t feature);
-/** Switch one off. @return false, with nothing done, when there is none of that name */
+/** Disables the feature of this name. @return false when there is none */
 bool feature_disable(const char *name);
-/** Switch all on, as they are at the start. */
+/** Enables all features. */
 void feature_reset(void);
 bool feature_is_enabled(feature_t feature);
 
--- a/lib/common/histogram.c
+++ b/lib/common/histogram.c
@@ -20,8 +20,8 @@
     atomic_fetch_add_explicit(&h->sum, span, memory_order_relaxed);
 }
 
-/** Bytes that are left behind @p used of @p size. */
-static size_t room(size_t used, size_t size)
+/** Bytes left in a buffer of @p size after @p used; 0 when it is full. */
+static size_t space_left(size_t used, size_t size)
 {
     return used < size ? size - used : 0;
 }
@@ -35,11 +35,12 @@
         char bound[24] = "+Inf";
         if (i < HISTOGRAM_BUCKETS - 1)
             snprintf(bound, sizeof(bound), "%lld", (long long)bounds[i]);
-        used += (size_t)snprintf(room(used, size) ? to + used : NULL, room(used, size), "%s_bucket{le=\"%s\"} %lld\n",
-                                 h->name, bound, count);
+        used += (size_t)snprintf(space_left(used, size) ? to + used : NULL, space_left(used, size),
+                                 "%s_bucket{le=\"%s\"} %lld\n", h->name, bound, count);
     }
-    used += (size_t)snprintf(room(used, size) ? to + used : NULL, room(used, size), "%s_sum %lld\n%s_count %lld\n",
-                             h->name, (long long)atomic_load_explicit(&h->sum, memory_order_relaxed), h->name, count);
+    used += (size_t)snprintf(space_left(used, size) ? to + used : NULL, space_left(used, size),
+                             "%s_sum %lld\n%s_count %lld\n", h->name,
+                             (long long)atomic_load_explicit(&h->sum, memory_order_relaxed), h->name, count);
     return used;
 }
 
@@ -47,6 +48,6 @@
 {
     size_t used = 0;
     for (const histogram_t *h = first; h; h = h->next)
-        used += print_one(h, room(used, size) ? to + used : NULL, room(used, size));
+        used += print_one(h, space_left(used, size) ? to + used : NULL, space_left(used, size));
     return used < size ? used : size;
 }
--- a/lib/common/histogram.h
+++ b/lib/common/histogram.h
@@ -1,7 +1,7 @@
 /** @file histogram.h
- * Latency histograms of our own, shown beside the counters as Prometheus text.
+ * Process-wide latency histograms, exported with the counters as Prometheus text.
  *
- * Define one per module with HISTOGRAM_DEFINE; it registers itself before main.
+ * Define one per module with HISTOGRAM_DEFINE; it registers the histogram before main.
  */
 #ifndef TRACKCOVE_COMMON_HISTOGRAM_H
 #define TRACKCOVE_COMMON_HISTOGRAM_H
@@ -15,14 +15,14 @@
 
 /* ===== Types ===== */
 
-/** Upper bounds of the buckets, in ms; the last bucket has none. */
+/** Upper bounds of the buckets, in ms; the last bucket is unbounded. */
 #define HISTOGRAM_BOUNDS                                                                                               \
     {                                                                                                                  \
         2, 5, 10, 25, 50, 100, 200, 300, 500, 900, 1500, 3000, 6000, 14000                                             \
     }
 enum { HISTOGRAM_BUCKETS = 15 };
 
-/** Counts of spans by length. Counted from any thread. */
+/** Counts of durations by bucket. Any thread. */
 typedef struct histogram {
     const char *name; /**< ends in _ms */
     const char *help;
@@ -44,10 +44,10 @@
 /** Called by HISTOGRAM_DEFINE, before main. */
 void histogram_register(histogram_t *histogram);
 
-/** Count one span, in ms. */
+/** Counts one duration, in ms. */
 void histogram_add(histogram_t *histogram, tc_time_t span);
 
-/** Write all as Prometheus text. @return bytes written, cut at @p size */
+/** Writes all histograms as Prometheus text. @return bytes written, truncated at @p size */
 size_t histogram_print(char *to, size_t size);
 
 #endif
--- a/lib/common/json_stream.c
+++ b/lib/common/json_stream.c
@@ -7,25 +7,25 @@
 
 /* ===== Types ===== */
 
-enum { DEPTH_MAX = 32 }; /* of values within one member or element */
+enum { DEPTH_MAX = 32 }; /* nesting within one member or element */
 
 struct json_stream {
     yajl_handle parser;
     json_stream_fn_t fn;
     void *arg;
     tc_err_t *err;
-    GHashTable *seen; /* members read so far */
-    char *member;     /* the one being read */
-    bool inside;      /* the outermost object has begun */
-    bool listing;     /* the member is a list */
-    bool skipping;    /* its elements are passed over */
-    unsigned skipped; /* objects and lists open in an element that is passed over */
-    GPtrArray *open;  /* json_t of the objects and lists being built, the outermost first */
-    GPtrArray *keys;  /* of the value that comes next, one for each that is open; NULL in lists */
+    GHashTable *seen; /* names of the members parsed so far */
+    char *member;     /* name of the current one */
+    bool inside;      /* the outermost object has started */
+    bool listing;     /* the current member is a list */
+    bool skipping;    /* its elements are skipped */
+    unsigned skipped; /* objects and lists open in a skipped element */
+    GPtrArray *open;  /* json_t of the objects and lists being built, outermost first */
+    GPtrArray *keys;  /* key of the next value, one for each open object or list; NULL in lists */
     bool failed;
 };
 
-/* ===== Failing ===== */
+/* ===== Errors ===== */
 
 static int fail(json_stream_t *s, const char *why)
 {
@@ -37,7 +37,7 @@
 
 /* ===== Building values ===== */
 
-/** Hand a member or an element over; it is freed. @return 0 to stop the parser */
+/** Passes a member or an element to the callback and frees it. @return 0 to stop the parser */
 static int deliver(json_stream_t *s, json_stream_kind_t kind, json_t *value)
 {
     const int rc = s->fn(s->arg, kind, s->member, value, s->err);
@@ -47,8 +47,8 @@
     return rc >= TC_OK;
 }
 
-/** A value is complete. */
-static int place(json_stream_t *s, json_t *value)
+/** Adds a complete value to its parent, or delivers it when it is outermost. */
+static int add_value(json_stream_t *s, json_t *value)
 {
     if (!value)
         return fail(s, "a value can't be read");
@@ -81,10 +81,10 @@
 {
     json_t *const value = g_ptr_array_remove_index(s->open, s->open->len - 1);
     g_free(g_ptr_array_remove_index(s->keys, s->keys->len - 1));
-    return place(s, value);
+    return add_value(s, value);
 }
 
-/* ===== Events of the parser ===== */
+/* ===== Parser events ===== */
 
 static bool is_skipping(const json_stream_t *s)
 {
@@ -93,12 +93,12 @@
 
 static int on_null(void *arg)
 {
-    return is_skipping(arg) ? 1 : place(arg, json_null());
+    return is_skipping(arg) ? 1 : add_value(arg, json_null());
 }
 
 static int on_boolean(void *arg, int value)
 {
-    return is_skipping(arg) ? 1 : place(arg, json_boolean(value));
+    return is_skipping(arg) ? 1 : add_value(arg, json_boolean(value));
 }
 
 static int on_number(void *arg, const char *text, size_t size)
@@ -111,10 +111,10 @@
     memcpy(copy, text, size);
     copy[size] = '\0';
     if (strpbrk(copy, ".eE"))
-        return place(arg, json_real(g_ascii_strtod(copy, NULL))); /* NULL, and so refused, when it is out of range */
+        return add_value(arg, json_real(g_ascii_strtod(copy, NULL))); /* NULL, and so refused, when out of range */
     errno = 0;
     const gint64 value = g_ascii_strtoll(copy, NULL, 10);
-    return errno ? fail(arg, "a number is out of range") : place(arg, json_integer(value));
+    return errno ? fail(arg, "a number is out of range") : add_value(arg, json_integer(value));
 }
 
 static int on_string(void *arg, const unsigned char *text, size_t size)
@@ -123,7 +123,7 @@
         return 1;
     if (memchr(text, '\0', size))
         return fail(arg, "a string holds a zero byte");
-    return place(arg, json_stringn((const char *)text, size));
+    return add_value(arg, json_stringn((const char *)text, size));
 }
 
 static int on_key(void *arg, const unsigned char *text, size_t size)
--- a/lib/common/log.c
+++ b/lib/common/log.c
@@ -11,12 +11,12 @@
 #include "common/counter.h"
 #include "common/time.h"
 
-/* ===== log4c types of our own ===== */
+/* ===== log4c layout and appender ===== */
 
 COUNTER_DEFINE(c_dropped, "counter", "trackcove_log_lines_dropped_total", "Log lines that standard output did not take")
 
-/** Lines a second on standard output; more are dropped, errors and warnings last. A box at its highest load measured
- *  (burst days of the platform) writes 200. */
+/** Most lines per second on standard output. Further ones are dropped; errors and warnings only beyond twice as many. A
+ *  box at its highest measured load (burst days of the platform) writes 200. */
 enum { STDOUT_LINES_A_SECOND = 2000 };
 
 static FILE *log_file;
@@ -30,8 +30,8 @@
     return event->evt_msg;
 }
 
-/** Whether one more line fits into this second. Lines come from one thread at a time here; a race would only let one
- *  line more through. */
+/** Whether one more line is allowed in this second. Called from one thread at a time; a race would only let one more
+ *  line through. */
 static bool fits_in_second(int priority)
 {
     static tc_time_t second;
@@ -58,7 +58,7 @@
         return 0;
     if (log_to_stdout)
         return write_line(event->evt_rendered_msg, event->evt_priority);
-    /* One fwrite a line: stdio locks the stream, so lines of several threads do not mix. */
+    /* One fwrite per line: stdio locks the stream, so lines of several threads do not interleave. */
     return (int)fwrite(event->evt_rendered_msg, 1, strlen(event->evt_rendered_msg), out);
 }
 
@@ -106,9 +106,9 @@
 
 static void put(log_line_t *line, const char *text, size_t size)
 {
-    enum { TAIL = 32 }; /* room for the closing brace and the cut mark */
+    enum { TAIL = 32 }; /* bytes reserved for the closing brace and the "cut" member */
     if (line->used + size + TAIL > sizeof(line->text)) {
-        line->cut = 1;
+        line->truncated = 1;
         return;
     }
     memcpy(line->text + line->used, text, size);
@@ -141,7 +141,7 @@
 {
     static const char *const names[] = {"error", "warn", "info", "debug"};
     line->level = level;
-    line->cut = 0;
+    line->truncated = 0;
     line->used = (size_t)snprintf(line->text, sizeof(line->text), "{\"time\":%lld,\"level\":\"%s\",\"box\":\"%s\"",
                                   (long long)tc_time_wall(), names[level], log_box);
     log_str(line, "event", event);
@@ -152,8 +152,8 @@
     const size_t start = line->used;
     put_key(line, key);
     put_escaped(line, value);
-    if (line->cut)
-        line->used = start; /* never half a field */
+    if (line->truncated)
+        line->used = start; /* drop the incomplete field */
 }
 
 void log_int(log_line_t *line, const char *key, int64_t value)
@@ -190,7 +190,7 @@
 {
     static const int priorities[] = {LOG4C_PRIORITY_ERROR, LOG4C_PRIORITY_WARN, LOG4C_PRIORITY_INFO,
                                      LOG4C_PRIORITY_DEBUG};
-    const char *const end = line->cut ? ",\"cut\":true}\n" : "}\n";
+    const char *const end = line->truncated ? ",\"cut\":true}\n" : "}\n";
     const size_t size = strlen(end);
     memcpy(line->text + line->used, end, size + 1);
     if (log_category)
--- a/lib/common/memory.h
+++ b/lib/common/memory.h
@@ -1,12 +1,12 @@
 /** @file memory.h
- * How the process's allocator treats large blocks.
+ * Settings of the allocator.
  */
 #ifndef TRACKCOVE_COMMON_MEMORY_H
 #define TRACKCOVE_COMMON_MEMORY_H
 
-/** Large blocks go back to the system as soon as they are freed, from now on. By itself the allocator keeps what it
- *  takes for usual: a box that takes over a list of 5 MB a few times would hold several of them for good. Call once, at
- *  the start of a program. */
+/** Makes the allocator return large blocks to the system as soon as they are freed. By default its threshold rises with
+ *  the size of freed blocks: a box that replaces a list of 5 MB a few times would keep several of them for good. Call
+ *  once, at program start. */
 void memory_return_large_blocks(void);
 
 #endif
--- a/lib/common/retry_budget.c
+++ b/lib/common/retry_budget.c
@@ -6,8 +6,8 @@
 
 /* ===== Constants ===== */
 
-/** Kept back from what the rules allow: boxes count their windows from different moments, and the number of boxes
- *  is known some hundred ms late. */
+/** Fraction of the budget that is actually used: windows of boxes are not aligned, and the number of boxes is known
+ * some hundred ms late. */
 static const double SAFETY_FACTOR = 0.8;
 
 /* ===== Rules ===== */
@@ -25,7 +25,7 @@
     b->created = now;
 }
 
-/** Move on to the slice of @p now, emptying those in between. */
+/** Advances to the slice of @p now and clears those in between. @return its index */
 static int slice_at(retry_budget_t *b, const retry_rules_t *rules, tc_time_t now)
 {
     const tc_time_t length = rules->window / RETRY_SLICES > 0 ? rules->window / RETRY_SLICES : 1;
--- a/lib/common/ring.h
+++ b/lib/common/ring.h
@@ -1,6 +1,6 @@
 /** @file ring.h
- * Names in a ring: where a choice among many begins by what is chosen for, boxes that know nothing of each other come
- * upon the same few names, also while others come and go. Pure.
+ * Consistent hashing of names. Boxes that search from the position of the same key find the same few names without
+ * coordination, even while other names are added and removed. No I/O.
  */
 #ifndef TRACKCOVE_COMMON_RING_H
 #define TRACKCOVE_COMMON_RING_H
@@ -11,13 +11,13 @@
 
 /* ===== Public functions ===== */
 
-/** Place of a name, spread evenly over all numbers. */
+/** Position of a name on the ring, distributed evenly over all 64-bit values. */
 uint64_t ring_position(const char *name);
 
-/** How far @p place is behind @p from, once around at most. */
-static inline uint64_t ring_distance(uint64_t from, uint64_t place)
+/** Distance on the ring from @p from up to @p position; wraps around. */
+static inline uint64_t ring_distance(uint64_t from, uint64_t position)
 {
-    return place - from;
+    return position - from;
 }
 
 #endif
--- a/lib/common/time.c
+++ b/lib/common/time.c
@@ -45,7 +45,8 @@
 {
     pthread_condattr_t attr;
     pthread_condattr_init(&attr);
-    pthread_condattr_setclock(&attr, CLOCK_MONOTONIC); /* conditions know no CLOCK_BOOTTIME; naps are short */
+    pthread_condattr_setclock(&attr,
+                              CLOCK_MONOTONIC); /* condition variables do not support CLOCK_BOOTTIME; waits are short */
     pthread_cond_init(cond, &attr);
     pthread_condattr_destroy(&attr);
 }
--- a/lib/common/time.h
+++ b/lib/common/time.h
@@ -11,7 +11,7 @@
 
 /* ===== Types ===== */
 
-/** A point on the clock that goes on whatever happens to the process, or a span, in milliseconds. */
+/** A point in time on the clock of tc_time_now, or a duration, in milliseconds. */
 typedef int64_t tc_time_t;
 
 /** Later than any time. */
@@ -19,25 +19,25 @@
 
 /* ===== Public functions ===== */
 
-/** Now, on CLOCK_BOOTTIME: it never jumps, and counts while the process is stopped and while the machine is suspended.
- *  Leases, votes and time limits rest on it: by CLOCK_MONOTONIC a leader back from a suspension would take its lease
- * for held, though its successor was elected long ago. */
+/** Current time on CLOCK_BOOTTIME, which never jumps and advances while the process is stopped or the machine is
+ *  suspended. Leases, votes and timeouts depend on it: with CLOCK_MONOTONIC, a leader that resumes from suspension
+ * would still consider its lease valid although its successor was elected long ago. */
 tc_time_t tc_time_now(void);
-/** The same with fractions, to measure with. */
+/** As tc_time_now, with fractions of a millisecond, for measurements. */
 double tc_time_exact(void);
 
-/** For how long the machine was suspended since it started: time that CLOCK_MONOTONIC leaves out. */
+/** How long the machine has been suspended since boot, in ms: the time that CLOCK_MONOTONIC leaves out. */
 tc_time_t tc_time_suspended(void);
 
-/** Wall clock in milliseconds since 1970; for logs and incarnation numbers only. */
+/** Wall clock in milliseconds since 1970. Only for logs and incarnation numbers. */
 int64_t tc_time_wall(void);
 
-/** Sleep for a span. */
+/** Sleeps for @p span ms; a signal may end it early. */
 void tc_time_sleep(tc_time_t span);
 
-/** Make a condition for tc_cond_wait_for. */
+/** Initialises a condition variable for tc_cond_wait_for. */
 void tc_cond_init(pthread_cond_t *cond);
-/** Wait for it, or for a short span: a jump of the time of day makes that no longer. May wake early. */
+/** Waits for the condition, at most for @p span ms. Jumps of the wall clock do not matter. Spurious wake-ups occur. */
 void tc_cond_wait_for(pthread_cond_t *cond, pthread_mutex_t *lock, tc_time_t span);
 
 #endif
