--- a/lib/gen/schema.h
+++ b/lib/gen/schema.h
@@ -13,7 +13,7 @@
 } role_t;
 extern const char *const role_names[];
 
-/** How an entry box chooses engines: random and least_loaded are the baselines on lagged reports; share runs the scheduler alone on its own part of every engine; cell asks the leased scheduler of the cell. */
+/** How an entry box chooses engines: random and least_loaded are baselines that use delayed load reports; share runs a local scheduler on a fixed share of every engine; cell asks the scheduler that holds the lease of the cell. */
 typedef enum {
     POLICY_RANDOM,
     POLICY_LEAST_LOADED,
@@ -23,7 +23,7 @@
 } policy_t;
 extern const char *const policy_names[];
 
-/** Where a placed request stands. */
+/** Progress of a placed request. */
 typedef enum {
     PHASE_QUEUED,
     PHASE_PREFILL,
@@ -49,7 +49,7 @@
 } command_kind_t;
 extern const char *const command_kind_names[];
 
-/** State of a claim on the id of a not repeatable request. */
+/** State of a claim on the id of a non-repeatable request. */
 typedef enum {
     CLAIM_STATE_RUNNING,
     CLAIM_STATE_DONE,
@@ -58,7 +58,7 @@
 } claim_state_t;
 extern const char *const claim_state_names[];
 
-/** Lists that boxes keep copies of. */
+/** Lists that are replicated to the boxes. */
 typedef enum {
     LIST_NAME_BACKENDS,
     LIST_NAME_ENTRIES,
@@ -66,7 +66,7 @@
 } list_name_t;
 extern const char *const list_name_names[];
 
-/** Why a decode engine did not take a request: the transfer to it stalled or broke, it had no room, or it is not what it is taken for: it restarted, or changed its role. */
+/** Why a decode engine did not accept a request: the transfer to it stalled or broke, it had no memory left, or the scheduler's data about it is outdated because it restarted or changed its role. */
 typedef enum {
     TROUBLE_STALLED,
     TROUBLE_FULL,
@@ -75,13 +75,13 @@
 } trouble_t;
 extern const char *const trouble_names[];
 
-/** Which entry box schedules a cell. */
+/** Lease by which one entry box schedules a cell. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char box[CODEC_STR_SIZE];
     char peer_addr[CODEC_STR_SIZE];
-    uint64_t epoch; /**< grows with every change of holder */
-    uint64_t incarnation; /**< start of the holder that the lease is for: a restarted box has to get a new one */
+    uint64_t epoch; /**< increases with every change of holder */
+    uint64_t incarnation; /**< incarnation of the holder: a restarted box needs a new lease */
 } cell_lease_t;
 extern const codec_desc_t cell_lease_desc;
 
@@ -93,22 +93,22 @@
     char peer_addr[CODEC_STR_SIZE];
     uint64_t incarnation;
     bool draining;
-    uint32_t room; /**< requests the box could still take */
-    bool gone; /**< in news: the box fell silent */
+    uint32_t room; /**< further requests that the box can accept */
+    bool gone; /**< in updates: the box no longer sends heartbeats */
 } member_t;
 extern const codec_desc_t member_desc;
 
-/** How busy a cell is, as its scheduler measures it. */
+/** Load of a cell, measured by its scheduler. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     uint64_t epoch;
-    double prefill_busy; /**< moving average of the share of prefill engines with work, 0 to 1 */
-    double decode_busy; /**< moving average of the share of decode memory or batch places taken, 0 to 1 */
+    double prefill_busy; /**< moving average of the share of prefill engines that are busy, 0 to 1 */
+    double decode_busy; /**< moving average of the share of decode memory or batch slots in use, 0 to 1 */
     uint64_t refused; /**< requests refused since the lease began */
 } cell_load_t;
 extern const codec_desc_t cell_load_desc;
 
-/** One accepted change of the configuration, a JSON merge patch. */
+/** One accepted configuration change, as a JSON merge patch. */
 typedef struct {
     uint64_t version;
     char *text;
@@ -116,7 +116,7 @@
 } patch_t;
 extern const codec_desc_t patch_desc;
 
-/** One request as its entry box sees it. */
+/** State of one request at its entry box. */
 typedef struct {
     char id[CODEC_STR_SIZE];
     uint32_t attempt;
@@ -133,7 +133,7 @@
 /** One member of the replicated log. */
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< box name */
-    uint64_t id; /**< identity of its data folder */
+    uint64_t id; /**< id stored in its data folder */
     char peer[CODEC_STR_SIZE];
     char http[CODEC_STR_SIZE];
     bool voter;
@@ -150,13 +150,13 @@
 /** One command of the replicated state. */
 typedef struct {
     command_kind_t kind;
-    char request_id[CODEC_STR_SIZE]; /**< names an operator's request; a resend gets the first answer */
+    char request_id[CODEC_STR_SIZE]; /**< idempotency key of an operator's request; a repeated request gets the first answer */
     char operator[CODEC_STR_SIZE];
     char plan[CODEC_STR_SIZE];
-    uint64_t base; /**< version the plan was made for */
+    uint64_t base; /**< configuration version that the plan is based on */
     char *patch;
     uint32_t patch_n;
-    int64_t wall_ms; /**< when, by the leader's wall clock; for people, and to forget old claims */
+    int64_t wall_ms; /**< leader's wall clock; for display, and to expire old claims */
     char id[CODEC_STR_SIZE];
     char box[CODEC_STR_SIZE];
     uint64_t incarnation;
@@ -167,7 +167,7 @@
 } command_t;
 extern const codec_desc_t command_desc;
 
-/** What a command came to. */
+/** Result of a command. */
 typedef struct {
     int64_t code;
     uint64_t version;
@@ -176,7 +176,7 @@
 } result_t;
 extern const codec_desc_t result_desc;
 
-/** One accepted change, as the replicated state remembers it. */
+/** One accepted change in the history of the replicated state. */
 typedef struct {
     uint64_t version;
     char operator[CODEC_STR_SIZE];
@@ -189,14 +189,14 @@
 } change_t;
 extern const codec_desc_t change_desc;
 
-/** The first answer to an operator's request. */
+/** The stored answer to an operator's request. */
 typedef struct {
     char request_id[CODEC_STR_SIZE];
     result_t result;
 } answered_t;
 extern const codec_desc_t answered_desc;
 
-/** A plan that waits for its confirmation. */
+/** A plan that awaits confirmation. */
 typedef struct {
     char plan[CODEC_STR_SIZE];
     char operator[CODEC_STR_SIZE];
@@ -206,7 +206,7 @@
 } plan_record_t;
 extern const codec_desc_t plan_record_desc;
 
-/** The claim on the id of a not repeatable request. */
+/** The claim on the id of a non-repeatable request. */
 typedef struct {
     char id[CODEC_STR_SIZE];
     char box[CODEC_STR_SIZE];
@@ -222,7 +222,7 @@
 } drain_record_t;
 extern const codec_desc_t drain_record_desc;
 
-/** What the planner ordered an engine to be. */
+/** Role and model that the planner ordered for an engine. */
 typedef struct {
     char engine[CODEC_STR_SIZE];
     uint64_t term;
@@ -234,7 +234,7 @@
 } order_record_t;
 extern const codec_desc_t order_record_desc;
 
-/** The whole replicated state, for snapshots. */
+/** The complete replicated state, for snapshots. */
 typedef struct {
     uint64_t version;
     char *config;
@@ -254,7 +254,7 @@
 } state_image_t;
 extern const codec_desc_t state_image_desc;
 
-/** A snapshot as it lies on disk and travels: members and state. */
+/** A snapshot on disk and on the wire: members and state. */
 typedef struct {
     uint64_t last_index;
     uint64_t last_term;
@@ -264,18 +264,18 @@
 } raft_image_t;
 extern const codec_desc_t raft_image_desc;
 
-/** The operators' configuration with its version: the highest version wins. */
+/** The operators' configuration with its version. The highest version takes precedence. */
 typedef struct {
     uint64_t version;
-    char *body; /**< packed; the text itself in folders written before it was packed */
+    char *body; /**< compressed text; uncompressed in data folders written by older versions */
     uint32_t body_n;
-    uint64_t size; /**< bytes of the text; 0 when the body is the text itself */
+    uint64_t size; /**< bytes of the text; 0 when the body is uncompressed */
     char digest[CODEC_STR_SIZE]; /**< of the text, in hex */
-    uint64_t body_hash; /**< of the body: the same text may be packed in more than one way */
+    uint64_t body_hash; /**< hash of the body: the same text may compress to different bytes */
 } document_t;
 extern const codec_desc_t document_desc;
 
-/** Names a document without its body. */
+/** A document without its body. */
 typedef struct {
     uint64_t version;
     uint64_t packed; /**< bytes of the body */
@@ -285,7 +285,7 @@
 } document_head_t;
 extern const codec_desc_t document_head_desc;
 
-/** A piece of a document's body, as it travels and as it stands in the replicated log. */
+/** A piece of a document's body, on the wire and in the replicated log. */
 typedef struct {
     document_head_t head;
     uint64_t offset;
@@ -294,36 +294,36 @@
 } document_piece_t;
 extern const codec_desc_t document_piece_desc;
 
-/** One back end as discovery lists it. */
+/** One back end, as listed by discovery. */
 typedef struct {
-    char id[CODEC_STR_SIZE]; /**< names one start of it */
+    char id[CODEC_STR_SIZE]; /**< changes with each restart */
     char service[CODEC_STR_SIZE];
     char addr[CODEC_STR_SIZE];
     char dc[CODEC_STR_SIZE];
     char stage[CODEC_STR_SIZE]; /**< prefill or decode for engines, else empty */
-    uint32_t slots; /**< requests it works on at once */
-    bool draining; /**< leaving: no new work */
-    bool cold; /**< it has just started, and bears fewer requests than it will */
+    uint32_t slots; /**< requests that it processes concurrently */
+    bool draining; /**< leaving: receives no new requests */
+    bool cold; /**< it has just started and can handle fewer requests than later */
 } backend_t;
 extern const codec_desc_t backend_desc;
 
-/** What a box, or several, have in flight at one back end. */
+/** Requests that one or more boxes have in flight at one back end. */
 typedef struct {
     char id[CODEC_STR_SIZE];
     uint32_t running;
-    uint64_t tokens; /**< prompt tokens it is asked to read */
+    uint64_t tokens; /**< prompt tokens to prefill */
 } backend_load_t;
 extern const codec_desc_t backend_load_desc;
 
-/** A back end ended while it ran a request. */
+/** A back end that ended while it ran a request. */
 typedef struct {
-    uint64_t request; /**< fingerprint: the same for every try at the same */
+    uint64_t request; /**< fingerprint, equal for all attempts of a request */
     char backend[CODEC_STR_SIZE];
     uint64_t age_ms; /**< since it ended */
 } backend_end_t;
 extern const codec_desc_t backend_end_desc;
 
-/** A request, by its fingerprint, and how long ago something was found out about it. */
+/** Fingerprint of a request, and the age of an observation about it. */
 typedef struct {
     uint64_t request;
     uint64_t age_ms;
@@ -333,97 +333,97 @@
 /** A request under which back ends have ended. */
 typedef struct {
     uint64_t request;
-    uint32_t ends; /**< that count, 3 at most: from then on it is sent to none */
-    uint64_t age_ms; /**< since the newest of them */
+    uint32_t ends; /**< number of such back ends, at most 3, from where on it is sent to none */
+    uint64_t age_ms; /**< since the most recent one */
 } suspect_request_t;
 extern const codec_desc_t suspect_request_desc;
 
-/** What a box has found out about requests under which back ends ended. */
+/** Observations of a box about requests under which back ends ended. */
 typedef struct {
     backend_end_t *ends;
     uint32_t ends_n;
-    request_age_t *cleared; /**< ran well */
+    request_age_t *cleared; /**< completed without ending a back end */
     uint32_t cleared_n;
-    request_age_t *held; /**< are sent to no back end; the age is that of the newest end */
+    request_age_t *held; /**< quarantined, sent to no back end; the age is that of the most recent end */
     uint32_t held_n;
 } quarantine_news_t;
 extern const codec_desc_t quarantine_news_desc;
 
-/** What a box is told of such requests. */
+/** Suspect requests, as sent to a box. */
 typedef struct {
-    uint64_t term; /**< of the lead of the answering box, 0 when it does not lead */
-    suspect_request_t *suspects; /**< all of them */
+    uint64_t term; /**< term in which the answering box leads, 0 when it does not */
+    suspect_request_t *suspects; /**< the complete list */
     uint32_t suspects_n;
-    uint64_t hash; /**< of that list; 0 when none is told */
+    uint64_t hash; /**< hash of that list; 0 when it is not sent */
 } quarantine_ack_t;
 extern const codec_desc_t quarantine_ack_desc;
 
-/** A request that is sent to no back end, as a data folder keeps it. */
+/** A quarantined request, as stored in the data folder. */
 typedef struct {
     uint64_t request;
-    int64_t wall_ms; /**< when the newest back end ended under it */
+    int64_t wall_ms; /**< when a back end last ended under it */
 } kept_request_t;
 extern const codec_desc_t kept_request_desc;
 
-/** What a data folder keeps of them. */
+/** Quarantined requests, as stored in the data folder. */
 typedef struct {
     kept_request_t *list;
     uint32_t list_n;
 } quarantine_image_t;
 extern const codec_desc_t quarantine_image_desc;
 
-/** What a box let in of one subject of a cap by itself. */
+/** Usage of one capped subject that a box admitted without the leader. */
 typedef struct {
     char name[CODEC_STR_SIZE];
     uint64_t total; /**< units since the box started */
-    uint64_t fresh; /**< of these, since a leader heard of it last */
-    uint64_t window; /**< units of the last window, whoever let them in; told once to each leader, else 0 */
+    uint64_t fresh; /**< of these, not yet reported to a leader */
+    uint64_t window; /**< units of the last window, admitted by any box; sent once to each leader, else 0 */
 } cap_use_t;
 extern const codec_desc_t cap_use_desc;
 
-/** A subject that is near its cap, or over it. */
+/** A subject that is near or over its cap. */
 typedef struct {
     char name[CODEC_STR_SIZE];
     bool over;
-    uint32_t after_ms; /**< until it is below again when nothing more is asked */
+    uint32_t after_ms; /**< time until it is below its cap if no further usage is added */
 } cap_state_t;
 extern const codec_desc_t cap_state_desc;
 
-/** What a back end says of itself in its answers to a box. */
+/** State that a back end announces in its answers to a box. */
 typedef struct {
     char backend[CODEC_STR_SIZE];
-    bool leaving; /**< it leaves, which the list doesn't show yet */
-    uint64_t leaving_age_ms; /**< since it first said so */
-    uint64_t closed_ms; /**< it wants no calls of this box for so long */
+    bool leaving; /**< it is leaving, which the list does not show yet */
+    uint64_t leaving_age_ms; /**< since it first announced this */
+    uint64_t closed_ms; /**< time for which it asks this box to send no calls */
 } backend_notice_t;
 extern const codec_desc_t backend_notice_desc;
 
-/** The limit that a back end names for all boxes together, as its newest answer says. */
+/** The rate limit for all boxes together that a back end named in its latest answer. */
 typedef struct {
     char backend[CODEC_STR_SIZE];
-    bool is_set; /**< else it names none any more */
-    double rate; /**< requests a second */
+    bool is_set; /**< false: it no longer names a limit */
+    double rate; /**< requests per second */
     uint64_t age_ms; /**< since that answer */
 } limit_news_t;
 extern const codec_desc_t limit_news_desc;
 
-/** What a box is told of back ends that name limits. */
+/** Back ends that name limits, as sent to a box. */
 typedef struct {
-    limit_news_t *list; /**< all that are known, when they differ from what the box was told */
+    limit_news_t *list; /**< all known limits, when they differ from those the box has */
     uint32_t list_n;
     uint64_t hash; /**< of that list */
-    cap_state_t *caps; /**< those that are near their limits, or over them */
+    cap_state_t *caps; /**< back ends near or over their limits */
     uint32_t caps_n;
-    cap_state_t *cold; /**< the same of cold back ends, by what those bear */
+    cap_state_t *cold; /**< likewise for cold back ends, by their reduced capacity */
     uint32_t cold_n;
 } limits_ack_t;
 extern const codec_desc_t limits_ack_desc;
 
-/** One entry box as it reports itself. */
+/** One entry box, as it reports itself. */
 typedef struct {
     char box[CODEC_STR_SIZE];
     char dc[CODEC_STR_SIZE];
-    char http_addr[CODEC_STR_SIZE]; /**< where callers reach it */
+    char http_addr[CODEC_STR_SIZE]; /**< address for callers */
     char peer_addr[CODEC_STR_SIZE];
     uint64_t incarnation;
     bool ready;
@@ -431,23 +431,23 @@
 } entry_box_t;
 extern const codec_desc_t entry_box_desc;
 
-/** An operator's order on one data centre, as it stands in the replicated log. */
+/** An operator's evacuation order for one data centre, as stored in the replicated log. */
 typedef struct {
     char dc[CODEC_STR_SIZE];
-    bool on; /**< its back ends get nothing more; else they get work again */
+    bool on; /**< true: its back ends receive no new requests; false: they receive requests again */
 } evacuation_t;
 extern const codec_desc_t evacuation_desc;
 
-/** A data centre whose back ends get nothing new. */
+/** A data centre whose back ends receive no new requests. */
 typedef struct {
     char dc[CODEC_STR_SIZE];
 } evacuated_dc_t;
 extern const codec_desc_t evacuated_dc_desc;
 
-/** All evacuated data centres: the highest version wins. */
+/** All evacuated data centres. The highest version takes precedence. */
 typedef struct {
-    uint64_t version; /**< index of the log entry that changed them last, 0: none was ever evacuated */
-    evacuated_dc_t *list; /**< in order of names */
+    uint64_t version; /**< index of the log entry that changed the list last; 0: none was ever evacuated */
+    evacuated_dc_t *list; /**< sorted by name */
     uint32_t list_n;
 } evacuations_t;
 extern const codec_desc_t evacuations_desc;
@@ -459,22 +459,22 @@
 } replica_image_t;
 extern const codec_desc_t replica_image_desc;
 
-/** Names a record of a list. */
+/** Name of a list record. */
 typedef struct {
     char name[CODEC_STR_SIZE];
 } record_name_t;
 extern const codec_desc_t record_name_desc;
 
-/** What leads from one state of the list of back ends to another. */
+/** Difference between two states of the list of back ends. */
 typedef struct {
-    backend_t *changed; /**< new and changed ones, or all */
+    backend_t *changed; /**< added and changed records, or all records */
     uint32_t changed_n;
     record_name_t *gone;
     uint32_t gone_n;
 } backend_delta_t;
 extern const codec_desc_t backend_delta_desc;
 
-/** The same of the list of entry boxes. */
+/** Difference between two states of the list of entry boxes. */
 typedef struct {
     entry_box_t *changed;
     uint32_t changed_n;
@@ -483,20 +483,20 @@
 } entry_delta_t;
 extern const codec_desc_t entry_delta_desc;
 
-/** What a box lacks of a list. */
+/** Update of a box's copy of a list. */
 typedef struct {
-    uint64_t hash; /**< of the newest state, 0: the answering box has none, or tells of none now */
-    uint64_t base; /**< of the state that body changes, 0: body is all of it */
-    char *body; /**< a delta, packed; empty: nothing has changed, or it is to be fetched */
+    uint64_t hash; /**< hash of the newest state; 0: the answering box has none, or sends none now */
+    uint64_t base; /**< hash of the state that body applies to; 0: body is the whole list */
+    char *body; /**< compressed delta; empty when nothing has changed or the list is to be fetched */
     uint32_t body_n;
-    uint64_t whole; /**< bytes of the whole list packed, when that is to be fetched; else 0 */
+    uint64_t whole; /**< compressed size in bytes of the whole list when it is to be fetched, else 0 */
 } list_news_t;
 extern const codec_desc_t list_news_desc;
 
-/** The list of back ends as a data folder keeps it. */
+/** The list of back ends, as stored in the data folder. */
 typedef struct {
     int64_t wall_ms; /**< when the list was read from the platform */
-    char *body; /**< the whole list, packed */
+    char *body; /**< the whole list, compressed */
     uint32_t body_n;
 } list_image_t;
 extern const codec_desc_t list_image_desc;
@@ -519,17 +519,17 @@
 } voter_cfg_t;
 extern const codec_desc_t voter_cfg_desc;
 
-/** Settings of trackcove-entryd, one file a box. */
+/** Settings of trackcove-entryd, one file per box. */
 typedef struct {
     char box[CODEC_STR_SIZE]; /**< name of this box, unique in the system */
-    char dc[CODEC_STR_SIZE]; /**< data centre this box stands in */
+    char dc[CODEC_STR_SIZE]; /**< data centre of this box */
     char http_listen[CODEC_STR_SIZE]; /**< IP:port for callers */
     char peer_listen[CODEC_STR_SIZE]; /**< IP:port for the other boxes */
     char cluster_key_file[CODEC_PATH_SIZE]; /**< file with the cluster key, at least 16 bytes */
-    char log_file[CODEC_PATH_SIZE]; /**< JSON lines go here; empty is standard error */
-    uint32_t threads; /**< callers served at once (threads) */
+    char log_file[CODEC_PATH_SIZE]; /**< file to which JSON lines are appended; empty: standard error */
+    uint32_t threads; /**< number of callers served concurrently (threads) */
     uint32_t max_body_bytes; /**< largest request body accepted (bytes) */
-    uint32_t answer_keep_ms; /**< how long a caller may keep the answer of /v1/entries; a planned stop serves for as long (ms) */
+    uint32_t answer_keep_ms; /**< how long a caller may cache the answer of /v1/entries; a planned stop continues to serve for this time (ms) */
     uint32_t drain_limit_ms; /**< longest wait for requests in progress at a planned stop (ms) */
     voter_cfg_t *control; /**< the control boxes, by name */
     uint32_t control_n;
@@ -538,23 +538,23 @@
 
 /** One operator. */
 typedef struct {
-    char name[CODEC_STR_SIZE]; /**< operator's name, kept with every change */
+    char name[CODEC_STR_SIZE]; /**< operator's name, stored with every change */
     char token_hash[CODEC_PATH_SIZE]; /**< hash printed by 'trackcove token' */
     char role[CODEC_STR_SIZE]; /**< read, plan or confirm; each includes the ones before */
 } operator_cfg_t;
 extern const codec_desc_t operator_cfg_desc;
 
-/** Settings of trackcove-controld, one file a control box. */
+/** Settings of trackcove-controld, one file per control box. */
 typedef struct {
     char box[CODEC_STR_SIZE]; /**< name of this box, unique in the system */
-    char dc[CODEC_STR_SIZE]; /**< data centre this box stands in */
+    char dc[CODEC_STR_SIZE]; /**< data centre of this box */
     char http_listen[CODEC_STR_SIZE]; /**< IP:port for operators */
     char peer_listen[CODEC_STR_SIZE]; /**< IP:port for the other boxes */
     char cluster_key_file[CODEC_PATH_SIZE]; /**< file with the cluster key, at least 16 bytes */
-    char data_dir[CODEC_PATH_SIZE]; /**< the data folder; it must exist */
-    char log_file[CODEC_PATH_SIZE]; /**< JSON lines go here; empty is standard error */
+    char data_dir[CODEC_PATH_SIZE]; /**< data folder, which must exist */
+    char log_file[CODEC_PATH_SIZE]; /**< file to which JSON lines are appended; empty: standard error */
     char initial_config[CODEC_PATH_SIZE]; /**< configuration accepted as version 1 when the cluster is founded */
-    bool found_cluster; /**< true on exactly one box: with an empty data folder it founds the cluster, but only after every other listed box said that it has no state; all others join */
+    bool found_cluster; /**< true on exactly one box. With an empty data folder it founds the cluster, after every other listed box has confirmed that it has no state; the others join */
     uint32_t snapshot_every; /**< log entries between snapshots (entries) */
     voter_cfg_t *voters; /**< the control boxes, by name, this one included */
     uint32_t voters_n;
@@ -567,14 +567,14 @@
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< engine name, unique */
     char url[CODEC_PATH_SIZE]; /**< base URL of the engine's HTTP interface */
-    char dc[CODEC_STR_SIZE]; /**< data centre it stands in */
-    char cell[CODEC_STR_SIZE]; /**< cell whose scheduler places on it */
+    char dc[CODEC_STR_SIZE]; /**< its data centre */
+    char cell[CODEC_STR_SIZE]; /**< cell whose scheduler places requests on it */
     role_t role; /**< what it computes */
     char model[CODEC_STR_SIZE]; /**< model it serves */
     char version[CODEC_STR_SIZE]; /**< version of the model */
-    uint32_t pieces; /**< memory for requests (pieces of 2,000 tokens) */
-    uint32_t max_batch; /**< most requests decoded at once that keep the time between tokens (requests) */
-    uint32_t prefill_rate; /**< first guess of its prefill rate; the measured rate replaces it (tokens/s) */
+    uint32_t pieces; /**< memory for the KV caches of requests (pieces of 2,000 tokens) */
+    uint32_t max_batch; /**< most requests decoded concurrently that still meet the target for the time between tokens (requests) */
+    uint32_t prefill_rate; /**< initial estimate of its prefill rate, replaced by the measured rate (tokens/s) */
     bool checks_fence; /**< whether it refuses orders older than the newest it has seen */
     char roles_allowed[CODEC_STR_SIZE]; /**< both, prefill or decode: what the hardware may serve */
 } engine_cfg_t;
@@ -584,14 +584,14 @@
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< worker name */
     char url[CODEC_PATH_SIZE]; /**< base URL */
-    char dc[CODEC_STR_SIZE]; /**< data centre it stands in */
+    char dc[CODEC_STR_SIZE]; /**< its data centre */
 } worker_cfg_t;
 extern const codec_desc_t worker_cfg_desc;
 
 /** One plain service. */
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< service name, as in /v1/services/NAME */
-    bool repeatable; /**< whether its calls may be sent a second time */
+    bool repeatable; /**< whether its calls may be retried */
     uint32_t timeout_ms; /**< longest wait for an answer (ms) */
     worker_cfg_t *workers; /**< its workers, by name */
     uint32_t workers_n;
@@ -603,7 +603,7 @@
     char name[CODEC_STR_SIZE]; /**< link name */
     char a[CODEC_STR_SIZE]; /**< data centre at one end */
     char b[CODEC_STR_SIZE]; /**< data centre at the other end */
-    uint32_t rate; /**< KV cache it carries (tokens/s) */
+    uint32_t rate; /**< rate at which it transfers KV caches (tokens/s) */
     uint32_t delay_us; /**< one-way delay (us) */
 } link_cfg_t;
 extern const codec_desc_t link_cfg_desc;
@@ -611,8 +611,8 @@
 /** One workspace. */
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< workspace name */
-    uint32_t weight; /**< its part when there is not enough for all */
-    char prefix_group[CODEC_STR_SIZE]; /**< workspaces naming the same group may reuse each other's prompt prefixes; empty is the workspace alone */
+    uint32_t weight; /**< its share, relative to others, when capacity is short */
+    char prefix_group[CODEC_STR_SIZE]; /**< workspaces with the same group may reuse each other's prompt prefixes; empty: only its own */
 } workspace_cfg_t;
 extern const codec_desc_t workspace_cfg_desc;
 
@@ -621,8 +621,8 @@
     uint32_t ttft_ms; /**< time to the first token (ms) */
     uint32_t tpot_ms; /**< time between tokens (ms) */
     uint32_t max_queue; /**< most requests waiting in one scheduler (requests) */
-    uint32_t prefill_hold_ms; /**< how long an engine keeps a prefill result that is not moving (ms) */
-    uint32_t config_lease_ms; /**< an entry box that has not heard from the control leader for this long takes no new requests (ms) */
+    uint32_t prefill_hold_ms; /**< how long an engine keeps a prefill result that is not being transferred (ms) */
+    uint32_t config_lease_ms; /**< an entry box without contact to the control leader for this long accepts no new requests (ms) */
 } targets_cfg_t;
 extern const codec_desc_t targets_cfg_desc;
 
@@ -633,27 +633,27 @@
 } model_cfg_t;
 extern const codec_desc_t model_cfg_desc;
 
-/** The planner that moves engines between roles by itself. */
+/** The planner, which moves engines between roles automatically. */
 typedef struct {
     bool enabled; /**< whether it may change the configuration */
-    double hot; /**< a role busier than this wants an engine */
-    double cold; /**< a role less busy than this can give one; the gap to hot is the hysteresis */
-    uint32_t sustain_ms; /**< how long both must hold (ms) */
-    uint32_t min_stay_ms; /**< least time between two moves in a cell, and before an engine moves again (ms) */
+    double hot; /**< utilisation above which a role needs another engine */
+    double cold; /**< utilisation below which a role can give up an engine; the gap to hot is the hysteresis */
+    uint32_t sustain_ms; /**< how long both conditions must hold (ms) */
+    uint32_t min_stay_ms; /**< minimum time between two moves in a cell, and between two moves of an engine (ms) */
 } planner_cfg_t;
 extern const codec_desc_t planner_cfg_desc;
 
 /** A backend server or box that is leaving. */
 typedef struct {
     char name[CODEC_STR_SIZE]; /**< its name */
-    char reason[CODEC_STR_SIZE]; /**< why, for people */
+    char reason[CODEC_STR_SIZE]; /**< reason, for display */
 } leaving_cfg_t;
 extern const codec_desc_t leaving_cfg_desc;
 
 /** The accepted configuration, changed by 'trackcove plan' and 'trackcove confirm'. */
 typedef struct {
     policy_t policy; /**< how engines are chosen */
-    char platform_url[CODEC_PATH_SIZE]; /**< where the platform publishes its list of live and leaving boxes; empty for none */
+    char platform_url[CODEC_PATH_SIZE]; /**< URL at which the platform publishes its list of live and leaving boxes; empty for none */
     targets_cfg_t targets; /**< targets and limits */
     engine_cfg_t *engines; /**< model engines, by name */
     uint32_t engines_n;
@@ -667,15 +667,15 @@
     uint32_t links_n;
     workspace_cfg_t *workspaces; /**< workspaces, by name; others get weight 1 */
     uint32_t workspaces_n;
-    leaving_cfg_t *leaving; /**< engines, workers and boxes that are to get no new work, by name */
+    leaving_cfg_t *leaving; /**< engines, workers and boxes that receive no new requests, by name */
     uint32_t leaving_n;
 } config_t;
 extern const codec_desc_t config_desc;
 
-/** First frame on a connection, both ways: who is there, and proof of the cluster key over both nonces. */
+/** First frame on a connection in both directions: identity of the sender, and proof of the cluster key over both nonces. */
 typedef struct {
     char box[CODEC_STR_SIZE];
-    char addr[CODEC_STR_SIZE]; /**< IP:port of the sender's own listener, empty for none */
+    char addr[CODEC_STR_SIZE]; /**< IP:port of the sender's listener, empty for none */
     uint64_t incarnation;
     char nonce[CODEC_STR_SIZE];
     char mac[CODEC_STR_SIZE];
@@ -692,19 +692,19 @@
 } msg_error_t;
 extern const codec_desc_t msg_error_desc;
 
-/** Entry box to control leader: alive, and the configuration version it acts on. */
+/** Heartbeat of an entry box to the control leader, with the configuration version in use. */
 typedef struct {
     member_t self;
     uint64_t version;
     uint64_t members_version;
-    bool released; /**< the box schedules no cell and will take none */
+    bool released; /**< the box schedules no cell and will accept none */
     uint64_t cells_version;
-    cell_load_t *loads; /**< of the cells this box schedules */
+    cell_load_t *loads; /**< loads of the cells that this box schedules */
     uint32_t loads_n;
 } msg_beat_t;
 extern const codec_desc_t msg_beat_desc;
 
-/** Control leader's answer to a beat; the lease runs from when the beat was sent. */
+/** Control leader's answer to a heartbeat; the lease starts when the heartbeat was sent. */
 typedef struct {
     uint64_t term;
     uint64_t version;
@@ -712,21 +712,21 @@
     cell_lease_t *cells;
     uint32_t cells_n;
     uint64_t members_version;
-    member_t *members; /**< boxes that changed since the version in the beat, or all */
+    member_t *members; /**< boxes that changed since the version in the heartbeat, or all */
     uint32_t members_n;
     bool members_all;
-    uint64_t cells_version; /**< cells are sent only when the beat names another version */
-    bool drain; /**< an operator asks this box to leave */
+    uint64_t cells_version; /**< cells are sent only when the heartbeat names another version */
+    bool drain; /**< an operator has asked this box to leave */
 } msg_beat_ack_t;
 extern const codec_desc_t msg_beat_ack_desc;
 
-/** Ask for the changes after a version. */
+/** Requests the changes after a version. */
 typedef struct {
     uint64_t from;
 } msg_fetch_t;
 extern const codec_desc_t msg_fetch_desc;
 
-/** Changes in order, or the whole configuration when they are gone. */
+/** Changes in order, or the whole configuration when they are no longer stored. */
 typedef struct {
     uint64_t whole_version;
     char *whole;
@@ -736,7 +736,7 @@
 } msg_fetch_ack_t;
 extern const codec_desc_t msg_fetch_ack_desc;
 
-/** Claim the id of a not repeatable request before it is sent to a back end. */
+/** Claims the id of a non-repeatable request before it is sent to a back end. */
 typedef struct {
     char id[CODEC_STR_SIZE];
     char box[CODEC_STR_SIZE];
@@ -753,7 +753,7 @@
 } msg_claim_end_t;
 extern const codec_desc_t msg_claim_end_desc;
 
-/** Whether the claim is this box's. */
+/** Whether this box owns the claim. */
 typedef struct {
     bool won;
     char owner[CODEC_STR_SIZE];
@@ -761,7 +761,7 @@
 } msg_claim_ack_t;
 extern const codec_desc_t msg_claim_ack_desc;
 
-/** Entry box to scheduler: choose engines for this request. */
+/** Entry box to scheduler: requests engines for a request. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char id[CODEC_STR_SIZE];
@@ -773,17 +773,17 @@
     uint32_t max_tokens;
     uint32_t priority; /**< 0 is the most urgent */
     uint32_t wait_ms; /**< time left until the first token is due */
-    uint64_t *chain; /**< hash chain over the prompt's whole pieces */
+    uint64_t *chain; /**< hash chain over the complete pieces of the prompt */
     uint32_t chain_n;
-    char avoid[CODEC_STR_SIZE]; /**< an engine that just failed this request */
+    char avoid[CODEC_STR_SIZE]; /**< an engine that has just failed this request */
     bool repeatable;
-    uint64_t content; /**< hash over workspace, model, length and prompt: an id belongs to one request */
-    bool again; /**< asked before, and not answered yet */
-    uint32_t waited_ms; /**< since the request came to the entry box */
-    uint64_t fingerprint; /**< the same for every try at the same; 0 when it is not known */
-    uint32_t ends; /**< back ends that ended under it, as the box knows */
-    char cap[CODEC_STR_SIZE]; /**< workspace whose usage cap it counts for */
-    uint64_t cap_units; /**< that it is by that cap; 0: it was let in, or there is none */
+    uint64_t content; /**< hash over workspace, model, length and prompt; detects an id that is used for another request */
+    bool again; /**< a repeat of a call that was not answered */
+    uint32_t waited_ms; /**< since the entry box received the request */
+    uint64_t fingerprint; /**< equal for all attempts of a request; 0 when unknown */
+    uint32_t ends; /**< number of back ends that ended under it, as known to the box */
+    char cap[CODEC_STR_SIZE]; /**< workspace whose usage cap applies */
+    uint64_t cap_units; /**< units that it counts against the cap; 0: already admitted, or no cap */
     char dc[CODEC_STR_SIZE]; /**< data centre of the entry box */
 } msg_place_t;
 extern const codec_desc_t msg_place_desc;
@@ -797,15 +797,15 @@
     char prefill[CODEC_STR_SIZE];
     char decode[CODEC_STR_SIZE];
     uint32_t pieces;
-    bool resume; /**< the answer already exists on the decode engine */
+    bool resume; /**< the answer exists already on the decode engine */
     uint32_t est_ttft_ms;
     uint32_t candidates;
-    bool held; /**< refused since back ends ended under it: it is to be sent to none */
-    bool over_cap; /**< refused since its workspace is over its usage cap */
+    bool held; /**< refused because back ends ended under it; it must not be sent to any */
+    bool over_cap; /**< refused because its workspace is over its usage cap */
 } msg_placed_t;
 extern const codec_desc_t msg_placed_desc;
 
-/** The transfer to the decode engine stalled or failed: choose another one. */
+/** Requests another decode engine after the transfer to the chosen one stalled or failed. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char id[CODEC_STR_SIZE];
@@ -817,7 +817,7 @@
 } msg_replan_t;
 extern const codec_desc_t msg_replan_desc;
 
-/** The request moved on; no answer. */
+/** The request has changed its phase; one-way. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     uint64_t epoch;
@@ -828,35 +828,35 @@
     uint32_t computed_tokens;
     uint32_t cached_tokens;
     char bad[CODEC_STR_SIZE]; /**< engine that failed, if one did */
-    char box[CODEC_STR_SIZE]; /**< the entry box that says so; may be empty */
+    char box[CODEC_STR_SIZE]; /**< the reporting entry box; may be empty */
     bool held; /**< the failed engine may still hold memory for it */
 } msg_progress_t;
 extern const codec_desc_t msg_progress_desc;
 
-/** Renews every request whose caller this box still holds: by count and digest, or by a list. */
+/** Renews the reservations of all requests in progress at this box, by count and digest or by a list. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char box[CODEC_STR_SIZE];
     uint64_t incarnation;
     uint64_t epoch;
-    held_t *held; /**< only when listed */
+    held_t *held; /**< set when listed is true */
     uint32_t held_n;
     bool listed;
-    uint32_t count; /**< placed requests this box holds */
-    uint64_t digest; /**< XOR over them, so that both sides see at once whether they count the same */
+    uint32_t count; /**< placed requests in progress at this box */
+    uint64_t digest; /**< XOR over these requests, by which both sides detect a difference */
 } msg_renew_t;
 extern const codec_desc_t msg_renew_desc;
 
-/** Requests the scheduler no longer counts as this box's. */
+/** Requests that the scheduler no longer attributes to this box. */
 typedef struct {
     uint64_t epoch;
     held_t *lost;
     uint32_t lost_n;
-    bool want_list; /**< the counts differ: send the list */
+    bool want_list; /**< count or digest differ: send the list */
 } msg_renew_ack_t;
 extern const codec_desc_t msg_renew_ack_desc;
 
-/** A control box that is no member asks to become one; also asks a founder's question: do you have state? */
+/** Sent by a control box that wants to become a member, and by a founder to ask whether the receiver has state. */
 typedef struct {
     raft_member_t member;
 } msg_join_t;
@@ -866,69 +866,69 @@
 typedef struct {
     bool has_state;
     bool is_member;
-    raft_member_t *members; /**< whom the answering box knows */
+    raft_member_t *members; /**< members known to the answering box */
     uint32_t members_n;
 } msg_join_ack_t;
 extern const codec_desc_t msg_join_ack_desc;
 
-/** A box to a control box, or to another box while none answers: what it is, has and knows. */
+/** State of a box, sent to a control box, or to another box while no control box answers. */
 typedef struct {
     entry_box_t self;
-    uint64_t version; /**< of the document it acts on */
-    uint64_t backends_hash; /**< of the list of back ends it has */
+    uint64_t version; /**< version of the document in use */
+    uint64_t backends_hash; /**< hash of its list of back ends */
     uint64_t entries_hash;
     backend_load_t *loads;
     uint32_t loads_n;
-    bool without_backends; /**< answer without the list of back ends: another box was asked for it */
-    quarantine_news_t quarantine; /**< that this leader has not heard of */
-    uint64_t suspects_hash; /**< of the list of suspects it has */
-    cap_use_t *used; /**< let in by this box and not heard of by a leader */
+    bool without_backends; /**< the answer should omit the list of back ends, which was requested from another box */
+    quarantine_news_t quarantine; /**< observations not yet reported to this leader */
+    uint64_t suspects_hash; /**< hash of its list of suspects */
+    cap_use_t *used; /**< usage admitted by this box and not yet reported to a leader */
     uint32_t used_n;
-    limit_news_t *limits; /**< of back ends, that differ from what this leader has told */
+    limit_news_t *limits; /**< limits of back ends that differ from those this leader has sent */
     uint32_t limits_n;
-    uint64_t limits_hash; /**< of the list of limits it has been told */
-    cap_use_t *limits_used; /**< as used, of back ends with limits */
+    uint64_t limits_hash; /**< hash of the list of limits that it has received */
+    cap_use_t *limits_used; /**< as used, for back ends with limits */
     uint32_t limits_used_n;
-    backend_notice_t *notices; /**< of back ends that have something to say */
+    backend_notice_t *notices; /**< notices of back ends, as far as there are any */
     uint32_t notices_n;
-    uint64_t evacuations_version; /**< of the evacuations that it acts on */
-    cap_use_t *cold_used; /**< as used, of cold back ends */
+    uint64_t evacuations_version; /**< version of the evacuations in use */
+    cap_use_t *cold_used; /**< as used, for cold back ends */
     uint32_t cold_used_n;
-    uint64_t members_hash; /**< of the control boxes that it knows, 0 for none */
+    uint64_t members_hash; /**< hash of the list of control boxes that it knows, 0 for none */
 } msg_report_t;
 extern const codec_desc_t msg_report_desc;
 
-/** Answer to a report: what is newer than what the reporter knows. */
+/** Answer to a report, with all data that is newer than the reporter's. */
 typedef struct {
-    cap_state_t *caps; /**< of a leader: all workspaces near their usage caps */
+    cap_state_t *caps; /**< all workspaces near their usage caps; sent by a leader */
     uint32_t caps_n;
     bool leads; /**< the answering box leads the control boxes */
-    bool loads_partial; /**< loads leaves the engines out */
+    bool loads_partial; /**< loads does not include engines */
     char leader[CODEC_STR_SIZE]; /**< peer address of the leader, empty when unknown */
-    document_head_t head; /**< of the document that the answering box has; version 0 for none */
-    raft_member_t *members; /**< the control boxes, when they are others than the reporter knows */
+    document_head_t head; /**< head of the answering box's document; version 0 for none */
+    raft_member_t *members; /**< the control boxes, when they differ from those the reporter knows */
     uint32_t members_n;
     uint64_t backends_age_ms; /**< since the list was read from the platform */
     list_news_t backends;
     list_news_t entries;
-    backend_load_t *loads; /**< of all other boxes together */
+    backend_load_t *loads; /**< sum over all other boxes */
     uint32_t loads_n;
     char peer[CODEC_STR_SIZE]; /**< peer address of the answering box */
     quarantine_ack_t quarantine;
-    limits_ack_t limits; /**< of a leader */
-    evacuations_t evacuations; /**< when they are newer than what the reporter acts on, else with version 0 */
-    uint64_t members_hash; /**< of the control boxes that the answering box knows, 0 for none */
+    limits_ack_t limits; /**< sent by a leader */
+    evacuations_t evacuations; /**< set when newer than the reporter's, else with version 0 */
+    uint64_t members_hash; /**< hash of the list of control boxes that the answering box knows, 0 for none */
 } msg_report_ack_t;
 extern const codec_desc_t msg_report_ack_desc;
 
-/** Leader to the boxes: a document was accepted, to be fetched, or a data centre is evacuated or no longer; no answer. */
+/** Leader to the boxes: a document was accepted and is to be fetched, or the evacuations have changed; one-way. */
 typedef struct {
     document_head_t head;
     evacuations_t evacuations;
 } msg_publish_t;
 extern const codec_desc_t msg_publish_desc;
 
-/** Ask for a vote, or, as pre-vote, whether one would be given. */
+/** Requests a vote, or, as a pre-vote, asks whether it would be granted. */
 typedef struct {
     uint64_t term;
     bool pre;
@@ -936,7 +936,7 @@
     uint64_t last_term;
     uint64_t to;
     uint64_t from;
-    bool yielded; /**< the leader of the term before has resigned in favour of the sender: nobody rests a lease on silence */
+    bool yielded; /**< the previous leader has resigned in favour of the sender, so voters need not wait until its lease has expired */
 } msg_vote_t;
 extern const codec_desc_t msg_vote_desc;
 
@@ -950,13 +950,13 @@
 } msg_vote_ack_t;
 extern const codec_desc_t msg_vote_ack_desc;
 
-/** Leader to follower: entries, the commit index, and by being sent the leader's heartbeat. */
+/** Leader to follower: entries and the commit index; also serves as the leader's heartbeat. */
 typedef struct {
     uint64_t term;
     uint64_t prev_index;
     uint64_t prev_term;
     uint64_t commit;
-    uint64_t seq; /**< names the round, for the leader's lease */
+    uint64_t seq; /**< number of the heartbeat round, for the leader's lease */
     log_entry_t *entries;
     uint32_t entries_n;
     uint64_t to;
@@ -990,7 +990,7 @@
 } msg_snapshot_t;
 extern const codec_desc_t msg_snapshot_desc;
 
-/** How much of the snapshot has arrived. */
+/** How much of the snapshot was received. */
 typedef struct {
     uint64_t term;
     uint64_t next_offset;
@@ -1002,7 +1002,7 @@
 } msg_snapshot_ack_t;
 extern const codec_desc_t msg_snapshot_ack_desc;
 
-/** A request needs one more arrival at a back end than this box's part of the retry budget allows. */
+/** Asks the leader for a retry that this box's part of the retry budget does not allow. */
 typedef struct {
     char cell[CODEC_STR_SIZE];
     char id[CODEC_STR_SIZE];
@@ -1010,19 +1010,19 @@
 } msg_retry_t;
 extern const codec_desc_t msg_retry_desc;
 
-/** Whether it is allowed by the part that the leader hands out. */
+/** Whether the leader's part of the retry budget allows the retry. */
 typedef struct {
     bool granted;
 } msg_retry_ack_t;
 extern const codec_desc_t msg_retry_ack_desc;
 
-/** Are you there? Answered by the transport with another, as a reply; a process that reads its connections does. */
+/** Liveness check. The transport of the peer replies with a ping, which shows that the process reads its connections. */
 typedef struct {
     uint64_t sent; /**< the sender's clock, ms */
 } msg_ping_t;
 extern const codec_desc_t msg_ping_desc;
 
-/** The leader of the term resigns: the receiver is to stand at once. */
+/** The leader of the term resigns; the receiver starts an election at once. */
 typedef struct {
     uint64_t term;
     uint64_t to;
@@ -1030,7 +1030,7 @@
 } msg_yield_t;
 extern const codec_desc_t msg_yield_desc;
 
-/** A box asks for a piece of a document's body, from an offset on. */
+/** Requests a piece of a document's body, starting at an offset. */
 typedef struct {
     uint64_t version;
     uint64_t body_hash;
@@ -1038,50 +1038,50 @@
 } msg_fetch_piece_t;
 extern const codec_desc_t msg_fetch_piece_desc;
 
-/** The piece asked for; without data, and with the head of what is there, when that document is not. */
+/** The requested piece. When the document is not available, it has no data, and the head of the document that is. */
 typedef struct {
     document_piece_t piece;
 } msg_piece_t;
 extern const codec_desc_t msg_piece_desc;
 
-/** A box asks for a piece of a whole list, packed. */
+/** Requests a piece of a whole compressed list. */
 typedef struct {
     list_name_t list;
-    uint64_t hash; /**< of the state that it wants */
+    uint64_t hash; /**< hash of the requested state */
     uint64_t offset;
 } msg_fetch_list_t;
 extern const codec_desc_t msg_fetch_list_desc;
 
-/** The piece asked for; without data when the answering box does not have that state. */
+/** The requested piece; without data when the answering box does not have that state. */
 typedef struct {
     uint64_t hash;
     uint64_t offset;
-    uint64_t whole; /**< bytes of the whole */
+    uint64_t whole; /**< size in bytes of the compressed list */
     char *data;
     uint32_t data_n;
 } msg_list_piece_t;
 extern const codec_desc_t msg_list_piece_desc;
 
-/** Leader to the control boxes: requests that are sent to no back end, and what is known of others; no answer. */
+/** Leader to the control boxes: quarantined requests, and observations about others; one-way. */
 typedef struct {
     request_age_t *list;
     uint32_t list_n;
-    quarantine_news_t news; /**< of requests that have changed, or of some in turn */
+    quarantine_news_t news; /**< observations about requests that have changed, or about others in rotation */
 } msg_held_requests_t;
 extern const codec_desc_t msg_held_requests_desc;
 
-/** A box wants to send a request to a back end that names a limit for all boxes together, or is cold. */
+/** Asks for permission to send a request to a back end that is cold or names a limit for all boxes together. */
 typedef struct {
-    char id[CODEC_STR_SIZE]; /**< of the request */
-    limit_news_t limit; /**< as this box knows it */
-    bool cold; /**< it is sent as to a cold one */
+    char id[CODEC_STR_SIZE]; /**< request id */
+    limit_news_t limit; /**< the limit as known to this box */
+    bool cold; /**< the request counts against the limit of a cold back end */
 } msg_take_limit_t;
 extern const codec_desc_t msg_take_limit_desc;
 
-/** Whether it may. */
+/** Whether the request may be sent. */
 typedef struct {
     bool granted;
-    uint32_t after_ms; /**< until it may, when it is not granted */
+    uint32_t after_ms; /**< time until it may be sent, when not granted */
 } msg_take_limit_ack_t;
 extern const codec_desc_t msg_take_limit_ack_desc;
 
