--- a/tests/unit/test_codec.c
+++ b/tests/unit/test_codec.c
@@ -1,4 +1,4 @@
-/* Settings and messages: what is refused, and how it is said. */
+/* Decoding of settings and messages: which input is refused, and with which error. */
 
 #include <glib.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "gen/schema.h"
 #include "peer/frame.h"
 
-static void refused(const codec_desc_t *desc, const char *text, const char *path, const char *reason)
+static void expect_refused(const codec_desc_t *desc, const char *text, const char *path, const char *reason)
 {
     tc_err_t err;
     void *const object = g_malloc0(desc->size);
@@ -18,19 +18,21 @@
 
 static void test_refuses(void)
 {
-    refused(&config_desc,
-            "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"prefill\",\"model\":\"m\",\"pieces\":0}}}",
-            "engines.p0.pieces", "whole number from 1 to 1000000, in pieces");
-    refused(&config_desc, "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"both\",\"model\":\"m\"}}}",
-            "engines.p0.role", "must be one of prefill decode");
-    refused(&config_desc, "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"decode\"}}}", "engines.p0.model",
-            "required");
-    refused(&config_desc, "{\"targets\":{\"tft_ms\":5}}", "targets.tft_ms", "not a known setting");
-    refused(&config_desc, "{\"targets\":{\"ttft_ms\":1.5}}", "targets.ttft_ms", "whole number");
-    refused(&config_desc, "{\"planner\":{\"hot\":2}}", "planner.hot", "from 0 to 1");
-    refused(&config_desc, "{\"policy\":\"cell\",\"policy\":\"share\"}", "test", "duplicate");
-    refused(&config_desc, "[]", "", "must be an object");
-    refused(&entry_settings_desc, "{}", "box", "required");
+    expect_refused(
+        &config_desc,
+        "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"prefill\",\"model\":\"m\",\"pieces\":0}}}",
+        "engines.p0.pieces", "whole number from 1 to 1000000, in pieces");
+    expect_refused(&config_desc,
+                   "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"both\",\"model\":\"m\"}}}",
+                   "engines.p0.role", "must be one of prefill decode");
+    expect_refused(&config_desc, "{\"engines\":{\"p0\":{\"url\":\"u\",\"dc\":\"a\",\"role\":\"decode\"}}}",
+                   "engines.p0.model", "required");
+    expect_refused(&config_desc, "{\"targets\":{\"tft_ms\":5}}", "targets.tft_ms", "not a known setting");
+    expect_refused(&config_desc, "{\"targets\":{\"ttft_ms\":1.5}}", "targets.ttft_ms", "whole number");
+    expect_refused(&config_desc, "{\"planner\":{\"hot\":2}}", "planner.hot", "from 0 to 1");
+    expect_refused(&config_desc, "{\"policy\":\"cell\",\"policy\":\"share\"}", "test", "duplicate");
+    expect_refused(&config_desc, "[]", "", "must be an object");
+    expect_refused(&entry_settings_desc, "{}", "box", "required");
 }
 
 static void test_defaults(void)
@@ -47,7 +49,7 @@
     codec_free(&config_desc, &config);
 }
 
-static char *pack_place(size_t *size)
+static char *pack_place_frame(size_t *size)
 {
     uint64_t chain[] = {1, UINT64_MAX};
     msg_place_t place = {.epoch = UINT64_MAX, .prompt_tokens = 7, .chain = chain, .chain_n = 2, .repeatable = true};
@@ -58,7 +60,7 @@
 static void test_frame(void)
 {
     size_t size;
-    char *const data = pack_place(&size);
+    char *const data = pack_place_frame(&size);
     g_assert_cmpuint(frame_length(data), ==, size - FRAME_LENGTH_BYTES);
     frame_t frame;
     g_assert_cmpint(frame_unpack(data + FRAME_LENGTH_BYTES, size - FRAME_LENGTH_BYTES, &frame, NULL), ==, TC_OK);
@@ -70,11 +72,11 @@
     free(data);
 }
 
-/** Every cut and every flipped byte is refused or read as something else, never a crash or a leak. */
+/** Truncated frames are refused, and a frame with any byte inverted is refused or decoded, without a crash or leak. */
 static void test_frame_damage(void)
 {
     size_t size;
-    char *const data = pack_place(&size);
+    char *const data = pack_place_frame(&size);
     for (size_t cut = FRAME_LENGTH_BYTES; cut < size; cut++) {
         frame_t frame;
         g_assert_cmpint(frame_unpack(data + FRAME_LENGTH_BYTES, cut - FRAME_LENGTH_BYTES, &frame, NULL), <, 0);
@@ -89,7 +91,7 @@
     free(data);
 }
 
-/** Found by fuzzing: the library allocates by the count it reads, 256 GB for these nine bytes. */
+/** Found by fuzzing: the msgpack library allocates by the count it reads, 256 GB for the nine bytes below. */
 static void test_scan(void)
 {
     g_assert_false(codec_scan("\xdf\xff\xff\xff\xff\xff\xff\xff\xff", 9));
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -1,8 +1,8 @@
-/* What a process holds after it took over long lists.
+/* Memory of a process after it has replaced long lists.
  *
- * An entry box before 10,000 back ends held 30 MB, of which the list is 5 MB and what is known of each back end 6 MB. A
- * list is taken over by building the next one beside it: the allocator took blocks of that size for usual and kept some
- * of them between others. Sizes of the process over thirty changes of a list showed it.
+ * An entry box with 10,000 back ends used 30 MB, although the list takes 5 MB and the state of the back ends 6 MB. A
+ * list is replaced by building the next one beside it. The allocator had raised its threshold for large blocks and kept
+ * several freed lists in its heap, which showed in the process size over thirty changes of a list.
  */
 
 #include <glib.h>
@@ -14,8 +14,8 @@
 
 enum { BACKENDS = 10000, CHANGES = 30, CHANGED = 50 };
 
-/** Bytes that the allocator has from the system. */
-static size_t held_bytes(void)
+/** Bytes that the allocator has obtained from the system. */
+static size_t allocator_bytes(void)
 {
     const struct mallinfo2 info = mallinfo2();
     return info.arena + info.hblkhd;
@@ -42,7 +42,7 @@
     list_mirror_t *const mirror = list_mirror_create(copy, "10.0.0.1:1");
     (void)list_feed_set(source, list, BACKENDS);
     (void)list_mirror_set(mirror, list, BACKENDS, 1);
-    const size_t before = held_bytes();
+    const size_t before = allocator_bytes();
     for (int change = 0; change < CHANGES; change++) {
         for (int i = 0; i < CHANGED; i++)
             list[(change * CHANGED + i) % BACKENDS].draining = true;
@@ -50,7 +50,7 @@
         const list_news_t news = list_feed_update_since(source, list_feed_hash(copy));
         g_assert_true(list_mirror_receive(mirror, &news, "10.0.0.2:1", 2 + change));
     }
-    g_assert_cmpuint(held_bytes(), <, before + BACKENDS * sizeof(backend_t)); /* not one list more */
+    g_assert_cmpuint(allocator_bytes(), <, before + BACKENDS * sizeof(backend_t)); /* less than one more list */
     list_mirror_destroy(mirror);
     list_feed_destroy(copy);
     list_feed_destroy(source);
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -1,4 +1,4 @@
-/* Connections between processes: keys, calls, deadlines, damage. Real sockets on 127.0.0.1. */
+/* Connections between processes: keys, calls, timeouts, invalid input. Uses real sockets on 127.0.0.1. */
 
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -13,14 +13,14 @@
 #include "harness/proxy.h"
 #include "peer/peer.h"
 
-/** "IP:port" of the server of all tests, which run one after the other. */
+/** "IP:port" of the server in all tests, which run sequentially. */
 static char server_addr[32];
 
 typedef struct {
     loop_t *loop;
     peer_net_t *net;
     pthread_t thread;
-    bool silent; /* takes calls and never answers */
+    bool silent; /* receives calls and never answers */
 } side_t;
 
 static void mute(void *arg)
@@ -84,7 +84,7 @@
     for (int i = 0; i < 100; i++) {
         msg_claim_ack_t ack;
         g_assert_cmpint(call(&client, "abc", 2000, &ack), ==, TC_OK);
-        g_assert_true(ack.won); /* the box name was proved */
+        g_assert_true(ack.won); /* the box name was authenticated */
         g_assert_cmpstr(ack.owner, ==, "abc");
     }
     stop(&client);
@@ -120,10 +120,10 @@
     start(&server, "server", server_addr, good_key);
     start(&client, "client", "", good_key);
     msg_claim_ack_t ack;
-    g_assert_cmpint(call(&client, "abc", 150, &ack), ==, TC_E_TIMEOUT); /* sent: it may have arrived */
+    g_assert_cmpint(call(&client, "abc", 150, &ack), ==, TC_E_TIMEOUT); /* it was sent, so it may have arrived */
     stop(&server);
     g_assert_cmpint(call(&client, "abc", 150, &ack), <, 0);
-    g_assert_cmpint(call(&client, "abc", 150, &ack), ==, TC_E_UNREACHABLE); /* nobody there: nothing was sent */
+    g_assert_cmpint(call(&client, "abc", 150, &ack), ==, TC_E_UNREACHABLE); /* no listener: nothing was sent */
     stop(&client);
 }
 
@@ -135,8 +135,8 @@
     return at;
 }
 
-/** A listener whose queue is full: the kernel drops what would open a connection, as a box without power does. */
-static int open_deaf_listener(int *fillers, int n)
+/** Opens a listener with a full backlog: the kernel drops SYNs, so that it looks like a box without power. */
+static int open_full_listener(int *fillers, int n)
 {
     unsigned size = 0;
     const struct sockaddr_storage to = server_at(&size);
@@ -152,18 +152,20 @@
     return fd;
 }
 
-/** A box that was dark is dialled anew before the kernel would try again, and long before a call's own limit. */
-static void test_dark(void)
+/** A box that was unreachable is dialled again before the kernel resends its SYN, and long before the call times
+ *  out. */
+static void test_unreachable_box(void)
 {
     enum { FILLERS = 8 };
     int fillers[FILLERS];
-    const int listener = open_deaf_listener(fillers, FILLERS);
+    const int listener = open_full_listener(fillers, FILLERS);
     side_t client = {0}, server = {0};
     start(&client, "client", "", good_key);
     const msg_claim_t claim = {0};
     msg_claim_ack_t ack;
     tc_err_t err = {0};
-    /* The limit is below the time of the handshake: unless dialling has a limit of its own, the call runs into it. */
+    /* The call's timeout is below that of the handshake: without a separate connect timeout the call would run into it.
+     */
     g_assert_cmpint(peer_call_wait(client.net, server_addr, MSG_CLAIM, &claim, 900, MSG_CLAIM_ACK, &ack, &err), ==,
                     TC_E_UNREACHABLE);
     g_assert_cmpstr(err.step, ==, "connect");
@@ -174,20 +176,20 @@
     int rc = TC_E_UNREACHABLE;
     for (int tries = 0; tries < 200 && rc == TC_E_UNREACHABLE; tries++) {
         rc = call(&client, "abc", 2000, &ack);
-        g_usleep(10000); /* pausing after a failed dial */
+        g_usleep(10000); /* backoff after a failed dial */
     }
     g_assert_cmpint(rc, ==, TC_OK);
     stop(&client);
     stop(&server);
 }
 
-/** The loop's thread has taken all that was sent before. */
-static void nothing(void *arg)
+/** Posted to wait until the loop's thread has taken up all earlier messages. */
+static void no_op(void *arg)
 {
     (void)arg;
 }
 
-/** What waits for peers that take nothing stays bounded, for all of them together; small frames still pass. */
+/** The bytes queued for all peers together stay bounded when peers do not read; small frames are still accepted. */
 static void test_bounded_together(void)
 {
     enum { PEERS = 8, FRAMES = 12, FRAME = 1024 * 1024, BOUND = 24 * 1024 * 1024 };
@@ -206,12 +208,12 @@
         for (int k = 0; k < FRAMES; k++)
             peer_send(client.net, addrs[i], MSG_FETCH_ACK, &large);
     }
-    loop_post_wait(client.loop, nothing, NULL);
+    loop_post_wait(client.loop, no_op, NULL);
     const int64_t refused = counter_read("trackcove_peer_full_total");
     g_assert_cmpint(refused, >, before);
     g_assert_cmpint(counter_read("trackcove_peer_queued_bytes"), <=, BOUND);
     peer_send(client.net, addrs[PEERS - 1], MSG_FETCH, &small);
-    loop_post_wait(client.loop, nothing, NULL);
+    loop_post_wait(client.loop, no_op, NULL);
     g_assert_cmpint(counter_read("trackcove_peer_full_total"), ==, refused);
     stop(&client);
     g_assert_cmpint(counter_read("trackcove_peer_queued_bytes"), ==, 0);
@@ -220,28 +222,30 @@
     g_free(text);
 }
 
-/** A connection that falls silent for good, while something between takes its bytes up, is noticed and replaced. */
+/** A connection whose peer has become silent, while a proxy still accepts its bytes, is detected and replaced. */
 static void test_silent_connection(void)
 {
-    char way[32];
-    lab_free_addr(way);
+    char proxy_addr[32];
+    lab_free_addr(proxy_addr);
     side_t server = {0}, client = {0};
     start(&server, "server", server_addr, good_key);
     start(&client, "client", "", good_key);
     loop_t *const loop = loop_create();
-    proxy_t *const proxy = proxy_start(loop, way, server_addr);
+    proxy_t *const proxy = proxy_start(loop, proxy_addr, server_addr);
     pthread_t thread;
     pthread_create(&thread, NULL, run_loop, loop);
     msg_claim_t claim = {0};
     msg_claim_ack_t ack;
     tc_err_t err;
     codec_copy_string(claim.id, sizeof(claim.id), "abc");
-    g_assert_cmpint(peer_call_wait(client.net, way, MSG_CLAIM, &claim, 5000, MSG_CLAIM_ACK, &ack, &err), ==, TC_OK);
+    g_assert_cmpint(peer_call_wait(client.net, proxy_addr, MSG_CLAIM, &claim, 5000, MSG_CLAIM_ACK, &ack, &err), ==,
+                    TC_OK);
     loop_post_wait(loop, mute, proxy);
-    /* The call that finds out fails long before its own limit, and may have arrived; the next one passes. */
-    g_assert_cmpint(peer_call_wait(client.net, way, MSG_CLAIM, &claim, 60000, MSG_CLAIM_ACK, &ack, &err), ==,
+    /* The call that detects it fails long before its own timeout, and may have arrived; the next one succeeds. */
+    g_assert_cmpint(peer_call_wait(client.net, proxy_addr, MSG_CLAIM, &claim, 60000, MSG_CLAIM_ACK, &ack, &err), ==,
                     TC_E_BROKEN);
-    g_assert_cmpint(peer_call_wait(client.net, way, MSG_CLAIM, &claim, 5000, MSG_CLAIM_ACK, &ack, &err), ==, TC_OK);
+    g_assert_cmpint(peer_call_wait(client.net, proxy_addr, MSG_CLAIM, &claim, 5000, MSG_CLAIM_ACK, &ack, &err), ==,
+                    TC_OK);
     loop_stop(loop);
     pthread_join(thread, NULL);
     proxy_stop(proxy);
@@ -250,19 +254,19 @@
     stop(&server);
 }
 
-/** A peer that is there, but takes its time, is not mistaken for a silent one. */
+/** A peer that is slow to answer a call is not taken for a silent one. */
 static void test_slow_answer(void)
 {
     side_t server = {.silent = true}, client = {0};
     start(&server, "server", server_addr, good_key);
     start(&client, "client", "", good_key);
     msg_claim_ack_t ack;
-    g_assert_cmpint(call(&client, "abc", 2500, &ack), ==, TC_E_TIMEOUT); /* not broken before its limit */
+    g_assert_cmpint(call(&client, "abc", 2500, &ack), ==, TC_E_TIMEOUT); /* not TC_E_BROKEN before the timeout */
     stop(&server);
     stop(&client);
 }
 
-/** Whatever a stranger sends, the server goes on serving. */
+/** Invalid input from an unauthenticated client does not disturb the server. */
 static void test_garbage(void)
 {
     side_t server = {0}, client = {0};
@@ -275,7 +279,7 @@
         g_assert_cmpint(connect(fd, (const struct sockaddr *)&to, size), ==, 0);
         g_assert_cmpint(send(fd, pieces[i], i == 2 ? 9 : strlen(pieces[i]), MSG_NOSIGNAL), >, 0);
         char buffer[4096];
-        while (recv(fd, buffer, sizeof(buffer), 0) > 0) { /* until the server hangs up */
+        while (recv(fd, buffer, sizeof(buffer), 0) > 0) { /* until the server closes it */
         }
         close(fd);
     }
@@ -295,59 +299,64 @@
     return path;
 }
 
-/* ===== What goes first ===== */
+/* ===== Urgent frames ===== */
 
 typedef struct {
-    GString *order; /* ids as they came */
-} heard_t;
+    GString *order; /* ids in the order received */
+} received_t;
 
-static void note_order(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
+static void record_order(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
     (void)call, (void)from, (void)type;
-    g_string_append(((heard_t *)arg)->order, ((const msg_claim_t *)message)->id);
+    g_string_append(((received_t *)arg)->order, ((const msg_claim_t *)message)->id);
 }
 
-static bool heard_all(void *arg)
+static bool received_all(void *arg)
 {
-    return ((const heard_t *)arg)->order->len == 4;
+    return ((const received_t *)arg)->order->len == 4;
 }
 
-static msg_claim_t named(const char *id)
+static msg_claim_t make_claim(const char *id)
 {
     msg_claim_t claim = {0};
     codec_copy_string(claim.id, sizeof(claim.id), id);
     return claim;
 }
 
-/** Heartbeats and votes overtake what waits for the same peer, and keep their own order. */
-static void test_first_goes_first(void)
+/** Urgent messages, such as heartbeats and votes, overtake those queued for the same peer and keep their own order. */
+static void test_urgent_overtakes(void)
 {
-    heard_t heard = {.order = g_string_new(NULL)};
+    received_t received = {.order = g_string_new(NULL)};
     tc_err_t err;
     loop_t *const loop = loop_create();
-    const peer_options_t hears = {
-        .box = "server", .incarnation = 1, .listen = server_addr, .key_file = "", .handler = note_order, .arg = &heard};
-    const peer_options_t tells = {
-        .box = "client", .incarnation = 1, .listen = "", .key_file = "", .handler = note_order, .arg = &heard};
-    peer_net_t *const server = peer_create(loop, &hears, &err), *const client = peer_create(loop, &tells, &err);
+    const peer_options_t server_options = {.box = "server",
+                                           .incarnation = 1,
+                                           .listen = server_addr,
+                                           .key_file = "",
+                                           .handler = record_order,
+                                           .arg = &received};
+    const peer_options_t client_options = {
+        .box = "client", .incarnation = 1, .listen = "", .key_file = "", .handler = record_order, .arg = &received};
+    peer_net_t *const server = peer_create(loop, &server_options, &err), *const client =
+                                                                             peer_create(loop, &client_options, &err);
     g_assert_true(server && client);
-    const msg_claim_t bulk[] = {named("a"), named("b")}, urgent[] = {named("1"), named("2")};
-    peer_send(client, server_addr, MSG_CLAIM, &bulk[0]); /* all wait for the connection */
+    const msg_claim_t bulk[] = {make_claim("a"), make_claim("b")}, urgent[] = {make_claim("1"), make_claim("2")};
+    peer_send(client, server_addr, MSG_CLAIM, &bulk[0]); /* all are queued until the connection is ready */
     peer_send(client, server_addr, MSG_CLAIM, &bulk[1]);
     peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[0]);
     peer_send_urgent(client, server_addr, MSG_CLAIM, &urgent[1]);
-    lab_run_until(loop, heard_all, &heard);
-    g_assert_cmpstr(heard.order->str, ==, "12ab");
+    lab_run_until(loop, received_all, &received);
+    g_assert_cmpstr(received.order->str, ==, "12ab");
     g_assert_cmpuint(peer_backlog(client, tc_time_now()).bytes, ==, 0);
     peer_destroy(client);
     peer_destroy(server);
     loop_destroy(loop);
-    g_string_free(heard.order, TRUE);
+    g_string_free(received.order, TRUE);
 }
 
-/* ===== What keeps the loop ===== */
+/* ===== Longest callback ===== */
 
-static void stand_still(void *arg)
+static void block(void *arg)
 {
     const tc_time_t until = tc_time_now() + 30;
     while (tc_time_now() < until) {
@@ -355,24 +364,24 @@
     loop_stop(arg);
 }
 
-static void test_longest_turn(void)
+static void test_longest_callback(void)
 {
     loop_t *const loop = loop_create();
-    loop_post(loop, stand_still, loop);
+    loop_post(loop, block, loop);
     loop_run(loop);
     g_assert_cmpint(loop_longest_callback(loop).duration, >=, 29);
     g_assert_cmpstr(loop_longest_callback(loop).source, ==, "posted");
     loop_destroy(loop);
 }
 
-/* ===== The end of a net ===== */
+/* ===== Destruction ===== */
 
 typedef struct {
     unsigned ended;
     int rc;
 } ended_t;
 
-static void note_end(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
+static void record_end(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
     ended_t *const ended = arg;
     (void)type, (void)message, (void)err;
@@ -380,27 +389,27 @@
     ended->rc = rc;
 }
 
-/** A net that ends before the loop took up what was sent: its calls end with it, and nothing of it runs later. */
+/** A net destroyed before the loop took up its messages: its calls are cancelled, and nothing of it runs later. */
 static void test_destroyed_before_sent(void)
 {
     ended_t ended[2] = {{0}};
     tc_err_t err;
     loop_t *const loop = loop_create();
     const peer_options_t options = {
-        .box = "client", .incarnation = 1, .listen = "", .key_file = "", .handler = note_order};
+        .box = "client", .incarnation = 1, .listen = "", .key_file = "", .handler = record_order};
     peer_net_t *const first = peer_create(loop, &options, &err), *const other = peer_create(loop, &options, &err);
     g_assert_true(first && other);
-    const msg_claim_t claim = named("a");
-    peer_call(first, server_addr, MSG_CLAIM, &claim, 5000, note_end, &ended[0]);
+    const msg_claim_t claim = make_claim("a");
+    peer_call(first, server_addr, MSG_CLAIM, &claim, 5000, record_end, &ended[0]);
     peer_send(first, server_addr, MSG_CLAIM, &claim);
-    peer_call(other, server_addr, MSG_CLAIM, &claim, 5000, note_end, &ended[1]);
+    peer_call(other, server_addr, MSG_CLAIM, &claim, 5000, record_end, &ended[1]);
     peer_destroy(first);
     g_assert_cmpuint(ended[0].ended, ==, 1);
     g_assert_cmpint(ended[0].rc, ==, TC_E_CANCELLED);
     g_assert_cmpuint(ended[1].ended, ==, 0);
     lab_run_for(loop, 50);
     g_assert_cmpuint(ended[0].ended, ==, 1);
-    g_assert_cmpuint(ended[1].ended, ==, 1); /* nobody listens: the other net's call went its way */
+    g_assert_cmpuint(ended[1].ended, ==, 1); /* no listener: the other net's call was attempted */
     g_assert_cmpint(ended[1].rc, ==, TC_E_UNREACHABLE);
     peer_destroy(other);
     loop_destroy(loop);
@@ -416,14 +425,14 @@
     g_test_add_func("/peer/wrong-key", test_wrong_key);
     g_test_add_func("/peer/no-key", test_no_key);
     g_test_add_func("/peer/deadline", test_deadline);
-    g_test_add_func("/peer/dark", test_dark);
+    g_test_add_func("/peer/dark", test_unreachable_box);
     g_test_add_func("/peer/bounded-together", test_bounded_together);
     g_test_add_func("/peer/silent-connection", test_silent_connection);
     g_test_add_func("/peer/slow-answer", test_slow_answer);
     g_test_add_func("/peer/garbage", test_garbage);
-    g_test_add_func("/peer/first-goes-first", test_first_goes_first);
+    g_test_add_func("/peer/first-goes-first", test_urgent_overtakes);
     g_test_add_func("/peer/destroyed-before-sent", test_destroyed_before_sent);
-    g_test_add_func("/peer/longest-turn", test_longest_turn);
+    g_test_add_func("/peer/longest-turn", test_longest_callback);
     const int rc = g_test_run();
     g_unlink(good_key);
     g_unlink(other_key);
--- a/tests/unit/test_peer_torn.c
+++ b/tests/unit/test_peer_torn.c
@@ -1,5 +1,5 @@
-/* Connections that break, or stand still, at each byte of what one side writes, and are replaced. The send() of this
- * file stands in for the C library's and lets pass what a test allows. Real sockets on 127.0.0.1. */
+/* Connections that break or stall at each byte that one side writes, and are replaced. The send() of this file
+ * overrides that of the C library and writes only what the test allows. Uses real sockets on 127.0.0.1. */
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -12,15 +12,15 @@
 #include "harness/lab.h"
 #include "peer/peer.h"
 
-/* ===== Tearing ===== */
+/* ===== Fault injection ===== */
 
-/** @return how many of @p size bytes may be written now, 0 for none yet, negative when the connection breaks
- * @param server port of the side that listens @param client port of the side that dialled
- * @param by_server who writes */
-typedef ssize_t (*tear_t)(uint16_t server, uint16_t client, bool by_server, size_t size);
+/** @return how many of @p size bytes may be written now; 0: none yet; negative: the connection breaks
+ * @param server port of the listening side @param client port of the dialling side
+ * @param by_server whether the server writes */
+typedef ssize_t (*fault_fn_t)(uint16_t server, uint16_t client, bool by_server, size_t size);
 
-static tear_t tear;              /* NULL: all passes */
-static GHashTable *server_ports; /* of the test that runs */
+static fault_fn_t fault;         /* NULL: no faults */
+static GHashTable *server_ports; /* of the current test */
 
 static uint16_t port_of(int fd, int (*fn)(int, struct sockaddr *, socklen_t *))
 {
@@ -41,11 +41,11 @@
 
 ssize_t send(int fd, const void *data, size_t size, int flags)
 {
-    if (!tear)
+    if (!fault)
         return sendto(fd, data, size, flags, NULL, 0);
     const uint16_t local = port_of(fd, local_name), remote = port_of(fd, remote_name);
     const bool by_server = g_hash_table_contains(server_ports, GUINT_TO_POINTER(local));
-    const ssize_t may = tear(by_server ? local : remote, by_server ? remote : local, by_server, size);
+    const ssize_t may = fault(by_server ? local : remote, by_server ? remote : local, by_server, size);
     if (may <= 0) {
         errno = may == 0 ? EAGAIN : ECONNRESET;
         return -1;
@@ -70,7 +70,7 @@
 
 static void tear_down(void)
 {
-    tear = NULL;
+    fault = NULL;
     g_hash_table_destroy(server_ports);
 }
 
@@ -80,27 +80,27 @@
 
 typedef struct pair pair_t;
 
-/** One call of a pair's client. */
+/** One call by the client of a pair. */
 typedef struct {
     pair_t *pair;
     char id[CODEC_STR_SIZE];
     unsigned ended;
     int rc;
-} asked_t;
+} client_call_t;
 
-/** A server and a client whose first connection is torn. */
+/** A server and a client whose first connection breaks or stalls. */
 struct pair {
     char addr[32];
     peer_net_t *server, *client;
-    bool by_server; /* what the server writes is torn, else what the client does */
-    bool stalls;    /* nothing more is written on it, else it breaks */
-    size_t cut;     /* bytes that pass before */
+    bool by_server; /* the fault is in what the server writes, else in what the client writes */
+    bool stalls;    /* the connection stalls, else it breaks */
+    size_t cut;     /* bytes written before the fault */
     size_t written;
-    uint16_t first; /* the client's port of the first connection, 0 before it */
-    bool torn;
-    GHashTable *heard; /* ids that came to the server */
-    asked_t asked[CALLS];
-    asked_t last; /* the call that is repeated until it is answered */
+    uint16_t first; /* client port of the first connection, 0 before it */
+    bool faulted;
+    GHashTable *received; /* ids received by the server */
+    client_call_t calls[CALLS];
+    client_call_t last; /* repeated until it is answered */
     unsigned tries;
     bool done;
 };
@@ -117,26 +117,26 @@
     return NULL;
 }
 
-static ssize_t tear_pair(uint16_t server, uint16_t client, bool by_server, size_t size)
+static ssize_t fault_pair(uint16_t server, uint16_t client, bool by_server, size_t size)
 {
     pair_t *const p = find_pair(server);
-    g_assert_nonnull(p); /* every connection is a pair's */
+    g_assert_nonnull(p); /* every connection belongs to a pair */
     if (by_server != p->by_server)
         return (ssize_t)size;
     p->first = p->first ? p->first : client;
-    if (client != p->first || (p->torn && !p->stalls))
+    if (client != p->first || (p->faulted && !p->stalls))
         return (ssize_t)size;
     if (p->written < p->cut) {
         const size_t may = MIN(size, p->cut - p->written);
         p->written += may;
         return (ssize_t)may;
     }
-    p->torn = true;
+    p->faulted = true;
     return p->stalls ? 0 : -1;
 }
 
-/** Every id that comes was sent, as it came, and comes once. */
-static void hear(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
+/** Every id received is one that was sent, unmodified, and is received once. */
+static void on_claim(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
     pair_t *const p = arg;
     const msg_claim_t *const claim = message;
@@ -144,52 +144,52 @@
     g_assert_cmpstr(from, ==, "client");
     bool known = strcmp(claim->id, p->last.id) == 0;
     for (int i = 0; i < CALLS; i++)
-        known = known || strcmp(claim->id, p->asked[i].id) == 0;
+        known = known || strcmp(claim->id, p->calls[i].id) == 0;
     g_assert_true(known);
-    g_assert_true(g_hash_table_add(p->heard, g_strdup(claim->id)));
+    g_assert_true(g_hash_table_add(p->received, g_strdup(claim->id)));
     msg_claim_ack_t ack = {.won = true};
     codec_copy_string(ack.owner, sizeof(ack.owner), claim->id);
     peer_reply(p->server, call, MSG_CLAIM_ACK, &ack);
 }
 
-static void ask(asked_t *asked);
+static void send_call(client_call_t *call);
 
 static void on_answer(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
 {
-    asked_t *const asked = arg;
-    pair_t *const p = asked->pair;
-    asked->ended++;
-    asked->rc = rc;
+    client_call_t *const call = arg;
+    pair_t *const p = call->pair;
+    call->ended++;
+    call->rc = rc;
     if (rc == TC_OK) {
         g_assert_cmpuint(type, ==, MSG_CLAIM_ACK);
-        g_assert_cmpstr(((const msg_claim_ack_t *)message)->owner, ==, asked->id); /* the answer to this very call */
+        g_assert_cmpstr(((const msg_claim_ack_t *)message)->owner, ==, call->id); /* the answer belongs to this call */
     }
     if (rc == TC_E_UNREACHABLE)
-        g_assert_false(g_hash_table_contains(p->heard, asked->id)); /* nothing was sent */
-    if (asked != &p->last)
+        g_assert_false(g_hash_table_contains(p->received, call->id)); /* the call was not sent */
+    if (call != &p->last)
         return;
     p->done = rc == TC_OK;
     if (p->done)
         return;
-    /* Nothing is wrong with the connections that follow; dialling alone pauses after a handshake that was torn. */
+    /* Later connections have no fault; only dialling may be refused, in the backoff after a broken handshake. */
     g_assert_cmpint(rc, ==, TC_E_UNREACHABLE);
     g_assert_cmpstr(err->step, ==, "connect");
-    ask(asked);
+    send_call(call);
 }
 
-static void ask(asked_t *asked)
+static void send_call(client_call_t *call)
 {
-    pair_t *const p = asked->pair;
-    if (asked == &p->last)
-        g_snprintf(asked->id, sizeof(asked->id), "the last, try %u", p->tries++);
+    pair_t *const p = call->pair;
+    if (call == &p->last)
+        g_snprintf(call->id, sizeof(call->id), "the last, try %u", p->tries++);
     msg_claim_t claim = {0};
-    codec_copy_string(claim.id, sizeof(claim.id), asked->id);
-    peer_call(p->client, p->addr, MSG_CLAIM, &claim, LIMIT_MS, on_answer, asked);
+    codec_copy_string(claim.id, sizeof(claim.id), call->id);
+    peer_call(p->client, p->addr, MSG_CLAIM, &claim, LIMIT_MS, on_answer, call);
 }
 
-static void nothing(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
+static void no_op(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
-    (void)arg, (void)call, (void)from, (void)type, (void)message; /* nobody calls this side */
+    (void)arg, (void)call, (void)from, (void)type, (void)message; /* this side is never called */
 }
 
 static peer_net_t *open_net(loop_t *loop, const char *box, const char *listen, peer_handler_t handler, void *arg)
@@ -208,19 +208,19 @@
     p->by_server = by_server;
     p->stalls = stalls;
     p->cut = cut;
-    p->heard = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    p->received = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     lab_free_addr(p->addr);
     watch_port(p->addr);
-    p->server = open_net(loop, "server", p->addr, hear, p);
-    p->client = open_net(loop, "client", "", nothing, NULL);
+    p->server = open_net(loop, "server", p->addr, on_claim, p);
+    p->client = open_net(loop, "client", "", no_op, NULL);
     g_ptr_array_add(pairs, p);
     for (int i = 0; i < CALLS; i++) {
-        p->asked[i].pair = p;
+        p->calls[i].pair = p;
         const int length = g_rand_int_range(random, 1, LONGEST);
         for (int k = 0; k < length; k++)
-            p->asked[i].id[k] = (char)('a' + g_rand_int_range(random, 0, 26));
-        p->asked[i].id[length] = (char)('0' + i); /* no two are equal */
-        ask(&p->asked[i]);
+            p->calls[i].id[k] = (char)('a' + g_rand_int_range(random, 0, 26));
+        p->calls[i].id[length] = (char)('0' + i); /* makes ids unique */
+        send_call(&p->calls[i]);
     }
     p->last.pair = p;
     return p;
@@ -231,8 +231,8 @@
     peer_destroy(p->client);
     peer_destroy(p->server);
     for (int i = 0; i < CALLS; i++)
-        g_assert_cmpuint(p->asked[i].ended, ==, 1);
-    g_hash_table_destroy(p->heard);
+        g_assert_cmpuint(p->calls[i].ended, ==, 1);
+    g_hash_table_destroy(p->received);
     g_free(p);
 }
 
@@ -242,13 +242,13 @@
     for (guint n = 0; n < pairs->len; n++) {
         const pair_t *const p = g_ptr_array_index(pairs, n);
         for (int i = 0; i < CALLS; i++)
-            if (p->asked[i].ended == 0)
+            if (p->calls[i].ended == 0)
                 return false;
     }
     return true;
 }
 
-static bool last_answered(void *arg)
+static bool all_answered(void *arg)
 {
     (void)arg;
     for (guint n = 0; n < pairs->len; n++)
@@ -257,23 +257,23 @@
     return true;
 }
 
-/** Let all calls end, and one more come through: over another connection where the first was torn. */
-static void play(loop_t *loop)
+/** Runs until all calls have ended and one more has succeeded, on another connection if the first one broke. */
+static void run_calls(loop_t *loop)
 {
     lab_run_until(loop, first_ended, NULL);
     for (guint n = 0; n < pairs->len; n++)
-        ask(&((pair_t *)g_ptr_array_index(pairs, n))->last);
-    lab_run_until(loop, last_answered, NULL);
+        send_call(&((pair_t *)g_ptr_array_index(pairs, n))->last);
+    lab_run_until(loop, all_answered, NULL);
 }
 
-/** What one side writes while nothing is torn. */
+/** Bytes that one side writes in a run without faults. */
 static size_t whole_length(bool by_server)
 {
     loop_t *const loop = loop_create();
     GRand *const random = g_rand_new_with_seed(1);
     pairs = g_ptr_array_new();
     const pair_t *const p = open_pair(loop, random, by_server, false, G_MAXSIZE);
-    play(loop);
+    run_calls(loop);
     const size_t written = p->written;
     close_pair(g_ptr_array_index(pairs, 0));
     g_ptr_array_free(pairs, TRUE);
@@ -282,8 +282,8 @@
     return written;
 }
 
-/** A pair for each @p step bytes from @p from on, at most @p most of them, in one loop. @return the next byte */
-static size_t play_pairs(bool by_server, bool stalls, size_t from, size_t end, size_t step, guint most)
+/** Runs a pair for each @p step bytes from @p from on, at most @p most pairs, in one loop. @return the next byte */
+static size_t run_pairs(bool by_server, bool stalls, size_t from, size_t end, size_t step, guint most)
 {
     loop_t *const loop = loop_create();
     GRand *const random = g_rand_new_with_seed((guint32)from + 1);
@@ -292,10 +292,10 @@
     size_t cut = from;
     for (; cut < end && pairs->len < most; cut += step)
         (void)open_pair(loop, random, by_server, stalls, cut);
-    play(loop);
+    run_calls(loop);
     for (guint n = 0; n < pairs->len; n++) {
         pair_t *const p = g_ptr_array_index(pairs, n);
-        g_assert_true(p->torn);
+        g_assert_true(p->faulted);
         close_pair(p);
     }
     g_assert_cmpint(counter_read("trackcove_peer_refused_total"), ==, refused);
@@ -305,38 +305,38 @@
     return cut;
 }
 
-enum { AT_ONCE = 60 }; /* each has two of a loop's ticks */
+enum { AT_ONCE = 60 }; /* each pair uses two of the loop's ticks */
 
 static void test_breaks(gconstpointer by_server)
 {
     set_up();
-    tear = tear_pair;
-    /* Lengths of ids vary with the seed: only up to the shortest is every pair torn. */
+    fault = fault_pair;
+    /* Lengths of ids vary with the seed: the fault is reached by every pair only below the shortest total. */
     const size_t end = whole_length(by_server != NULL) - CALLS * LONGEST;
     for (size_t cut = 0; cut < end;)
-        cut = play_pairs(by_server != NULL, false, cut, end, 1, AT_ONCE);
+        cut = run_pairs(by_server != NULL, false, cut, end, 1, AT_ONCE);
     tear_down();
 }
 
-static void test_stands_still(gconstpointer by_server)
+static void test_stalls(gconstpointer by_server)
 {
     set_up();
-    tear = tear_pair;
+    fault = fault_pair;
     const size_t end = whole_length(by_server != NULL) - CALLS * LONGEST;
-    (void)play_pairs(by_server != NULL, true, 0, end, end / AT_ONCE + 1, AT_ONCE);
+    (void)run_pairs(by_server != NULL, true, 0, end, end / AT_ONCE + 1, AT_ONCE);
     tear_down();
 }
 
-/* ===== The handshake goes first ===== */
+/* ===== Handshake before urgent frames ===== */
 
 typedef struct {
     loop_t *loop;
     peer_net_t *server;
     char server_addr[32], client_addr[32];
-    unsigned writes; /* of the server */
-    bool blocked;    /* what follows its first write waits */
-    bool tried;      /* and something does */
-    GString *order;  /* ids that came to the client */
+    unsigned writes; /* by the server */
+    bool blocked;    /* writes after its first one are delayed */
+    bool tried;      /* a write was delayed */
+    GString *order;  /* ids received by the client */
 } hello_t;
 
 static hello_t hello;
@@ -350,7 +350,7 @@
     return 0;
 }
 
-static void note_order(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
+static void record_order(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
     (void)arg, (void)call, (void)from, (void)type;
     g_string_append(hello.order, ((const msg_claim_t *)message)->id);
@@ -362,7 +362,7 @@
     hello.blocked = false;
 }
 
-static bool heard_three(void *arg)
+static bool received_three(void *arg)
 {
     (void)arg;
     return hello.order->len == 3;
@@ -375,7 +375,7 @@
     (first ? peer_send_urgent : peer_send)(net, addr, MSG_CLAIM, &claim);
 }
 
-/** The last frame of the handshake waits for a full socket: what is sent first goes behind it. */
+/** The last handshake frame waits for a full socket: urgent frames must not overtake it, or the peer refuses them. */
 static void test_hello_is_not_overtaken(void)
 {
     set_up();
@@ -383,9 +383,9 @@
     lab_free_addr(hello.server_addr);
     lab_free_addr(hello.client_addr);
     watch_port(hello.server_addr);
-    tear = block_last_hello;
-    hello.server = open_net(hello.loop, "server", hello.server_addr, nothing, NULL);
-    peer_net_t *const client = open_net(hello.loop, "client", hello.client_addr, note_order, NULL);
+    fault = block_last_hello;
+    hello.server = open_net(hello.loop, "server", hello.server_addr, no_op, NULL);
+    peer_net_t *const client = open_net(hello.loop, "client", hello.client_addr, record_order, NULL);
     const int64_t refused = counter_read("trackcove_peer_refused_total");
     send_named(client, hello.server_addr, "x", false);
     lab_run_until_true(hello.loop, &hello.tried);
@@ -393,7 +393,7 @@
     send_named(hello.server, hello.client_addr, "1", true);
     send_named(hello.server, hello.client_addr, "2", true);
     loop_post(hello.loop, unblock, NULL);
-    lab_run_until(hello.loop, heard_three, NULL);
+    lab_run_until(hello.loop, received_three, NULL);
     g_assert_cmpstr(hello.order->str, ==, "12a");
     g_assert_cmpint(counter_read("trackcove_peer_refused_total"), ==, refused);
     peer_destroy(client);
@@ -403,23 +403,23 @@
     tear_down();
 }
 
-/* ===== Ends of calls that end connections ===== */
+/* ===== Callbacks that close connections ===== */
 
 enum { ENDS = 2, SHORT_MS = 100 };
 
 typedef struct {
-    peer_net_t *asker; /* dials the middle box and asks it; its own answer never comes */
+    peer_net_t *asker; /* dials the middle box and calls it; never answers calls itself */
     char addr[32];
-    peer_call_t question; /* as the middle box got it */
+    peer_call_t question; /* handle of its call at the middle box */
     bool asked, answered;
-    unsigned ended[ENDS]; /* calls of the middle box to this one */
+    unsigned ended[ENDS]; /* how often each call of the middle box to it has ended */
 } end_t;
 
 static struct {
     peer_net_t *middle;
     char addr[32];
     end_t ends[ENDS];
-    bool broken; /* the middle box writes no more */
+    bool broken; /* writes of the middle box fail */
     bool crossed;
 } middle;
 
@@ -429,7 +429,7 @@
     return middle.broken && by_server && server == addr_port(middle.addr) ? -1 : (ssize_t)size;
 }
 
-static void keep_question(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
+static void on_question(void *arg, peer_call_t call, const char *from, uint32_t type, const void *message)
 {
     (void)arg, (void)type, (void)message;
     end_t *const end = &middle.ends[from[0] - '0'];
@@ -444,7 +444,7 @@
     ((end_t *)arg)->answered = true;
 }
 
-/** The call of the middle box ends, and it answers a question: on the same connection, or on the other. */
+/** A call of the middle box has ended, and it answers the call of an asker: on the same connection, or on the other. */
 static void on_middle_end(int end, int n)
 {
     middle.broken = true;
@@ -489,8 +489,8 @@
     return middle.ends[0].answered && middle.ends[1].answered;
 }
 
-/** Calls run out of time, and what their callbacks send finds connections broken: each call ends once. */
-static void test_ends_within_a_walk(gconstpointer crossed)
+/** Calls time out, and their callbacks send on connections that then turn out to be broken: each call ends once. */
+static void test_callback_closes_connection(gconstpointer crossed)
 {
     static const peer_reply_t fns[ENDS][ENDS] = {{on_end_00, on_end_01}, {on_end_10, on_end_11}};
     set_up();
@@ -499,13 +499,13 @@
     loop_t *const loop = loop_create();
     lab_free_addr(middle.addr);
     watch_port(middle.addr);
-    tear = break_middle;
-    middle.middle = open_net(loop, "middle", middle.addr, keep_question, NULL);
+    fault = break_middle;
+    middle.middle = open_net(loop, "middle", middle.addr, on_question, NULL);
     const msg_claim_t claim = {0};
     for (int i = 0; i < ENDS; i++) {
         end_t *const end = &middle.ends[i];
         lab_free_addr(end->addr);
-        end->asker = open_net(loop, i == 0 ? "0" : "1", end->addr, nothing, NULL);
+        end->asker = open_net(loop, i == 0 ? "0" : "1", end->addr, no_op, NULL);
         peer_call(end->asker, middle.addr, MSG_CLAIM, &claim, LIMIT_MS, on_question_end, end);
     }
     lab_run_until(loop, both_asked, NULL);
@@ -528,10 +528,10 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_data_func("/peer-torn/client-breaks", NULL, test_breaks);
     g_test_add_data_func("/peer-torn/server-breaks", "server", test_breaks);
-    g_test_add_data_func("/peer-torn/client-stands-still", NULL, test_stands_still);
-    g_test_add_data_func("/peer-torn/server-stands-still", "server", test_stands_still);
+    g_test_add_data_func("/peer-torn/client-stands-still", NULL, test_stalls);
+    g_test_add_data_func("/peer-torn/server-stands-still", "server", test_stalls);
     g_test_add_func("/peer-torn/hello-is-not-overtaken", test_hello_is_not_overtaken);
-    g_test_add_data_func("/peer-torn/ends-within-a-walk", NULL, test_ends_within_a_walk);
-    g_test_add_data_func("/peer-torn/ends-within-a-walk-crossed", "crossed", test_ends_within_a_walk);
+    g_test_add_data_func("/peer-torn/ends-within-a-walk", NULL, test_callback_closes_connection);
+    g_test_add_data_func("/peer-torn/ends-within-a-walk-crossed", "crossed", test_callback_closes_connection);
     return g_test_run();
 }
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -1,4 +1,4 @@
-/* The proxy of the tests: what passes of a connection that is to fall silent one way. */
+/* The test proxy: which bytes it forwards on a connection that is muted in one direction. */
 
 #include <errno.h>
 #include <glib.h>
@@ -11,7 +11,7 @@
 #include "peer/peer.h"
 
 enum {
-    QUIET_MS = 50 /* ten turns of the proxy's tick: what may pass has passed */
+    SETTLE_MS = 50 /* ten ticks of the proxy: all bytes that it forwards have arrived */
 };
 
 /* ===== Types ===== */
@@ -20,8 +20,8 @@
 typedef struct {
     int fd;
     GString *in;
-    size_t wanted; /* bytes that end_expect waits for */
-    bool over;     /* the other side closed or reset it */
+    size_t expected; /* bytes that end_expect waits for */
+    bool over;       /* closed or reset by the other side */
 } end_t;
 
 typedef struct {
@@ -35,7 +35,7 @@
     proxy_t *proxy;
 } fixture_t;
 
-/* ===== Life ===== */
+/* ===== Set-up ===== */
 
 static void set_up(fixture_t *f, gconstpointer data)
 {
@@ -109,15 +109,15 @@
 {
     end_t *const e = arg;
     end_read(e);
-    return e->over || e->in->len >= e->wanted;
+    return e->over || e->in->len >= e->expected;
 }
 
-/** All that came is @p bytes, and the connection is open. */
+/** Asserts that exactly @p bytes were received and the connection is open. */
 static void end_expect(const fixture_t *f, end_t *e, const char *bytes)
 {
-    e->wanted = strlen(bytes);
+    e->expected = strlen(bytes);
     lab_run_until(f->loop, end_has, e);
-    lab_run_for(f->loop, QUIET_MS);
+    lab_run_for(f->loop, SETTLE_MS);
     end_read(e);
     g_assert_cmpstr(e->in->str, ==, bytes);
     g_assert_false(e->over);
@@ -127,7 +127,7 @@
 
 static const bool answers = true, calls = false;
 
-/** @param data whether answers are lost, else calls */
+/** @param data whether answers are dropped, else calls */
 static void test_mute_after(fixture_t *f, gconstpointer data)
 {
     const bool of_answers = *(const bool *)data;
@@ -140,14 +140,14 @@
     end_send(from, "01234");
     end_expect(f, to, "before 01234");
     end_send(from, "56789");
-    end_expect(f, to, "before 01234567"); /* the last two are lost, */
+    end_expect(f, to, "before 01234567"); /* the last two bytes are dropped */
     end_send(from, "more");
-    end_expect(f, to, "before 01234567"); /* and all behind them, */
+    end_expect(f, to, "before 01234567"); /* and all bytes after them */
     proxy_set(f->proxy, PROXY_PASS);
     end_send(from, "more");
-    end_expect(f, to, "before 01234567"); /* for good, on a connection that stays open, */
+    end_expect(f, to, "before 01234567"); /* the connection stays open and muted */
     end_send(to, "the other way");
-    end_expect(f, from, "the other way"); /* whose other direction passes. */
+    end_expect(f, from, "the other way"); /* the other direction is forwarded */
     connection_t new = connection_open(f);
     end_send(&new.caller, "a call of more than eight bytes");
     end_expect(f, &new.server, "a call of more than eight bytes");
@@ -158,7 +158,7 @@
     connection_close(&old);
 }
 
-/** No byte more: the next one is lost. */
+/** With a limit of 0 the next byte is dropped already. */
 static void test_mute_after_nothing(fixture_t *f, gconstpointer data)
 {
     connection_t c = connection_open(f);
--- a/tests/unit/test_retry_budget.c
+++ b/tests/unit/test_retry_budget.c
@@ -1,12 +1,10 @@
-/* The incident: further arrivals at back ends passed what all boxes together may send in a window of ten seconds, by
- * four of 94, on a day on which back ends ended in waves nine to eleven seconds apart.
+/* Retries at back ends exceeded what all boxes together may send in a window of ten seconds, by four of 94, when back
+ * ends ended in waves nine to eleven seconds apart.
  *
- * How it came about: each wave was followed by a burst of repeats. The budget counts in slices, and one of its slices
- * is the one that has just begun: what was allowed at the end of a slice was forgotten nine tenths of a window later,
- * so that two bursts less than a window apart each got nearly the whole budget.
- *
- * What proved it: a window that slides over every moment, below, finds up to twice the budget in it; with what is
- * allowed remembered for a whole window it finds none. */
+ * Each wave caused a burst of retries. The budget counts in slices, of which the newest is incomplete: retries at the
+ * end of a slice were forgotten nine tenths of a window later, so that two bursts less than a window apart each got
+ * nearly the whole budget. The sliding window below found up to twice the budget; it finds no excess when retries are
+ * remembered for a whole window. */
 
 #include <glib.h>
 
@@ -17,19 +15,19 @@
 
 static const retry_rules_t rules = {.ratio = 0.2, .allowance = 58, .window = WINDOW};
 
-/** Spend all that is allowed at one moment. */
-static void spend_all(retry_budget_t *budget, GArray *extras, tc_time_t now)
+/** Spends all retries that are allowed at @p now. */
+static void spend_all(retry_budget_t *budget, GArray *retries, tc_time_t now)
 {
     while (retry_budget_spend(budget, &rules, 1, now))
-        g_array_append_val(extras, now);
+        g_array_append_val(retries, now);
 }
 
-/** A request each 100 ms, and all that is allowed is taken at the end of a slice and again nine slices later. */
+/** One request each 100 ms; all allowed retries are spent at the end of a slice and again nine slices later. */
 static void check_two_bursts(void)
 {
     retry_budget_t budget;
     GArray *const requests = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
-    GArray *const extras = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
+    GArray *const retries = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     retry_budget_init(&budget, 0);
     for (tc_time_t now = 0; now < END; now++) {
         if (now % 100 == 0) {
@@ -37,22 +35,22 @@
             g_array_append_val(requests, now);
         }
         if (now == 2 * WINDOW + 999 || now == 3 * WINDOW + 10)
-            spend_all(&budget, extras, now);
+            spend_all(&budget, retries, now);
     }
-    g_assert_cmpuint(extras->len, >, 0);
-    g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
+    g_assert_cmpuint(retries->len, >, 0);
+    g_assert_cmpfloat(windows_max_excess(requests, retries, &rules), <=, 0);
     g_array_free(requests, TRUE);
-    g_array_free(extras, TRUE);
+    g_array_free(retries, TRUE);
 }
 
-/** Requests and bursts by lot. */
+/** Requests and bursts at random times. */
 static void check_random_bursts(void)
 {
     for (guint32 seed = 1; seed <= 200; seed++) {
         GRand *const random = g_rand_new_with_seed(seed);
         retry_budget_t budget;
         GArray *const requests = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
-        GArray *const extras = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
+        GArray *const retries = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
         const int pause = g_rand_int_range(random, 20, 400);
         retry_budget_init(&budget, 0);
         for (tc_time_t now = 0; now < END; now++) {
@@ -61,13 +59,13 @@
                 g_array_append_val(requests, now);
             }
             if (g_rand_int_range(random, 0, 1500) == 0)
-                spend_all(&budget, extras, now);
+                spend_all(&budget, retries, now);
         }
-        if (windows_max_excess(requests, extras, &rules) > 0)
+        if (windows_max_excess(requests, retries, &rules) > 0)
             g_test_message("seed %u", seed);
-        g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
+        g_assert_cmpfloat(windows_max_excess(requests, retries, &rules), <=, 0);
         g_array_free(requests, TRUE);
-        g_array_free(extras, TRUE);
+        g_array_free(retries, TRUE);
         g_rand_free(random);
     }
 }
@@ -78,28 +76,28 @@
     check_random_bursts();
 }
 
-/** Boxes that have all just started, and hear neither of a leader nor of each other, spend no more than the allowance
- * together. Found by looking where else a sum over boxes is promised: each took itself for the only box, and the whole
- * allowance for its own. */
+/** Boxes that have all just started, and know neither a leader nor each other, together spend no more than the
+ * allowance. Each had assumed to be the only box and used the whole allowance. Found by checking other limits on a sum
+ * over boxes. */
 static void test_new_boxes(void)
 {
     enum { BOXES = 20, STEP = 50 };
     GArray *const requests = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
-    GArray *const extras = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
+    GArray *const retries = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     retry_budget_t budgets[BOXES];
-    box_count_t sharers[BOXES] = {0};
+    box_count_t counts[BOXES] = {0};
     for (int i = 0; i < BOXES; i++)
         retry_budget_init(&budgets[i], 0);
     for (tc_time_t now = 0; now < 2 * WINDOW; now += STEP) {
         for (int i = 0; i < BOXES; i++) {
-            box_count_update(&sharers[i], 0, WINDOW, now);
-            while (retry_budget_spend(&budgets[i], &rules, box_count_get(&sharers[i]), now))
-                g_array_append_val(extras, now);
+            box_count_update(&counts[i], 0, WINDOW, now);
+            while (retry_budget_spend(&budgets[i], &rules, box_count_get(&counts[i]), now))
+                g_array_append_val(retries, now);
         }
     }
-    g_assert_cmpfloat(windows_max_excess(requests, extras, &rules), <=, 0);
+    g_assert_cmpfloat(windows_max_excess(requests, retries, &rules), <=, 0);
     g_array_free(requests, TRUE);
-    g_array_free(extras, TRUE);
+    g_array_free(retries, TRUE);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit/test_ring.c
+++ b/tests/unit/test_ring.c
@@ -1,12 +1,11 @@
-/* Where a stream that is taken up again is looked for, in a large pool of engines.
+/* Locating the engine of a resumed stream in a large pool of engines.
  *
- * After a restart of everything 120 streams were taken up again before 5,989 decode engines. Each box asked as many of
- * them as it may, 30,000 questions in all, and found the prompts of four; the others were read once more, 617,000
- * tokens for nothing. Questions grow with streams times engines. What proved it: the count of questions, and of what
- * was found.
+ * After a restart of all boxes, 120 streams were resumed with 5,989 decode engines. Each box queried as many engines as
+ * it may, 30,000 queries in all, and found the prompts of four streams; the others were prefilled again, 617,000 tokens
+ * wasted. Queries grow with streams times engines; the counts of queries and of hits showed it.
  *
- * The scheduler begins its choice at the place of the request's fingerprint among the engines' names, and a box asks
- * the engines behind that place.
+ * The scheduler therefore starts its choice at the ring position of the request's fingerprint among the engines' names,
+ * and a box queries the engines that follow this position.
  */
 
 #include <glib.h>
@@ -15,19 +14,19 @@
 #include "sched/sched_internal.h"
 #include "unit/sched_fixture.h"
 
-enum { DCS = 5, REQUESTS = 300, ASKED = 32 };
+enum { DCS = 5, REQUESTS = 300, MAX_QUERIES = 32 };
 
 typedef struct {
-    const char *wanted;
-    unsigned asked;
+    const char *engine;
+    unsigned queried;
     bool found;
 } search_t;
 
-static void ask(void *arg, instance_t *instance)
+static void query_engine(void *arg, instance_t *instance)
 {
     search_t *const search = arg;
-    search->asked++;
-    search->found = search->found || strcmp(instance->listed.id, search->wanted) == 0;
+    search->queried++;
+    search->found = search->found || strcmp(instance->listed.id, search->engine) == 0;
 }
 
 static engine_cfg_t *make_engines(uint32_t n)
@@ -40,7 +39,7 @@
     return engines;
 }
 
-/** The list as a box has it. @param missing one in so many has gone meanwhile */
+/** Makes the fleet as known to a box. @param missing one in so many engines has been removed meanwhile */
 static fleet_t *make_fleet(const engine_cfg_t *engines, uint32_t n, uint32_t missing)
 {
     backend_t *const list = g_new0(backend_t, n);
@@ -60,7 +59,7 @@
     return fleet;
 }
 
-/** Place a request; its engine's name is in @p to. */
+/** Places a request and writes its engine's name to @p to. */
 static void place(sched_t *s, unsigned number, uint64_t fingerprint, char to[CODEC_STR_SIZE])
 {
     msg_place_t p = {.prompt_tokens = 3000, .max_tokens = 35, .wait_ms = 900, .fingerprint = fingerprint};
@@ -75,7 +74,7 @@
     codec_copy_string(to, CODEC_STR_SIZE, action.u.answer.placed.decode);
 }
 
-/** @return of REQUESTS that run, whose engines were among those asked */
+/** @return for how many of REQUESTS requests the engine was among those queried */
 static unsigned count_found(uint32_t engines_n)
 {
     engine_cfg_t *const engines = make_engines(engines_n);
@@ -90,10 +89,10 @@
         const uint64_t fingerprint = (uint64_t)g_rand_int(random) << 32 | g_rand_int(random);
         char engine[CODEC_STR_SIZE];
         place(s, i, fingerprint, engine);
-        search_t search = {.wanted = engine};
-        const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-        fleet_each_successor(fleet, &wish, fingerprint, ASKED, ask, &search);
-        g_assert_cmpuint(search.asked, ==, ASKED);
+        search_t search = {.engine = engine};
+        const fleet_query_t query = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+        fleet_each_successor(fleet, &query, fingerprint, MAX_QUERIES, query_engine, &search);
+        g_assert_cmpuint(search.queried, ==, MAX_QUERIES);
         found += search.found;
     }
     g_rand_free(random);
@@ -103,7 +102,7 @@
     return found;
 }
 
-/** One in twenty engines has gone, and with it what it kept. */
+/** One in twenty engines is gone with its cache; a further one in fifty requests may be missed. */
 static void test_found(void)
 {
     enum { MOST_MISSED = REQUESTS / 20 + REQUESTS / 50 };
@@ -111,16 +110,16 @@
     g_assert_cmpuint(count_found(6000), >=, REQUESTS - MOST_MISSED);
 }
 
-/** Of a pool of fewer all are asked, each once, nearest first. */
+/** In a pool of fewer engines, all are queried, each once, nearest first. */
 static void test_few(void)
 {
     engine_cfg_t *const engines = make_engines(30);
     fleet_t *const fleet = make_fleet(engines, 30, 31);
-    search_t search = {.wanted = "e29"};
-    const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-    fleet_each_successor(fleet, &wish, 1, ASKED, ask, &search);
-    g_assert_cmpuint(search.asked, ==, 20);
-    g_assert_cmpuint(fleet_count(fleet, &wish), ==, 20);
+    search_t search = {.engine = "e29"};
+    const fleet_query_t query = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+    fleet_each_successor(fleet, &query, 1, MAX_QUERIES, query_engine, &search);
+    g_assert_cmpuint(search.queried, ==, 20);
+    g_assert_cmpuint(fleet_count(fleet, &query), ==, 20);
     g_assert_true(search.found);
     fleet_destroy(fleet);
     g_free(engines);
