--- a/programs/load/caller.c
+++ b/programs/load/caller.c
@@ -75,7 +75,7 @@
     bool cancelled;
     bool sent; /* an entry may have begun */
     sse_t sse;
-} prefill_lab_t;
+} sse_reader_t;
 
 static saw_t saw_of(const char *type)
 {
@@ -96,7 +96,7 @@
     return saw;
 }
 
-static void take_token(prefill_lab_t *r, uint32_t place, const char *text)
+static void take_token(sse_reader_t *r, uint32_t place, const char *text)
 {
     if (place <= r->got) {
         r->doubled = true;
@@ -112,7 +112,7 @@
 
 static bool on_event(void *arg, const sse_event_t *event)
 {
-    prefill_lab_t *const r = arg;
+    sse_reader_t *const r = arg;
     if (strcmp(event->name, "error") == 0) {
         r->has_error = true;
         r->error = error_in(event->data, strlen(event->data));
@@ -136,13 +136,13 @@
 
 static bool on_data(void *arg, const char *data, size_t size)
 {
-    prefill_lab_t *const r = arg;
+    sse_reader_t *const r = arg;
     return sse_feed(&r->sse, data, size);
 }
 
 static bool on_idle(void *arg)
 {
-    prefill_lab_t *const r = arg;
+    sse_reader_t *const r = arg;
     r->cancelled = r->cancel_at > 0 && tc_time_exact() >= r->cancel_at;
     return !r->cancelled;
 }
@@ -150,7 +150,7 @@
 /* ===== Requests ===== */
 
 /** @return true when the request ended for this caller, false to try another entry */
-static bool complete_once(const char *addr, const char *model, const mix_request_t *q, const char *id, prefill_lab_t *r,
+static bool complete_once(const char *addr, const char *model, const mix_request_t *q, const char *id, sse_reader_t *r,
                           outcome_t *out)
 {
     char url[256], id_header[128], workspace[64], event[80];
@@ -207,7 +207,7 @@
 static void complete(load_caller_t *c, const char *model, const mix_request_t *q, const char *id,
                      double cancel_after_ms, outcome_t *out)
 {
-    prefill_lab_t r = {.hash = stub_prompt_hash(q->prompt, q->prompt_size), .begin = tc_time_exact()};
+    sse_reader_t r = {.hash = stub_prompt_hash(q->prompt, q->prompt_size), .begin = tc_time_exact()};
     r.length = stub_answer_length(r.hash, q->kind->max_tokens);
     r.cancel_at = cancel_after_ms > 0 ? r.begin + cancel_after_ms : 0;
     out->saw = SAW_LOST;
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -14,7 +14,7 @@
     client_t *client;
     sse_t sse;
     uint64_t hash;
-} prefill_lab_t;
+} sse_reader_t;
 
 static void copy_error(char to[32], const char *text, size_t size)
 {
@@ -26,7 +26,7 @@
 
 static bool on_event(void *arg, const sse_event_t *event)
 {
-    prefill_lab_t *const r = arg;
+    sse_reader_t *const r = arg;
     client_t *const c = r->client;
     if (strcmp(event->name, "error") == 0) {
         copy_error(c->error, event->data, strlen(event->data));
@@ -51,13 +51,13 @@
 
 static bool on_data(void *arg, const char *data, size_t size)
 {
-    prefill_lab_t *const r = arg;
+    sse_reader_t *const r = arg;
     return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->leave);
 }
 
 static bool on_idle(void *arg)
 {
-    const prefill_lab_t *const r = arg;
+    const sse_reader_t *const r = arg;
     return !atomic_load(&r->client->leave);
 }
 
@@ -88,7 +88,7 @@
         headers[n++] = event;
     if (c->once)
         headers[n] = "X-Trackcove-Repeatable: no";
-    prefill_lab_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
+    sse_reader_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
     const http_call_t call = {.url = url,
                               .method = "POST",
                               .body = body,
