--- a/lib/forward/forward_internal.h
+++ b/lib/forward/forward_internal.h
@@ -14,7 +14,7 @@
  *   forward_log.c     log lines
  *   forward_stream.c  stream events on their way to the caller
  *   forward_query.c   queries to the leader and to engines
- *   forward_probe.c   liveness probes of back ends whose answer was lost
+ *   forward_backend_probe.c  liveness probes of back ends whose answer was lost
  *   forward_limit.c   rate limits of back ends, shared by all boxes
  *   forward_notice.c  availability notices in answers of back ends
  */
@@ -310,7 +310,7 @@
     GRand *random;
     struct cds_list_head requests;
     struct cds_list_head early;    /* requests that wait for a configuration and back ends */
-    struct cds_list_head probes;   /* of forward_probe.c */
+    struct cds_list_head probes;   /* of forward_backend_probe.c */
     struct cds_list_head cleanups; /* of forward_query.c */
     quarantine_t *quarantine;
     cap_shares_t *caps;
@@ -426,7 +426,7 @@
 /** Frees the cleanup calls in flight: after the client is destroyed, before the forwarder is. */
 void cleanups_destroy(forwarder_t *fw);
 
-/* ===== forward_probe.c ===== */
+/* ===== forward_backend_probe.c ===== */
 
 /** Probes a back end whose connection broke while it may have run the request, to find out whether it has ended. */
 probe_t *probe_begin(forward_t *f, instance_t *instance);
