--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -210,9 +210,9 @@
     return report;
 }
 
-static double news_bytes(list_feed_t *list, uint64_t known)
+static double news_bytes(list_publisher_t *list, uint64_t known)
 {
-    const msg_report_ack_t ack = {.entries = list_feed_update_since(list, known)};
+    const msg_report_ack_t ack = {.entries = list_publisher_update_since(list, known)};
     return frame_bytes(MSG_REPORT_ACK, &ack);
 }
 
@@ -232,15 +232,15 @@
         for (unsigned i = 0; i < boxes; i++) {
             const msg_report_t report = make_report(i, loads, LOADS);
             roster_update(r, &report, round);
-            (void)list_feed_update_since(roster_list(r, LATER), 0);
+            (void)list_publisher_update_since(roster_list(r, LATER), 0);
         }
     put("roster_us_a_report", boxes, (cpu_us() - begin) / ROUNDS / boxes);
-    const uint64_t known = list_feed_hash(roster_list(r, LATER));
+    const uint64_t known = list_publisher_hash(roster_list(r, LATER));
     msg_report_t leaves = make_report(0, loads, LOADS);
     leaves.self.leaving = true;
     roster_update(r, &leaves, ROUNDS);
     put("roster_bytes_quiet_ack", boxes,
-        news_bytes(roster_list(r, STILL_LATER), list_feed_hash(roster_list(r, STILL_LATER))));
+        news_bytes(roster_list(r, STILL_LATER), list_publisher_hash(roster_list(r, STILL_LATER))));
     put("roster_bytes_one_news", boxes, news_bytes(roster_list(r, STILL_LATER), known));
     put("roster_bytes_whole_list", boxes, news_bytes(roster_list(r, STILL_LATER), 0));
     roster_destroy(r);
--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -439,7 +439,7 @@
     r->store = store;
     r->writer = log_writer_create(store);
     r->roster = roster_create();
-    r->published = list_feed_create(&list_of_backends);
+    r->published = list_publisher_create(&list_of_backends);
     r->budget = (list_budget_t){.rate = options->list_bytes_s};
     r->withdrawn = g_array_new(FALSE, TRUE, sizeof(withdrawn_t));
     r->quarantine = quarantine_create();
@@ -488,7 +488,7 @@
     g_strfreev(r->seeds);
     free(r->backends);
     follow_free(r);
-    list_feed_destroy(r->published);
+    list_publisher_destroy(r->published);
     g_array_free(r->withdrawn, TRUE);
     quarantine_destroy(r->quarantine);
     free(r->role_changes);
--- a/lib/cluster/replica_follow.c
+++ b/lib/cluster/replica_follow.c
@@ -32,17 +32,17 @@
     g_free(arg);
     (void)err; /* counted; the piece is requested again */
     if (ask.list == LIST_NAME_ENTRIES)
-        (void)list_mirror_add_piece(r->follow.entries_mirror, piece, now);
-    else if (list_mirror_add_piece(r->follow.backends_mirror, piece, now))
+        (void)list_replica_add_piece(r->follow.entries_replica, piece, now);
+    else if (list_replica_add_piece(r->follow.backends_replica, piece, now))
         reports_take_backends(r);
     fetch_lists(r, now);
 }
 
-static void fetch_list(replica_t *r, list_mirror_t *m, tc_time_t now)
+static void fetch_list(replica_t *r, list_replica_t *copy, tc_time_t now)
 {
     static const list_sources_t nobody = {.except = ""}; /* only the leader, which announced the list */
     list_request_t ask;
-    if (r->follow.is_stopped || !list_mirror_next_request(m, &nobody, now, &ask))
+    if (r->follow.is_stopped || !list_replica_next_request(copy, &nobody, now, &ask))
         return;
     piece_request_t *const query = g_new(piece_request_t, 1);
     *query = (piece_request_t){.replica = r, .list = ask.message.list};
@@ -51,8 +51,8 @@
 
 static void fetch_lists(replica_t *r, tc_time_t now)
 {
-    fetch_list(r, r->follow.backends_mirror, now);
-    fetch_list(r, r->follow.entries_mirror, now);
+    fetch_list(r, r->follow.backends_replica, now);
+    fetch_list(r, r->follow.entries_replica, now);
 }
 
 /* ===== Polling the leader ===== */
@@ -65,10 +65,10 @@
 
 static void take_backends(replica_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
-    list_mirror_t *const m = r->follow.backends_mirror;
-    const tc_time_t before = list_mirror_time(m);
-    if (list_mirror_receive(m, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
-        list_mirror_time(m) != before)
+    list_replica_t *const copy = r->follow.backends_replica;
+    const tc_time_t before = list_replica_time(copy);
+    if (list_replica_receive(copy, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms) ||
+        list_replica_time(copy) != before)
         reports_take_backends(r);
 }
 
@@ -83,14 +83,14 @@
     if (!ack || !ack->leads || replica_retains_leadership(r))
         return;
     take_backends(r, ack, query.asked);
-    (void)list_mirror_receive(r->follow.entries_mirror, &ack->entries, ack->peer, query.asked);
+    (void)list_replica_receive(r->follow.entries_replica, &ack->entries, ack->peer, query.asked);
     fetch_lists(r, tc_time_now());
 }
 
 static void poll_leader(replica_t *r, const char *leader, tc_time_t now)
 {
-    msg_report_t report = {.backends_hash = list_feed_hash(r->published),
-                           .entries_hash = list_feed_hash(r->follow.entries),
+    msg_report_t report = {.backends_hash = list_publisher_hash(r->published),
+                           .entries_hash = list_publisher_hash(r->follow.entries),
                            .evacuations_version = r->evacuations.version}; /* no http_addr: this box takes no callers */
     codec_copy_string(report.self.box, sizeof(report.self.box), r->self.name);
     codec_copy_string(report.self.peer_addr, sizeof(report.self.peer_addr), r->self.peer);
@@ -115,9 +115,9 @@
 
 void follow_answer_list(replica_t *r, peer_call_t call, const msg_fetch_list_t *asked, tc_time_t now)
 {
-    list_feed_t *const entries = replica_retains_leadership(r) ? roster_list(r->roster, now) : r->follow.entries;
-    list_feed_t *const feed = asked->list == LIST_NAME_ENTRIES ? entries : r->published;
-    const msg_list_piece_t piece = list_feed_piece(feed, asked->hash, asked->offset);
+    list_publisher_t *const entries = replica_retains_leadership(r) ? roster_list(r->roster, now) : r->follow.entries;
+    list_publisher_t *const publisher = asked->list == LIST_NAME_ENTRIES ? entries : r->published;
+    const msg_list_piece_t piece = list_publisher_piece(publisher, asked->hash, asked->offset);
     peer_reply(r->net, call, MSG_LIST_PIECE, &piece);
 }
 
@@ -125,9 +125,9 @@
 
 void follow_start(replica_t *r)
 {
-    r->follow.entries = list_feed_create(&list_of_entries);
-    r->follow.backends_mirror = list_mirror_create(r->published, r->self.peer);
-    r->follow.entries_mirror = list_mirror_create(r->follow.entries, r->self.peer);
+    r->follow.entries = list_publisher_create(&list_of_entries);
+    r->follow.backends_replica = list_replica_create(r->published, r->self.peer);
+    r->follow.entries_replica = list_replica_create(r->follow.entries, r->self.peer);
 }
 
 void follow_stop(replica_t *r)
@@ -137,7 +137,7 @@
 
 void follow_free(replica_t *r)
 {
-    list_mirror_destroy(r->follow.backends_mirror);
-    list_mirror_destroy(r->follow.entries_mirror);
-    list_feed_destroy(r->follow.entries);
+    list_replica_destroy(r->follow.backends_replica);
+    list_replica_destroy(r->follow.entries_replica);
+    list_publisher_destroy(r->follow.entries);
 }
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -17,7 +17,7 @@
 #include "cluster/roster.h"
 #include "control/log_writer.h"
 #include "lists/list_budget.h"
-#include "lists/list_mirror.h"
+#include "lists/list_replica.h"
 
 /* ===== Types ===== */
 
@@ -51,8 +51,8 @@
 
 /** Lists received from the leader while this box is a follower. */
 typedef struct {
-    list_feed_t *entries;
-    list_mirror_t *backends_mirror, *entries_mirror; /* backends_mirror writes to replica_t.published */
+    list_publisher_t *entries;
+    list_replica_t *backends_replica, *entries_replica; /* backends_replica writes to replica_t.published */
     tc_time_t poll_at;
     bool waiting, is_stopped;
 } follow_t;
@@ -83,8 +83,8 @@
     leader_sched_t *placing;
     backend_t *backends; /* from discovery */
     uint32_t backends_n;
-    list_feed_t *published; /* the same, with engines that change their role and withdrawn back ends as leaving */
-    list_budget_t budget;   /* for sending lists */
+    list_publisher_t *published; /* the same, with engines that change their role and withdrawn back ends as leaving */
+    list_budget_t budget;        /* for sending lists */
     follow_t follow;
     leaving_cfg_t *role_changes; /* engines that change their role */
     uint32_t role_changes_n;
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -54,10 +54,10 @@
     for (uint32_t i = 0; i < r->backends_n; i++)
         list[i].draining = list[i].draining || list_has_name(r->role_changes, r->role_changes_n, list[i].id) ||
                            find_withdrawn(r, list[i].id);
-    (void)list_feed_set(r->published, list, r->backends_n);
+    (void)list_publisher_set(r->published, list, r->backends_n);
     free(list);
     uint32_t n;
-    const backend_t *const published = list_feed_list(r->published, &n);
+    const backend_t *const published = list_publisher_list(r->published, &n);
     leader_sched_set_backends(r->placing, published, n, r->backends_fetched);
     r->is_published = true;
     r->published_at = tc_time_now();
@@ -95,7 +95,7 @@
     }
     /* Boxes may have the list as it was read: from another control box, or because they read it themselves. */
     if (!is_unmodified(r))
-        (void)list_feed_set(r->published, list, n);
+        (void)list_publisher_set(r->published, list, n);
     free(r->backends);
     r->backends = list_copy(list, n * sizeof(*list));
     r->backends_n = n;
@@ -105,8 +105,8 @@
 void reports_take_backends(replica_t *r)
 {
     uint32_t n;
-    const backend_t *const published = list_feed_list(r->published, &n);
-    r->backends_fetched = list_mirror_time(r->follow.backends_mirror);
+    const backend_t *const published = list_publisher_list(r->published, &n);
+    r->backends_fetched = list_replica_time(r->follow.backends_replica);
     free(r->backends);
     r->backends = list_copy(published, n * sizeof(*published));
     r->backends_n = n;
@@ -160,7 +160,7 @@
 /** Whether the back end is in an evacuated data centre. */
 static bool is_evacuated(const replica_t *r, const char *backend)
 {
-    const backend_t *const listed = r->evacuations.list_n > 0 ? list_feed_find(r->published, backend) : NULL;
+    const backend_t *const listed = r->evacuations.list_n > 0 ? list_publisher_find(r->published, backend) : NULL;
     return listed && evacuations_has(&r->evacuations, listed->dc);
 }
 
@@ -199,21 +199,21 @@
 {
     if (r->backends_fetched == 0 || report->without_backends)
         return;
-    ack->backends = within_budget(r, list_feed_update_since(r->published, report->backends_hash), 0, now);
+    ack->backends = within_budget(r, list_publisher_update_since(r->published, report->backends_hash), 0, now);
     ack->backends_age_ms = (uint64_t)(now - r->backends_fetched);
 }
 
 static void add_entries(replica_t *r, const msg_report_t *report, msg_report_ack_t *ack, tc_time_t now)
 {
-    list_feed_t *const list = roster_list(r->roster, now);
-    ack->entries = within_budget(r, list_feed_update_since(list, report->entries_hash), ENTRIES_RESERVE, now);
+    list_publisher_t *const list = roster_list(r->roster, now);
+    ack->entries = within_budget(r, list_publisher_update_since(list, report->entries_hash), ENTRIES_RESERVE, now);
 }
 
 /* ===== Answers to reports ===== */
 
 static roster_kind_t kind_of(void *arg, const char *id)
 {
-    const backend_t *const listed = list_feed_find(((const replica_t *)arg)->published, id);
+    const backend_t *const listed = list_publisher_find(((const replica_t *)arg)->published, id);
     if (!listed || !listed->stage[0])
         return ROSTER_PLAIN;
     return strcmp(listed->stage, "prefill") == 0 ? ROSTER_PREFILL : ROSTER_DECODE;
--- a/lib/cluster/replica_saved_list.c
+++ b/lib/cluster/replica_saved_list.c
@@ -31,10 +31,10 @@
         log_failure(LOG_WARN, "list_lost", &err);
         return;
     }
-    (void)list_mirror_set(r->follow.backends_mirror, delta.changed, delta.changed_n, as_of);
+    (void)list_replica_set(r->follow.backends_replica, delta.changed, delta.changed_n, as_of);
     codec_free(list_of_backends.delta, &delta);
     uint32_t n;
-    const backend_t *const list = list_feed_list(r->published, &n);
+    const backend_t *const list = list_publisher_list(r->published, &n);
     r->backends_fetched = as_of;
     leader_sched_set_backends(r->placing, list, n, as_of);
     log_line_t line;
@@ -70,7 +70,7 @@
 {
     list_image_t image = {.wall_ms = tc_time_wall() - (now - r->backends_fetched)};
     size_t packed, size;
-    image.body = (char *)(uintptr_t)list_feed_packed(r->published, &packed); /* borrowed */
+    image.body = (char *)(uintptr_t)list_publisher_packed(r->published, &packed); /* borrowed */
     image.body_n = (uint32_t)packed;
     char *const data = codec_pack_bytes(&list_image_desc, &image, &size);
     tc_err_t err = {0};
--- a/lib/cluster/reporter_internal.h
+++ b/lib/cluster/reporter_internal.h
@@ -12,7 +12,7 @@
 #include "cluster/fetch.h"
 #include "cluster/missing.h"
 #include "cluster/reporter.h"
-#include "lists/list_mirror.h"
+#include "lists/list_replica.h"
 
 /* ===== Types ===== */
 
@@ -49,8 +49,8 @@
     document_t pending;  /* a newer one that waits until document is in force; version 0 for none */
     evacuations_t evacuations;
     fetch_t *fetch; /* of a newer document */
-    list_feed_t *backends, *entries;
-    list_mirror_t *backends_mirror, *entries_mirror;
+    list_publisher_t *backends, *entries;
+    list_replica_t *backends_replica, *entries_replica;
     raft_member_t *members; /* control boxes, as last received */
     uint32_t members_n;
     uint64_t members_hash;
--- a/lib/cluster/reporter_lists.c
+++ b/lib/cluster/reporter_lists.c
@@ -76,11 +76,11 @@
 static void apply_backends(const reporter_t *r)
 {
     uint32_t n;
-    const backend_t *const list = list_feed_list(r->backends, &n);
+    const backend_t *const list = list_publisher_list(r->backends, &n);
     log_line_t line;
     log_begin(&line, LOG_INFO, "backends");
     log_int(&line, "count", n);
-    log_int(&line, "age_ms", tc_time_now() - list_mirror_time(r->backends_mirror));
+    log_int(&line, "age_ms", tc_time_now() - list_replica_time(r->backends_replica));
     log_end(&line);
     if (r->events.on_backends)
         r->events.on_backends(r->events.arg, list, n);
@@ -90,7 +90,7 @@
 static void apply_entries(const reporter_t *r, const entry_box_t *before, uint32_t before_n)
 {
     uint32_t n;
-    const entry_box_t *const list = list_feed_list(r->entries, &n);
+    const entry_box_t *const list = list_publisher_list(r->entries, &n);
     missing_update(r->missing, before, before_n, list, n, tc_time_now());
     log_line_t line;
     log_begin(&line, LOG_INFO, "boxes");
@@ -100,7 +100,7 @@
 
 void reporter_set_backends(reporter_t *r, const backend_t *list, uint32_t n, tc_time_t fetched)
 {
-    if (list_mirror_set(r->backends_mirror, list, n, fetched))
+    if (list_replica_set(r->backends_replica, list, n, fetched))
         apply_backends(r);
 }
 
@@ -108,17 +108,17 @@
  *  the time of arrival, a delayed answer would replace a list that was read after it */
 static void take_backends(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
-    if (list_mirror_receive(r->backends_mirror, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
+    if (list_replica_receive(r->backends_replica, &ack->backends, ack->peer, asked - (tc_time_t)ack->backends_age_ms))
         apply_backends(r);
 }
 
 /** Call @p fn, which may change the list of entry boxes, and apply the change. */
-static void change_entries(reporter_t *r, bool (*fn)(list_mirror_t *m, const void *arg), const void *arg)
+static void change_entries(reporter_t *r, bool (*fn)(list_replica_t *copy, const void *arg), const void *arg)
 {
     uint32_t n;
-    const entry_box_t *const list = list_feed_list(r->entries, &n);
+    const entry_box_t *const list = list_publisher_list(r->entries, &n);
     entry_box_t *const before = list_copy(list, n * sizeof(*list));
-    if (fn(r->entries_mirror, arg))
+    if (fn(r->entries_replica, arg))
         apply_entries(r, before, n);
     free(before);
 }
@@ -129,16 +129,16 @@
     tc_time_t asked;
 } entries_update_t;
 
-static bool receive_entries(list_mirror_t *m, const void *arg)
+static bool receive_entries(list_replica_t *copy, const void *arg)
 {
     const entries_update_t *const update = arg;
-    return list_mirror_receive(m, &update->ack->entries, update->ack->peer, update->asked);
+    return list_replica_receive(copy, &update->ack->entries, update->ack->peer, update->asked);
 }
 
 static void take_entries(reporter_t *r, const msg_report_ack_t *ack, tc_time_t asked)
 {
     const entries_update_t update = {.ack = ack, .asked = asked};
-    if (ack->entries.hash != 0 && ack->entries.hash != list_feed_hash(r->entries))
+    if (ack->entries.hash != 0 && ack->entries.hash != list_publisher_hash(r->entries))
         change_entries(r, receive_entries, &update);
 }
 
@@ -152,9 +152,9 @@
     list_name_t list;
 } piece_request_t;
 
-static bool take_piece(list_mirror_t *m, const void *arg)
+static bool take_piece(list_replica_t *copy, const void *arg)
 {
-    return list_mirror_add_piece(m, arg, tc_time_now());
+    return list_replica_add_piece(copy, arg, tc_time_now());
 }
 
 static void on_piece(void *arg, int rc, uint32_t type, const void *message, const tc_err_t *err)
@@ -166,7 +166,7 @@
     (void)err; /* counted; the next box is tried */
     switch (ask.list) {
     case LIST_NAME_BACKENDS:
-        if (take_piece(r->backends_mirror, piece))
+        if (take_piece(r->backends_replica, piece))
             apply_backends(r);
         break;
     case LIST_NAME_ENTRIES: change_entries(r, take_piece, piece); break;
@@ -175,11 +175,11 @@
     lists_fetch(r, tc_time_now());
 }
 
-static void fetch_list(reporter_t *r, list_mirror_t *m, tc_time_t now)
+static void fetch_list(reporter_t *r, list_replica_t *copy, tc_time_t now)
 {
     const list_sources_t sources = {.list = r->members, .n = r->members_n, .except = r->leader};
     list_request_t ask;
-    if (r->is_stopped || !list_mirror_next_request(m, &sources, now, &ask))
+    if (r->is_stopped || !list_replica_next_request(copy, &sources, now, &ask))
         return;
     piece_request_t *const query = g_new(piece_request_t, 1);
     *query = (piece_request_t){.reporter = r, .list = ask.message.list};
@@ -188,8 +188,8 @@
 
 void lists_fetch(reporter_t *r, tc_time_t now)
 {
-    fetch_list(r, r->backends_mirror, now);
-    fetch_list(r, r->entries_mirror, now);
+    fetch_list(r, r->backends_replica, now);
+    fetch_list(r, r->entries_replica, now);
 }
 
 /* ===== Control boxes and evacuations ===== */
@@ -243,7 +243,7 @@
     lists_receive_head(r, &ack->head, ack->peer);
     lists_take_evacuations(r, &ack->evacuations);
     take_backends(r, ack, asked);
-    if (ack->leads || list_feed_hash(r->entries) == 0)
+    if (ack->leads || list_publisher_hash(r->entries) == 0)
         take_entries(r, ack, asked); /* the list of a box that is not the leader may be older than this one */
     lists_fetch(r, tc_time_now());
 }
@@ -254,8 +254,8 @@
 {
     report->version = r->in_force;
     report->evacuations_version = r->evacuations.version;
-    report->backends_hash = list_feed_hash(r->backends);
-    report->entries_hash = list_feed_hash(r->entries);
+    report->backends_hash = list_publisher_hash(r->backends);
+    report->entries_hash = list_publisher_hash(r->entries);
     report->members_hash = r->members_hash;
     report->suspects_hash = r->quarantine ? quarantine_suspects_hash(r->quarantine) : 0;
 }
@@ -293,10 +293,10 @@
     if (report->evacuations_version < r->evacuations.version)
         ack.evacuations = r->evacuations; /* borrowed */
     if (!report->without_backends) {
-        ack.backends = list_feed_update_since(r->backends, report->backends_hash);
-        ack.backends_age_ms = (uint64_t)(tc_time_now() - list_mirror_time(r->backends_mirror));
+        ack.backends = list_publisher_update_since(r->backends, report->backends_hash);
+        ack.backends_age_ms = (uint64_t)(tc_time_now() - list_replica_time(r->backends_replica));
     }
-    ack.entries = list_feed_update_since(r->entries, report->entries_hash);
+    ack.entries = list_publisher_update_since(r->entries, report->entries_hash);
     add_held(r, &ack);
     peer_reply(r->net, call, MSG_REPORT_ACK, &ack);
     free(ack.quarantine.suspects);
@@ -310,8 +310,8 @@
 
 void lists_answer_list(reporter_t *r, peer_call_t call, const msg_fetch_list_t *asked)
 {
-    list_feed_t *const feed = asked->list == LIST_NAME_ENTRIES ? r->entries : r->backends;
-    const msg_list_piece_t piece = list_feed_piece(feed, asked->hash, asked->offset);
+    list_publisher_t *const publisher = asked->list == LIST_NAME_ENTRIES ? r->entries : r->backends;
+    const msg_list_piece_t piece = list_publisher_piece(publisher, asked->hash, asked->offset);
     peer_reply(r->net, call, MSG_LIST_PIECE, &piece);
 }
 
@@ -330,7 +330,7 @@
 
 const entry_box_t *reporter_entries(const reporter_t *r, uint32_t *n)
 {
-    return list_feed_list(r->entries, n);
+    return list_publisher_list(r->entries, n);
 }
 
 uint32_t reporter_missing_count(const reporter_t *r)
@@ -340,7 +340,7 @@
 
 tc_time_t reporter_backends_time(const reporter_t *r)
 {
-    return list_mirror_time(r->backends_mirror);
+    return list_replica_time(r->backends_replica);
 }
 
 /* ===== Lifecycle ===== */
@@ -349,12 +349,12 @@
 {
     const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = r};
     r->fetch = fetch_create(r->net, r->self->peer_addr, &events);
-    r->backends = list_feed_create(&list_of_backends);
-    r->entries = list_feed_create(&list_of_entries);
-    list_feed_keep_states(r->backends, STATES_KEPT);
-    list_feed_keep_states(r->entries, STATES_KEPT);
-    r->backends_mirror = list_mirror_create(r->backends, r->self->peer_addr);
-    r->entries_mirror = list_mirror_create(r->entries, r->self->peer_addr);
+    r->backends = list_publisher_create(&list_of_backends);
+    r->entries = list_publisher_create(&list_of_entries);
+    list_publisher_keep_states(r->backends, STATES_KEPT);
+    list_publisher_keep_states(r->entries, STATES_KEPT);
+    r->backends_replica = list_replica_create(r->backends, r->self->peer_addr);
+    r->entries_replica = list_replica_create(r->entries, r->self->peer_addr);
 }
 
 void lists_stop(reporter_t *r)
@@ -368,10 +368,10 @@
 {
     if (r->fetch) {
         fetch_destroy(r->fetch);
-        list_mirror_destroy(r->backends_mirror);
-        list_mirror_destroy(r->entries_mirror);
-        list_feed_destroy(r->backends);
-        list_feed_destroy(r->entries);
+        list_replica_destroy(r->backends_replica);
+        list_replica_destroy(r->entries_replica);
+        list_publisher_destroy(r->backends);
+        list_publisher_destroy(r->entries);
     }
     free(r->members);
     missing_destroy(r->missing);
--- a/lib/cluster/roster.c
+++ b/lib/cluster/roster.c
@@ -39,8 +39,8 @@
     struct cds_list_head kinds[KINDS];
     uint32_t sums_n[KINDS];
     uint32_t n;
-    list_feed_t *list; /* published list of boxes */
-    bool is_listed;    /* list is up to date */
+    list_publisher_t *list; /* published list of boxes */
+    bool is_listed;         /* list is up to date */
     tc_time_t listed_at;
 };
 
@@ -52,7 +52,7 @@
     CDS_INIT_LIST_HEAD(&r->members);
     r->by_name = g_hash_table_new(g_str_hash, g_str_equal);
     r->sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    r->list = list_feed_create(&list_of_entries);
+    r->list = list_publisher_create(&list_of_entries);
     for (int i = 0; i < KINDS; i++)
         CDS_INIT_LIST_HEAD(&r->kinds[i]);
     return r;
@@ -184,7 +184,7 @@
         member_drop(r, m);
     g_hash_table_destroy(r->by_name);
     g_hash_table_destroy(r->sums);
-    list_feed_destroy(r->list);
+    list_publisher_destroy(r->list);
     g_free(r);
 }
 
@@ -260,7 +260,7 @@
  * of 0.2 s. */
 static const double LIST_MS_PER_BOX = 0.2;
 
-list_feed_t *roster_list(roster_t *r, tc_time_t now)
+list_publisher_t *roster_list(roster_t *r, tc_time_t now)
 {
     if (r->is_listed || (double)(now - r->listed_at) < LIST_MS_PER_BOX * r->n)
         return r->list;
@@ -269,7 +269,7 @@
     const reported_t *m;
     cds_list_for_each_entry(m, &r->members, node)
         boxes[n++] = m->box;
-    (void)list_feed_set(r->list, boxes, n);
+    (void)list_publisher_set(r->list, boxes, n);
     g_free(boxes);
     r->is_listed = true;
     r->listed_at = now;
--- a/lib/cluster/roster.h
+++ b/lib/cluster/roster.h
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 
 #include "common/time.h"
-#include "lists/list_feed.h"
+#include "lists/list_publisher.h"
 
 /* ===== Types ===== */
 
@@ -49,7 +49,7 @@
 uint32_t roster_count(const roster_t *roster);
 /** Live boxes, as they are published. With many boxes, changes within a short time are published together.
  * @return owned by the roster */
-list_feed_t *roster_list(roster_t *roster, tc_time_t now);
+list_publisher_t *roster_list(roster_t *roster, tc_time_t now);
 /** What all boxes except @p except have in flight. Decode engines with a single request are left out: in a large fleet
  *  these are most of the engines with any, and one request is a negligible load there.
  *  @param kind_of asked once for each back end @param engines whether to include engines */
--- a/lib/lists/list_feed.c
+++ b/lib/lists/list_publisher.c
@@ -1,4 +1,4 @@
-#include "lists/list_feed.h"
+#include "lists/list_publisher.h"
 
 #include <assert.h>
 #include <glib.h>
@@ -35,7 +35,7 @@
     size_t size;
 } full_list_t;
 
-struct list_feed {
+struct list_publisher {
     const list_kind_t *kind;
     char *list;
     uint32_t n;
@@ -47,19 +47,19 @@
 
 /* ===== Lifecycle ===== */
 
-list_feed_t *list_feed_create(const list_kind_t *kind)
+list_publisher_t *list_publisher_create(const list_kind_t *kind)
 {
-    list_feed_t *const f = g_new0(list_feed_t, 1);
-    f->kind = kind;
-    f->list = list_copy(NULL, 0);
-    f->states_kept = STATES_MAX;
-    return f;
+    list_publisher_t *const p = g_new0(list_publisher_t, 1);
+    p->kind = kind;
+    p->list = list_copy(NULL, 0);
+    p->states_kept = STATES_MAX;
+    return p;
 }
 
-void list_feed_keep_states(list_feed_t *f, unsigned states)
+void list_publisher_keep_states(list_publisher_t *p, unsigned states)
 {
-    assert(states > 0 && states <= STATES_MAX && f->hash == 0); /* called before the first state */
-    f->states_kept = states;
+    assert(states > 0 && states <= STATES_MAX && p->hash == 0); /* called before the first state */
+    p->states_kept = states;
 }
 
 static void drop_state(state_t *state)
@@ -70,19 +70,19 @@
     *state = (state_t){0};
 }
 
-void list_feed_destroy(list_feed_t *f)
+void list_publisher_destroy(list_publisher_t *p)
 {
-    for (unsigned i = 0; i < f->states_kept; i++)
-        drop_state(&f->states[i]);
+    for (unsigned i = 0; i < p->states_kept; i++)
+        drop_state(&p->states[i]);
     for (int i = 0; i < FULL_LISTS_KEPT; i++)
-        free(f->full_lists[i].body);
-    free(f->list);
-    g_free(f);
+        free(p->full_lists[i].body);
+    free(p->list);
+    g_free(p);
 }
 
-const list_kind_t *list_feed_kind(const list_feed_t *f)
+const list_kind_t *list_publisher_kind(const list_publisher_t *p)
 {
-    return f->kind;
+    return p->kind;
 }
 
 /* ===== States ===== */
@@ -96,14 +96,14 @@
 }
 
 /** Names of the records by which two lists differ. @return record_name_t, in order */
-static GArray *compare(const list_feed_t *f, const char *next, uint32_t next_n)
+static GArray *compare(const list_publisher_t *p, const char *next, uint32_t next_n)
 {
-    const size_t record = f->kind->record;
+    const size_t record = p->kind->record;
     GArray *const names = g_array_new(FALSE, TRUE, sizeof(record_name_t));
     uint32_t i = 0, k = 0;
-    while (i < f->n || k < next_n) {
-        const char *const before = f->list + i * record, *const after = next + k * record;
-        const int order = i == f->n ? 1 : (k == next_n ? -1 : strcmp(before, after));
+    while (i < p->n || k < next_n) {
+        const char *const before = p->list + i * record, *const after = next + k * record;
+        const int order = i == p->n ? 1 : (k == next_n ? -1 : strcmp(before, after));
         if (order != 0 || memcmp(before, after, record) != 0)
             add_name(names, order <= 0 ? before : after);
         i += order <= 0;
@@ -128,82 +128,82 @@
     return names;
 }
 
-static bool is_worth_keeping(const list_feed_t *f, const GArray *changed)
+static bool is_worth_keeping(const list_publisher_t *p, const GArray *changed)
 {
-    return changed->len <= CHANGES_MIN || changed->len <= f->n / CHANGES_PART;
+    return changed->len <= CHANGES_MIN || changed->len <= p->n / CHANGES_PART;
 }
 
-/** Record that the list has changed by these records. @param step now owned by the feed */
-static void age_states(list_feed_t *f, GArray *step)
+/** Record that the list has changed by these records. @param step now owned by the publisher */
+static void age_states(list_publisher_t *p, GArray *step)
 {
-    drop_state(&f->states[f->states_kept - 1]);
-    memmove(&f->states[1], &f->states[0], (f->states_kept - 1) * sizeof(f->states[0]));
-    for (unsigned i = 1; i < f->states_kept; i++) {
-        state_t *const state = &f->states[i];
+    drop_state(&p->states[p->states_kept - 1]);
+    memmove(&p->states[1], &p->states[0], (p->states_kept - 1) * sizeof(p->states[0]));
+    for (unsigned i = 1; i < p->states_kept; i++) {
+        state_t *const state = &p->states[i];
         if (state->hash == 0)
             continue;
         GArray *const changed = merge(state->changed, step);
         const uint64_t hash = state->hash;
         drop_state(state);
         *state = (state_t){.hash = hash, .changed = changed};
-        if (!is_worth_keeping(f, changed))
+        if (!is_worth_keeping(p, changed))
             drop_state(state);
     }
-    f->states[0] = (state_t){.hash = f->hash, .changed = step};
-    if (f->hash == 0 || !is_worth_keeping(f, step))
-        drop_state(&f->states[0]);
+    p->states[0] = (state_t){.hash = p->hash, .changed = step};
+    if (p->hash == 0 || !is_worth_keeping(p, step))
+        drop_state(&p->states[0]);
 }
 
-void list_feed_replace(list_feed_t *f, void *list, uint32_t n, uint64_t hash)
+void list_publisher_replace(list_publisher_t *p, void *list, uint32_t n, uint64_t hash)
 {
-    if (hash == f->hash) {
+    if (hash == p->hash) {
         free(list);
         return;
     }
-    age_states(f, compare(f, list, n));
-    free(f->list);
-    f->list = list;
-    f->n = n;
-    f->hash = hash;
+    age_states(p, compare(p, list, n));
+    free(p->list);
+    p->list = list;
+    p->n = n;
+    p->hash = hash;
 }
 
-bool list_feed_set(list_feed_t *f, const void *list, uint32_t n)
+bool list_publisher_set(list_publisher_t *p, const void *list, uint32_t n)
 {
-    const size_t record = f->kind->record;
+    const size_t record = p->kind->record;
     char *const copy = list_copy(list, n * record);
     list_sort(copy, n, record);
-    const uint64_t before = f->hash;
-    list_feed_replace(f, copy, n, list_hash(copy, n * record));
-    return f->hash != before;
+    const uint64_t before = p->hash;
+    list_publisher_replace(p, copy, n, list_hash(copy, n * record));
+    return p->hash != before;
 }
 
-const void *list_feed_list(const list_feed_t *f, uint32_t *n)
+const void *list_publisher_list(const list_publisher_t *p, uint32_t *n)
 {
-    *n = f->n;
-    return f->list;
+    *n = p->n;
+    return p->list;
 }
 
-const void *list_feed_find(const list_feed_t *f, const char *name)
+const void *list_publisher_find(const list_publisher_t *p, const char *name)
 {
-    return list_find(f->list, f->n, f->kind->record, name);
+    return list_find(p->list, p->n, p->kind->record, name);
 }
 
-uint64_t list_feed_hash(const list_feed_t *f)
+uint64_t list_publisher_hash(const list_publisher_t *p)
 {
-    return f->hash;
+    return p->hash;
 }
 
 /* ===== Updates ===== */
 
 /** Pack the delta from an older state to the current one: the current value of each record that may differ. */
-static void pack_state(const list_feed_t *f, state_t *state)
+static void pack_state(const list_publisher_t *p, state_t *state)
 {
-    const size_t record = f->kind->record;
+    const size_t record = p->kind->record;
     GByteArray *const changed = g_byte_array_new();
     GArray *const gone = g_array_new(FALSE, TRUE, sizeof(record_name_t));
     for (guint i = 0; i < state->changed->len; i++) {
         const record_name_t *const name = &g_array_index(state->changed, record_name_t, i);
-        const void *const now = list_feed_find(f, name->name);
+        const void *const now = list_publisher_find(p, name->name);
         if (now)
             g_byte_array_append(changed, now, (guint)record);
         else
@@ -213,70 +213,70 @@
                                 .changed_n = (uint32_t)(changed->len / record),
                                 .gone = (record_name_t *)(void *)gone->data,
                                 .gone_n = gone->len};
-    state->body = list_pack(f->kind, &delta, &state->size);
+    state->body = list_pack(p->kind, &delta, &state->size);
     g_byte_array_free(changed, TRUE);
     g_array_free(gone, TRUE);
 }
 
 /** The current list, packed. */
-static const full_list_t *pack_full(list_feed_t *f)
+static const full_list_t *pack_full(list_publisher_t *p)
 {
-    full_list_t *const first = &f->full_lists[0];
-    if (first->hash == f->hash)
+    full_list_t *const first = &p->full_lists[0];
+    if (first->hash == p->hash)
         return first;
-    free(f->full_lists[FULL_LISTS_KEPT - 1].body);
-    memmove(&f->full_lists[1], &f->full_lists[0], (FULL_LISTS_KEPT - 1) * sizeof(f->full_lists[0]));
-    const list_delta_t delta = {.changed = f->list, .changed_n = f->n};
-    *first = (full_list_t){.hash = f->hash};
-    first->body = list_pack(f->kind, &delta, &first->size);
+    free(p->full_lists[FULL_LISTS_KEPT - 1].body);
+    memmove(&p->full_lists[1], &p->full_lists[0], (FULL_LISTS_KEPT - 1) * sizeof(p->full_lists[0]));
+    const list_delta_t delta = {.changed = p->list, .changed_n = p->n};
+    *first = (full_list_t){.hash = p->hash};
+    first->body = list_pack(p->kind, &delta, &first->size);
     return first;
 }
 
-static list_news_t make_update(const list_feed_t *f, uint64_t base, char *body, size_t size)
+static list_news_t make_update(const list_publisher_t *p, uint64_t base, char *body, size_t size)
 {
-    return (list_news_t){.hash = f->hash, .base = base, .body = body, .body_n = (uint32_t)size};
+    return (list_news_t){.hash = p->hash, .base = base, .body = body, .body_n = (uint32_t)size};
 }
 
-list_news_t list_feed_update_since(list_feed_t *f, uint64_t known)
+list_news_t list_publisher_update_since(list_publisher_t *p, uint64_t known)
 {
-    if (f->hash == 0)
+    if (p->hash == 0)
         return (list_news_t){0};
-    if (known == f->hash)
-        return make_update(f, known, NULL, 0);
-    for (unsigned i = 0; known != 0 && i < f->states_kept; i++) {
-        state_t *const state = &f->states[i];
+    if (known == p->hash)
+        return make_update(p, known, NULL, 0);
+    for (unsigned i = 0; known != 0 && i < p->states_kept; i++) {
+        state_t *const state = &p->states[i];
         if (state->hash != known)
             continue;
         if (!state->body)
-            pack_state(f, state);
-        return make_update(f, known, state->body, state->size);
+            pack_state(p, state);
+        return make_update(p, known, state->body, state->size);
     }
-    const full_list_t *const full = pack_full(f);
+    const full_list_t *const full = pack_full(p);
     if (full->size <= INLINE_FULL_BYTES_MAX)
-        return make_update(f, 0, full->body, full->size);
-    return (list_news_t){.hash = f->hash, .whole = full->size};
+        return make_update(p, 0, full->body, full->size);
+    return (list_news_t){.hash = p->hash, .whole = full->size};
 }
 
-const char *list_feed_packed(list_feed_t *f, size_t *size)
+const char *list_publisher_packed(list_publisher_t *p, size_t *size)
 {
-    const full_list_t *const full = pack_full(f);
+    const full_list_t *const full = pack_full(p);
     *size = full->size;
     return full->body;
 }
 
-static const full_list_t *find_full(list_feed_t *f, uint64_t hash)
+static const full_list_t *find_full(list_publisher_t *p, uint64_t hash)
 {
-    if (hash != 0 && hash == f->hash)
-        return pack_full(f);
+    if (hash != 0 && hash == p->hash)
+        return pack_full(p);
     for (int i = 0; hash != 0 && i < FULL_LISTS_KEPT; i++)
-        if (f->full_lists[i].hash == hash)
-            return &f->full_lists[i];
+        if (p->full_lists[i].hash == hash)
+            return &p->full_lists[i];
     return NULL;
 }
 
-msg_list_piece_t list_feed_piece(list_feed_t *f, uint64_t hash, uint64_t offset)
+msg_list_piece_t list_publisher_piece(list_publisher_t *p, uint64_t hash, uint64_t offset)
 {
-    const full_list_t *const full = find_full(f, hash);
+    const full_list_t *const full = find_full(p, hash);
     msg_list_piece_t piece = {.hash = hash, .offset = offset, .whole = full ? full->size : 0};
     if (!full || offset >= full->size)
         return piece;
--- a/lib/lists/list_mirror.h
+++ b/lib/lists/list_replica.h
@@ -1,4 +1,4 @@
-/** @file list_mirror.h
+/** @file list_replica.h
  * A box's copy of a list that is published elsewhere: applies updates, and fetches the full list in pieces when it has
  * no state that a delta applies to.
  *
@@ -14,11 +14,11 @@
 /* ===== Dependencies ===== */
 
 #include "common/time.h"
-#include "lists/list_feed.h"
+#include "lists/list_publisher.h"
 
 /* ===== Types ===== */
 
-typedef struct list_mirror list_mirror_t;
+typedef struct list_replica list_replica_t;
 
 /** Boxes that serve lists, in any order; borrowed for the call. */
 typedef struct {
@@ -35,24 +35,26 @@
 
 /* ===== Public functions ===== */
 
-/** @param feed holds the copy, borrowed @param self peer address of this box, copied */
-list_mirror_t *list_mirror_create(list_feed_t *feed, const char *self);
-void list_mirror_destroy(list_mirror_t *mirror);
+/** @param publisher holds the copy, borrowed @param self peer address of this box, copied */
+list_replica_t *list_replica_create(list_publisher_t *publisher, const char *self);
+void list_replica_destroy(list_replica_t *replica);
 
 /** Set a list that this box has made itself, as of @p as_of. @param list in any order @return whether it has changed */
-bool list_mirror_set(list_mirror_t *mirror, const void *list, uint32_t n, tc_time_t as_of);
+bool list_replica_set(list_replica_t *replica, const void *list, uint32_t n, tc_time_t as_of);
 /** Apply another box's update. @param from its peer address @param as_of time of the state that it describes; an update
  *  older than the present copy is ignored @return whether the list has changed */
-bool list_mirror_receive(list_mirror_t *mirror, const list_news_t *update, const char *from, tc_time_t as_of);
+bool list_replica_receive(list_replica_t *replica, const list_news_t *update, const char *from, tc_time_t as_of);
 /** Time of the state that the copy holds; 0 before the first. */
-tc_time_t list_mirror_time(const list_mirror_t *mirror);
+tc_time_t list_replica_time(const list_replica_t *replica);
 
-/** The next request, if one is due. It then counts as sent, and list_mirror_add_piece has to be called with its answer.
+/** The next request, if one is due. It then counts as sent, and list_replica_add_piece has to be called with its
+ * answer.
  *  @param ask filled in @return false when none is due */
-bool list_mirror_next_request(list_mirror_t *mirror, const list_sources_t *sources, tc_time_t now, list_request_t *ask);
+bool list_replica_next_request(list_replica_t *replica, const list_sources_t *sources, tc_time_t now,
+                               list_request_t *ask);
 /** Take the answer to the last request. @param piece NULL: no answer @return whether the list has changed */
-bool list_mirror_add_piece(list_mirror_t *mirror, const msg_list_piece_t *piece, tc_time_t now);
+bool list_replica_add_piece(list_replica_t *replica, const msg_list_piece_t *piece, tc_time_t now);
 /** Whether a full list is being fetched. */
-bool list_mirror_is_fetching(const list_mirror_t *mirror);
+bool list_replica_is_fetching(const list_replica_t *replica);
 
 #endif
--- a/tests/random/test_lists_random.c
+++ b/tests/random/test_lists_random.c
@@ -1,6 +1,6 @@
 /* Simulation of the replication of lists to a thousand boxes: a leader that publishes them, control boxes that serve
- * them, and boxes behind slow links, in one process. Feeds and mirrors are the real ones; links are simulated, time
- * advances in steps, and losses, restarts and changes of leader are random by seed.
+ * them, and boxes behind slow links, in one process. Publishers and replicas are the real ones; links are simulated,
+ * time advances in steps, and losses, restarts and changes of leader are random by seed.
  *
  * Guards against traffic that grows with boxes times back ends on the leader's link: when the leader alone sent the
  * full list of 9,998 back ends to each of 995 boxes, 1.2 MB per box at 6 MB per second, the last box had it 43 s after
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #include "lists/list_budget.h"
-#include "lists/list_mirror.h"
+#include "lists/list_replica.h"
 
 /* ===== Simulated network ===== */
 
@@ -38,8 +38,8 @@
 
 typedef struct node {
     raft_member_t self; /* its peer address identifies it */
-    list_feed_t *feed;
-    list_mirror_t *mirror; /* NULL: this node makes the list */
+    list_publisher_t *publisher;
+    list_replica_t *replica; /* NULL: this node makes the list */
     list_budget_t budget;
     double bytes_ms;              /* bandwidth of its link in each direction, bytes per ms */
     double out_free, in_free;     /* when that direction is free */
@@ -108,11 +108,11 @@
         if (w->items[i].there)
             fill_record(&list[n++], i, w->items[i].state);
     w->made_at = w->now;
-    if (leader->mirror)
-        (void)list_mirror_set(leader->mirror, list, n, w->now);
+    if (leader->replica)
+        (void)list_replica_set(leader->replica, list, n, w->now);
     else
-        (void)list_feed_set(leader->feed, list, n);
-    g_hash_table_add(w->made, g_memdup2(&(uint64_t){list_feed_hash(leader->feed)}, sizeof(uint64_t)));
+        (void)list_publisher_set(leader->publisher, list, n);
+    g_hash_table_add(w->made, g_memdup2(&(uint64_t){list_publisher_hash(leader->publisher)}, sizeof(uint64_t)));
     g_free(list);
 }
 
@@ -165,14 +165,14 @@
 
 static tc_time_t time_of(const world_t *w, const node_t *n)
 {
-    return n->mirror ? list_mirror_time(n->mirror) : w->made_at;
+    return n->replica ? list_replica_time(n->replica) : w->made_at;
 }
 
 /** A box, or another control box, reports to @p to and gets the update that it lacks, within the budget of @p to. */
 static void report(world_t *w, node_t *box, node_t *to)
 {
     const tc_time_t as_of = time_of(w, to);
-    list_news_t update = list_feed_update_since(to->feed, list_feed_hash(box->feed));
+    list_news_t update = list_publisher_update_since(to->publisher, list_publisher_hash(box->publisher));
     if (update.body_n > 0 && !list_budget_take(&to->budget, update.body_n, 0, w->now))
         update = (list_news_t){0};
     message_t *const f = answer(w, to, box, update.body_n);
@@ -195,9 +195,9 @@
     list_request_t ask;
     const list_sources_t sources = {
         .list = w->members, .n = is_server(w, n) ? 0 : SERVERS, .except = w->servers[w->leader].self.peer};
-    while (n->mirror && list_mirror_next_request(n->mirror, &sources, w->now, &ask)) {
+    while (n->replica && list_replica_next_request(n->replica, &sources, w->now, &ask)) {
         node_t *const from = find_node(w, ask.addr);
-        const msg_list_piece_t piece = list_feed_piece(from->feed, ask.message.hash, ask.message.offset);
+        const msg_list_piece_t piece = list_publisher_piece(from->publisher, ask.message.hash, ask.message.offset);
         message_t *const f = answer(w, from, n, piece.data_n);
         f->piece = piece;
         f->piece.data = copy_bytes(piece.data, piece.data_n);
@@ -207,14 +207,14 @@
 static void deliver(world_t *w, message_t *f)
 {
     node_t *const n = f->to;
-    if (f->starts == *starts_of(w, n) && n->mirror) {
-        const tc_time_t before = list_mirror_time(n->mirror);
+    if (f->starts == *starts_of(w, n) && n->replica) {
+        const tc_time_t before = list_replica_time(n->replica);
         if (f->is_update && !f->lost)
-            (void)list_mirror_receive(n->mirror, &f->update, f->from, f->as_of);
+            (void)list_replica_receive(n->replica, &f->update, f->from, f->as_of);
         else if (!f->is_update)
-            (void)list_mirror_add_piece(n->mirror, f->lost ? NULL : &f->piece, w->now);
-        g_assert_cmpint(list_mirror_time(n->mirror), >=, before); /* never an older list */
-        const uint64_t hash = list_feed_hash(n->feed);
+            (void)list_replica_add_piece(n->replica, f->lost ? NULL : &f->piece, w->now);
+        g_assert_cmpint(list_replica_time(n->replica), >=, before); /* never an older list */
+        const uint64_t hash = list_publisher_hash(n->publisher);
         g_assert_true(hash == 0 || g_hash_table_contains(w->made, &hash)); /* only published lists */
     }
     g_free(f->update.body);
@@ -228,16 +228,16 @@
 {
     *n = (node_t){.bytes_ms = bytes_ms, .budget = {.rate = BUDGET_BYTES_S}};
     codec_copy_string(n->self.peer, sizeof(n->self.peer), addr);
-    n->feed = list_feed_create(&list_of_backends);
-    n->mirror = list_mirror_create(n->feed, addr);
+    n->publisher = list_publisher_create(&list_of_backends);
+    n->replica = list_replica_create(n->publisher, addr);
     n->report_at = w->now + g_rand_int_range(w->random, 0, is_server(w, n) ? FOLLOW_MS : REPORT_MS);
     ++*starts_of(w, n);
 }
 
 static void stop_node(node_t *n)
 {
-    list_mirror_destroy(n->mirror);
-    list_feed_destroy(n->feed);
+    list_replica_destroy(n->replica);
+    list_publisher_destroy(n->publisher);
 }
 
 static void restart_node(world_t *w, node_t *n, tc_time_t down)
@@ -323,9 +323,9 @@
 
 static bool have_all(const world_t *w)
 {
-    const uint64_t hash = list_feed_hash(w->servers[w->leader].feed);
+    const uint64_t hash = list_publisher_hash(w->servers[w->leader].publisher);
     for (unsigned i = 0; i < w->boxes_n; i++)
-        if (list_feed_hash(w->boxes[i].feed) != hash)
+        if (list_publisher_hash(w->boxes[i].publisher) != hash)
             return false;
     return true;
 }
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "common/memory.h"
-#include "lists/list_mirror.h"
+#include "lists/list_replica.h"
 
 enum { BACKENDS = 10000, CHANGES = 30, CHANGED = 50 };
 
@@ -35,25 +35,25 @@
 {
     memory_return_large_blocks();
     backend_t *const list = make_list();
-    list_feed_t *const source = list_feed_create(&list_of_backends);
-    list_feed_t *const copy = list_feed_create(&list_of_backends);
-    list_feed_keep_states(source, 4);
-    list_feed_keep_states(copy, 4);
-    list_mirror_t *const mirror = list_mirror_create(copy, "10.0.0.1:1");
-    (void)list_feed_set(source, list, BACKENDS);
-    (void)list_mirror_set(mirror, list, BACKENDS, 1);
+    list_publisher_t *const source = list_publisher_create(&list_of_backends);
+    list_publisher_t *const copy = list_publisher_create(&list_of_backends);
+    list_publisher_keep_states(source, 4);
+    list_publisher_keep_states(copy, 4);
+    list_replica_t *const replica = list_replica_create(copy, "10.0.0.1:1");
+    (void)list_publisher_set(source, list, BACKENDS);
+    (void)list_replica_set(replica, list, BACKENDS, 1);
     const size_t before = held_bytes();
     for (int change = 0; change < CHANGES; change++) {
         for (int i = 0; i < CHANGED; i++)
             list[(change * CHANGED + i) % BACKENDS].draining = true;
-        (void)list_feed_set(source, list, BACKENDS);
-        const list_news_t news = list_feed_update_since(source, list_feed_hash(copy));
-        g_assert_true(list_mirror_receive(mirror, &news, "10.0.0.2:1", 2 + change));
+        (void)list_publisher_set(source, list, BACKENDS);
+        const list_news_t news = list_publisher_update_since(source, list_publisher_hash(copy));
+        g_assert_true(list_replica_receive(replica, &news, "10.0.0.2:1", 2 + change));
     }
     g_assert_cmpuint(held_bytes(), <, before + BACKENDS * sizeof(backend_t)); /* not one list more */
-    list_mirror_destroy(mirror);
-    list_feed_destroy(copy);
-    list_feed_destroy(source);
+    list_replica_destroy(replica);
+    list_publisher_destroy(copy);
+    list_publisher_destroy(source);
     g_free(list);
 }
 
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -8,7 +8,7 @@
 #include "cluster/known_members.h"
 #include "cluster/reporter.h"
 #include "harness/lab.h"
-#include "lists/list_feed.h"
+#include "lists/list_publisher.h"
 
 /* ===== Fixture ===== */
 
@@ -118,9 +118,9 @@
     const backend_t older = make_backend("older"), newer = make_backend("newer");
     const uint64_t newer_hash = list_hash(&newer, sizeof(newer));
     lab_run_until(f->loop, asked_for_backends, f);
-    list_feed_t *const feed = list_feed_create(&list_of_backends);
-    (void)list_feed_set(feed, &older, 1);
-    msg_report_ack_t ack = {.backends_age_ms = AGE_MS, .backends = list_feed_update_since(feed, 0)};
+    list_publisher_t *const publisher = list_publisher_create(&list_of_backends);
+    (void)list_publisher_set(publisher, &older, 1);
+    msg_report_ack_t ack = {.backends_age_ms = AGE_MS, .backends = list_publisher_update_since(publisher, 0)};
     lab_run_for(f->loop, APART_MS);
     const tc_time_t read = tc_time_now();
     reporter_set_backends(f->reporter, &newer, 1, read);
@@ -129,7 +129,7 @@
     g_assert_cmpuint(f->backends_passed_hash, ==, newer_hash);
     g_assert_cmpuint(f->backends_hash, ==, newer_hash);
     g_assert_cmpint(reporter_backends_time(f->reporter), ==, read);
-    list_feed_destroy(feed);
+    list_publisher_destroy(publisher);
 }
 
 /* ===== Bases and publishers ===== */
@@ -138,7 +138,7 @@
 
 /** Publishers, and the hashes of all lists that they have published. */
 typedef struct {
-    list_feed_t *entries[PUBLISHERS], *backends[PUBLISHERS];
+    list_publisher_t *entries[PUBLISHERS], *backends[PUBLISHERS];
     uint64_t entries_published[STATES_MAX], backends_published[STATES_MAX];
     unsigned n;
     GRand *random;
@@ -160,10 +160,10 @@
         backends[n].slots = (uint32_t)g_rand_int_range(w->random, 1, 3);
         n++;
     }
-    (void)list_feed_set(w->entries[publisher], entries, n);
-    (void)list_feed_set(w->backends[publisher], backends, n);
-    w->entries_published[w->n] = list_feed_hash(w->entries[publisher]);
-    w->backends_published[w->n++] = list_feed_hash(w->backends[publisher]);
+    (void)list_publisher_set(w->entries[publisher], entries, n);
+    (void)list_publisher_set(w->backends[publisher], backends, n);
+    w->entries_published[w->n] = list_publisher_hash(w->entries[publisher]);
+    w->backends_published[w->n++] = list_publisher_hash(w->backends[publisher]);
 }
 
 static bool was_published(const uint64_t *published, unsigned n, uint64_t hash)
@@ -178,8 +178,8 @@
 static msg_report_ack_t make_answer(const publishers_t *w, int publisher, uint64_t entries_known,
                                     uint64_t backends_known)
 {
-    return (msg_report_ack_t){.entries = list_feed_update_since(w->entries[publisher], entries_known),
-                              .backends = list_feed_update_since(w->backends[publisher], backends_known)};
+    return (msg_report_ack_t){.entries = list_publisher_update_since(w->entries[publisher], entries_known),
+                              .backends = list_publisher_update_since(w->backends[publisher], backends_known)};
 }
 
 static void assert_published(const fixture_t *f, const publishers_t *w)
@@ -200,8 +200,8 @@
     (void)data;
     publishers_t w = {.random = g_rand_new_with_seed(12)};
     for (int i = 0; i < PUBLISHERS; i++) {
-        w.entries[i] = list_feed_create(&list_of_entries);
-        w.backends[i] = list_feed_create(&list_of_backends);
+        w.entries[i] = list_publisher_create(&list_of_entries);
+        w.backends[i] = list_publisher_create(&list_of_backends);
         change(&w, i);
     }
     uint64_t entries_before = 0, backends_before = 0;
@@ -232,8 +232,8 @@
     g_assert_cmpuint(refused, >=, ROUNDS / 8);
     g_assert_cmpuint(fitting - followed, <=, 1); /* an answer may time out when the machine stalls */
     for (int i = 0; i < PUBLISHERS; i++) {
-        list_feed_destroy(w.entries[i]);
-        list_feed_destroy(w.backends[i]);
+        list_publisher_destroy(w.entries[i]);
+        list_publisher_destroy(w.backends[i]);
     }
     g_rand_free(w.random);
 }
--- a/tests/unit/test_roster.c
+++ b/tests/unit/test_roster.c
@@ -44,7 +44,7 @@
     const roster_loads_t loads_sent = roster_loads(l->roster, message.self.box, kind_of, l, false);
     g_assert_cmpuint(loads_sent.n, <=, 1); /* loads of engines are sent only periodically */
     free(loads_sent.list);
-    const uint64_t hash = list_feed_hash(roster_list(l->roster, now));
+    const uint64_t hash = list_publisher_hash(roster_list(l->roster, now));
     l->lists += hash != l->hash;
     l->hash = hash;
 }
@@ -59,7 +59,7 @@
             report(&l, i, BUSY, 1000 + (tc_time_t)round * REPORT_MS + (tc_time_t)i * REPORT_MS / boxes);
     g_assert_cmpuint(roster_count(l.roster), ==, boxes);
     uint32_t n;
-    (void)list_feed_list(roster_list(l.roster, 1000 + rounds * REPORT_MS), &n);
+    (void)list_publisher_list(roster_list(l.roster, 1000 + rounds * REPORT_MS), &n);
     g_assert_cmpuint(n, ==, boxes); /* all are published in the end */
     roster_destroy(l.roster);
     return l;
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -369,7 +369,7 @@
 /* ===== Roster ===== */
 
 /** The list, one second after the last one was made. */
-static list_feed_t *list_of(roster_t *r)
+static list_publisher_t *list_of(roster_t *r)
 {
     static tc_time_t now;
     now += 1000;
@@ -405,15 +405,15 @@
     roster_update(r, &a, 1000);
     roster_update(r, &b, 2000);
     uint32_t n;
-    const uint64_t before = list_feed_hash(list_of(r));
-    (void)list_feed_list(list_of(r), &n);
+    const uint64_t before = list_publisher_hash(list_of(r));
+    (void)list_publisher_list(list_of(r), &n);
     g_assert_cmpuint(n, ==, 2);
     g_assert_cmpuint(running_elsewhere(r, "a", "x"), ==, 2); /* of the others only */
     g_assert_cmpuint(running_elsewhere(r, "a", "y"), ==, 0);
     b.self.incarnation = 6;
     b.self.leaving = true;
     roster_update(r, &b, 2100); /* from an earlier incarnation */
-    g_assert_cmpuint(before, ==, list_feed_hash(list_of(r)));
+    g_assert_cmpuint(before, ==, list_publisher_hash(list_of(r)));
     load.running = 5;
     load.tokens = 700;
     b.self.incarnation = 7;
@@ -422,7 +422,7 @@
     g_assert_cmpuint(running_elsewhere(r, "a", "x"), ==, 5); /* replaces the earlier report */
     roster_expire(r, 1000 + ROSTER_TIMEOUT_MS + 1);
     g_assert_cmpuint(roster_count(r), ==, 1);
-    g_assert_cmpuint(before, !=, list_feed_hash(list_of(r)));
+    g_assert_cmpuint(before, !=, list_publisher_hash(list_of(r)));
     g_assert_cmpuint(running_elsewhere(r, "b", "x"), ==, 0);
     roster_destroy(r);
 }
--- a/tests/unit/test_saved_list.c
+++ b/tests/unit/test_saved_list.c
@@ -34,7 +34,7 @@
 static uint32_t count_listed(const replica_t *r)
 {
     uint32_t n = 0;
-    (void)list_feed_list(r->published, &n);
+    (void)list_publisher_list(r->published, &n);
     return n;
 }
 
--- a/tests/unit/test_withdrawn.c
+++ b/tests/unit/test_withdrawn.c
@@ -12,12 +12,12 @@
 
 static uint64_t count_lists(fixture_t *f, replica_t *r, leaving_cfg_t *moving)
 {
-    uint64_t lists = 0, hash = list_feed_hash(r->published);
+    uint64_t lists = 0, hash = list_publisher_hash(r->published);
     for (uint32_t i = 1; i <= MOVED; i++) {
         g_snprintf(moving[i - 1].name, sizeof(moving[i - 1].name), "i-%05u", i);
         replica_set_role_changes(r, moving, i);
-        lists += list_feed_hash(r->published) != hash;
-        hash = list_feed_hash(r->published);
+        lists += list_publisher_hash(r->published) != hash;
+        hash = list_publisher_hash(r->published);
     }
     (void)f;
     return lists;
@@ -28,7 +28,7 @@
     const fixture_t *const f = arg;
     char name[CODEC_STR_SIZE];
     g_snprintf(name, sizeof(name), "i-%05u", MOVED);
-    const backend_t *const last = list_feed_find(f->replica[0]->published, name);
+    const backend_t *const last = list_publisher_find(f->replica[0]->published, name);
     return last && last->draining;
 }
 
