--- a/lib/cluster/replica.c
+++ b/lib/cluster/replica.c
@@ -63,8 +63,8 @@
 static void apply_evacuations(replica_t *r)
 {
     counter_set(&c_evacuated, r->evacuations.list_n);
-    if (r->placing) /* NULL while replica_create is running */
-        leader_sched_set_evacuations(r->placing, &r->evacuations);
+    if (r->leader_sched) /* NULL while replica_create is running */
+        leader_sched_set_evacuations(r->leader_sched, &r->evacuations);
 }
 
 static void apply_evacuation(replica_t *r, const log_entry_t *entry, const evacuation_t *order)
@@ -105,7 +105,7 @@
 static void notify_document(replica_t *r)
 {
     counter_set(&c_version, (int64_t)r->document.version);
-    if (r->options.on_document && r->placing) /* NULL while replica_create is running */
+    if (r->options.on_document && r->leader_sched) /* NULL while replica_create is running */
         r->options.on_document(r->options.arg, r, &r->document);
 }
 
@@ -284,7 +284,7 @@
     r->had_lease = lease.held;
     r->was_leader = keeps;
     counter_set(&c_leads, lease.held);
-    leader_sched_tick(r->placing, &lease, roster_count(r->roster), now);
+    leader_sched_tick(r->leader_sched, &lease, roster_count(r->roster), now);
 }
 
 /** After a stall the event loop reads messages before it ticks: without this check a box that is no longer the leader
@@ -302,7 +302,7 @@
     (void)from;
     if (leader_sched_handles_type(type)) {
         check_leadership_lost(r, now);
-        leader_sched_handle_message(r->placing, call, type, message, now);
+        leader_sched_handle_message(r->leader_sched, call, type, message, now);
         return;
     }
     switch (type) {
@@ -365,36 +365,36 @@
 
 /* ===== Scheduler ===== */
 
-const char *replica_work(const replica_t *r, pool_load_t *work)
+const char *replica_pool_load(const replica_t *r, pool_load_t *work)
 {
-    return leader_sched_pool_load(r->placing, work);
+    return leader_sched_pool_load(r->leader_sched, work);
 }
 
-bool replica_is_in_doubt(const replica_t *r)
+bool replica_needs_reconcile(const replica_t *r)
 {
-    return leader_sched_needs_reconcile(r->placing, tc_time_now());
+    return leader_sched_needs_reconcile(r->leader_sched, tc_time_now());
 }
 
 void replica_update_engine(replica_t *r, const char *engine, const sched_engine_request_t *held, uint32_t n)
 {
-    leader_sched_update_engine(r->placing, engine, held, n, tc_time_now());
+    leader_sched_update_engine(r->leader_sched, engine, held, n, tc_time_now());
 }
 
 /* ===== Settings and lifecycle ===== */
 
 void replica_set_services(replica_t *r, const leader_sched_service_t *list, uint32_t n)
 {
-    leader_sched_set_services(r->placing, list, n);
+    leader_sched_set_services(r->leader_sched, list, n);
 }
 
 void replica_set_cold_rates(replica_t *r, const cold_rate_t *list, uint32_t n)
 {
-    leader_sched_set_cold_rates(r->placing, list, n);
+    leader_sched_set_cold_rates(r->leader_sched, list, n);
 }
 
 void replica_set_caps(replica_t *r, const cap_cfg_t *list, uint32_t n)
 {
-    leader_sched_set_caps(r->placing, list, n);
+    leader_sched_set_caps(r->leader_sched, list, n);
 }
 
 static void fill_self(replica_t *r, uint64_t id)
@@ -457,8 +457,8 @@
         replica_destroy(r);
         return NULL;
     }
-    r->placing = leader_sched_create(r->net, &options->retries, &options->caps, &options->limits);
-    leader_sched_set_quarantine(r->placing, r->quarantine);
+    r->leader_sched = leader_sched_create(r->net, &options->retries, &options->caps, &options->limits);
+    leader_sched_set_quarantine(r->leader_sched, r->quarantine);
     saved_list_load(r);
     log_cluster(r, "started");
     if (r->document.version > 0)
@@ -475,8 +475,8 @@
     proposals_fail(r, TC_E_BROKEN);
     if (r->net)
         peer_destroy(r->net);
-    if (r->placing)
-        leader_sched_destroy(r->placing);
+    if (r->leader_sched)
+        leader_sched_destroy(r->leader_sched);
     log_writer_destroy(r->writer);
     raft_destroy(r->raft);
     roster_destroy(r->roster);
--- a/lib/cluster/replica.h
+++ b/lib/cluster/replica.h
@@ -97,11 +97,11 @@
  *  is set again. NULL with 0 before the first. */
 const backend_t *replica_backends(const replica_t *replica, uint32_t *n);
 /** Whether engines should be asked often what they run: as sched_needs_reconcile. */
-bool replica_is_in_doubt(const replica_t *replica);
+bool replica_needs_reconcile(const replica_t *replica);
 /** Update what an engine has reported that it runs: as sched_set_engine_requests. */
 void replica_update_engine(replica_t *replica, const char *engine, const sched_engine_request_t *held, uint32_t n);
 /** Work of the pools of engines: as leader_sched_pool_load. */
-const char *replica_work(const replica_t *replica, pool_load_t *work);
+const char *replica_pool_load(const replica_t *replica, pool_load_t *work);
 
 /** Set the document's services with engines, for the scheduler on the leader. */
 void replica_set_services(replica_t *replica, const leader_sched_service_t *list, uint32_t n);
--- a/lib/cluster/replica_internal.h
+++ b/lib/cluster/replica_internal.h
@@ -80,7 +80,7 @@
     bool was_leader, had_lease; /* at the last check */
     bool is_running_actions;
     roster_t *roster;
-    leader_sched_t *placing;
+    leader_sched_t *leader_sched;
     backend_t *backends; /* from discovery */
     uint32_t backends_n;
     list_publisher_t *published; /* the same, with engines that change their role and withdrawn back ends as leaving */
--- a/lib/cluster/replica_reports.c
+++ b/lib/cluster/replica_reports.c
@@ -58,7 +58,7 @@
     free(list);
     uint32_t n;
     const backend_t *const published = list_publisher_list(r->published, &n);
-    leader_sched_set_backends(r->placing, published, n, r->backends_fetched);
+    leader_sched_set_backends(r->leader_sched, published, n, r->backends_fetched);
     r->is_published = true;
     r->published_at = tc_time_now();
 }
@@ -90,7 +90,7 @@
     const bool same = r->backends_n == n && r->backends && memcmp(r->backends, list, n * sizeof(*list)) == 0;
     r->backends_fetched = fetched;
     if (same) {
-        leader_sched_confirm_backends(r->placing, fetched);
+        leader_sched_confirm_backends(r->leader_sched, fetched);
         return;
     }
     /* Boxes may have the list as it was read: from another control box, or because they read it themselves. */
@@ -110,7 +110,7 @@
     free(r->backends);
     r->backends = list_copy(published, n * sizeof(*published));
     r->backends_n = n;
-    leader_sched_set_backends(r->placing, published, n, r->backends_fetched);
+    leader_sched_set_backends(r->leader_sched, published, n, r->backends_fetched);
 }
 
 void replica_set_role_changes(replica_t *r, const leaving_cfg_t *list, uint32_t n)
@@ -167,7 +167,7 @@
 bool replica_takes_calls(const replica_t *r, const char *box, const char *backend, call_purpose_t purpose)
 {
     const bool leaves = purpose == CALL_NEW_WORK && (find_withdrawn(r, backend) || is_evacuated(r, backend));
-    return !leaves && leader_sched_accepts_calls(r->placing, box, backend, tc_time_now());
+    return !leaves && leader_sched_accepts_calls(r->leader_sched, box, backend, tc_time_now());
 }
 
 static bool is_over(const replica_t *r, const withdrawn_t *w, tc_time_t now)
@@ -254,7 +254,7 @@
     roster_update(r->roster, report, now);
     add_loads(r, report->self.box, ack, now);
     add_suspects(r, report, ack, now);
-    leader_sched_handle_report(r->placing, report, ack, now);
+    leader_sched_handle_report(r->leader_sched, report, ack, now);
 }
 
 /** Add what only the leader knows. The list of loads in @p ack is to be freed with free. */
--- a/lib/cluster/replica_saved_list.c
+++ b/lib/cluster/replica_saved_list.c
@@ -36,7 +36,7 @@
     uint32_t n;
     const backend_t *const list = list_publisher_list(r->published, &n);
     r->backends_fetched = as_of;
-    leader_sched_set_backends(r->placing, list, n, as_of);
+    leader_sched_set_backends(r->leader_sched, list, n, as_of);
     log_line_t line;
     log_begin(&line, LOG_INFO, "list_kept");
     log_int(&line, "backends", n);
