--- a/lib/forward/forward.c
+++ b/lib/forward/forward.c
@@ -109,7 +109,7 @@
     fail(f, why, RETRY_FULL_MS + g_rand_int_range(f->owner->random, 0, RETRY_FULL_JITTER_MS));
 }
 
-static fleet_query_t wish_of(const forward_t *f, stage_t stage)
+static fleet_query_t fleet_query_of(const forward_t *f, stage_t stage)
 {
     return (fleet_query_t){.service = f->service,
                            .stage = stage,
@@ -129,15 +129,15 @@
  * to when one will. */
 static void fail_without_backend(forward_t *f, stage_t stage)
 {
-    const fleet_query_t wish = wish_of(f, stage);
-    const tc_time_t until = fleet_next_available_at(f->owner->fleet, &wish);
+    const fleet_query_t query = fleet_query_of(f, stage);
+    const tc_time_t until = fleet_next_available_at(f->owner->fleet, &query);
     if (until == TC_TIME_NEVER) {
-        forward_fail(f, fleet_is_evacuated(f->owner->fleet, &wish) ? REASON_EVACUATED : "no back end is left");
+        forward_fail(f, fleet_is_evacuated(f->owner->fleet, &query) ? REASON_EVACUATED : "no back end is left");
         return;
     }
     const tc_time_t spread = g_rand_int_range(f->owner->random, 0, REOPEN_JITTER_MS);
-    const char *const why = fleet_closed_until(f->owner->fleet, &wish) ? REASON_BACKING_OFF : REASON_LIMITED;
-    fail(f, why, until - wish.now + spread);
+    const char *const why = fleet_closed_until(f->owner->fleet, &query) ? REASON_BACKING_OFF : REASON_LIMITED;
+    fail(f, why, until - query.now + spread);
 }
 
 void forward_fail_quarantined(forward_t *f)
@@ -177,8 +177,8 @@
 
 instance_t *forward_choose(forward_t *f, stage_t stage)
 {
-    const fleet_query_t wish = wish_of(f, stage);
-    return fleet_choose(f->owner->fleet, &wish);
+    const fleet_query_t query = fleet_query_of(f, stage);
+    return fleet_choose(f->owner->fleet, &query);
 }
 
 /** Drops a reference that is not needed. @return whether there was one */
@@ -196,9 +196,9 @@
 
 bool forward_has_unlimited(forward_t *f, stage_t stage)
 {
-    fleet_query_t wish = wish_of(f, stage);
-    wish.exclude_limited = true;
-    return drop_choice(fleet_choose(f->owner->fleet, &wish));
+    fleet_query_t query = fleet_query_of(f, stage);
+    query.exclude_limited = true;
+    return drop_choice(fleet_choose(f->owner->fleet, &query));
 }
 
 /** Engine with the reservation, else the scheduler's choice, else a local one. */
@@ -324,9 +324,9 @@
  * may wait. */
 static bool is_unservable(const forward_t *f)
 {
-    const fleet_query_t wish = wish_of(f, STAGE_DECODE);
-    return fleet_is_evacuated(f->owner->fleet, &wish) ||
-           fleet_closed_until(f->owner->fleet, &wish) >= place_wait_until(f);
+    const fleet_query_t query = fleet_query_of(f, STAGE_DECODE);
+    return fleet_is_evacuated(f->owner->fleet, &query) ||
+           fleet_closed_until(f->owner->fleet, &query) >= place_wait_until(f);
 }
 
 void forward_continue(forward_t *f)
--- a/lib/forward/forward_call.c
+++ b/lib/forward/forward_call.c
@@ -67,7 +67,7 @@
 /* ===== Runs ===== */
 
 /** Whether the request may run on one more back end after it may have run on this one. */
-static bool may_run_again(const forward_t *f)
+static bool may_rerun(const forward_t *f)
 {
     if (MUTANT_IS(MUTANT_RUN_TWICE))
         return f->runs == 0;
@@ -203,7 +203,7 @@
         mark_tried(f, call->instance, op);
     f->failed_decode[0] = '\0';
     call_free(call, why);
-    const bool again = op == DIALECT_PREFILL || may_run_again(f);
+    const bool again = op == DIALECT_PREFILL || may_rerun(f);
     if (op != DIALECT_PREFILL)
         count_run(f);
     if (!again)
@@ -280,7 +280,7 @@
 static bool try_elsewhere(backend_call_t *call)
 {
     forward_t *const f = call->request;
-    if (!feature_is_enabled(FEATURE_FAILURE_RETRY) || call->status < 500 || f->begun || !may_run_again(f) ||
+    if (!feature_is_enabled(FEATURE_FAILURE_RETRY) || call->status < 500 || f->begun || !may_rerun(f) ||
         !has_other(call, forward_has_unlimited) || !retry_spend(f))
         return false;
     forward_log(f, "backend_failed", "retried at another back end", call->status, call->instance);
@@ -375,7 +375,7 @@
     const tc_time_t pauses = SILENCE_GAP_TARGETS * f->route->gap_target;
     const tc_time_t limit = pauses > 0 ? pauses : f->owner->options.silence_timeout_ms;
     retry_cancel(f); /* the query to the leader concerned a silence that is over */
-    if (may_run_again(f))
+    if (may_rerun(f))
         loop_arm(f->owner->loop, &f->call_timer, tc_time_now() + limit, on_run_silent, f);
     else
         loop_disarm(&f->call_timer); /* armed for an earlier event */
--- a/lib/forward/forward_locate.c
+++ b/lib/forward/forward_locate.c
@@ -114,10 +114,10 @@
 
 /** Number of engines to query: in a small pool all, in a large one those behind the position where the scheduler starts
  *  its choice. An engine that a box chose locally may be missed then. */
-static unsigned query_limit(const forward_t *f, const fleet_query_t *wish)
+static unsigned query_limit(const forward_t *f, const fleet_query_t *query)
 {
-    return fleet_count(f->owner->fleet, wish) > LOCATE_POOL_FACTOR * LOCATE_QUERIES_MAX ? LOCATE_NEAREST_MAX
-                                                                                        : LOCATE_QUERIES_MAX;
+    return fleet_count(f->owner->fleet, query) > LOCATE_POOL_FACTOR * LOCATE_QUERIES_MAX ? LOCATE_NEAREST_MAX
+                                                                                         : LOCATE_QUERIES_MAX;
 }
 
 bool locate_begin(forward_t *f)
@@ -128,8 +128,8 @@
     if (forward_crash_count(f) > 0)
         return false; /* the engine that cached it has ended; the next is chosen with regard to its other requests */
     f->locate.asked = true;
-    const fleet_query_t wish = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
-    fleet_each_successor(f->owner->fleet, &wish, f->fingerprint, query_limit(f, &wish), query_engine, f);
+    const fleet_query_t query = {.service = f->service, .stage = STAGE_DECODE, .now = tc_time_now()};
+    fleet_each_successor(f->owner->fleet, &query, f->fingerprint, query_limit(f, &query), query_engine, f);
     if (f->locate.pending > 0)
         return true;
     finish(f);
--- a/lib/peer/peer.c
+++ b/lib/peer/peer.c
@@ -82,7 +82,7 @@
         return conn_dial(net, addr, err);
     conn_t *conn, *coming = NULL;
     cds_list_for_each_entry(conn, &group->conns, beside) {
-        conn_count_looks(1);
+        conn_count_scanned(1);
         if (conn->state == CONN_READY)
             return conn;
         coming = conn;
@@ -126,7 +126,7 @@
     cds_list_for_each_entry(conn, &net->conns, node)
         if (conn_due(conn, now) != DUE_NOTHING)
             g_array_append_val(net->due, conn->id);
-    conn_count_looks(g_hash_table_size(net->by_id));
+    conn_count_scanned(g_hash_table_size(net->by_id));
 }
 
 static void expire_call(conn_t *conn, tc_time_t now)
@@ -161,7 +161,7 @@
         due_t due = conn ? conn_due(conn, now) : DUE_NOTHING;
         while (due != DUE_NOTHING) {
             conn_do_due(conn, due, now);
-            conn_count_looks(1);
+            conn_count_scanned(1);
             conn = conn_by_id(net, id);
             due = conn ? conn_due(conn, now) : DUE_NOTHING;
         }
--- a/lib/peer/peer_conn.c
+++ b/lib/peer/peer_conn.c
@@ -150,7 +150,7 @@
     return conn;
 }
 
-void conn_count_looks(unsigned n)
+void conn_count_scanned(unsigned n)
 {
     counter_add(&c_looked, n);
 }
--- a/lib/peer/peer_internal.h
+++ b/lib/peer/peer_internal.h
@@ -131,7 +131,7 @@
 /** Its address is known now. */
 void conn_set_addr(conn_t *conn, const char *addr);
 /** Count connections that were looked at one by one. */
-void conn_count_looks(unsigned n);
+void conn_count_scanned(unsigned n);
 /** End a connection; calls that wait on it fail with @p code, or as unreachable if nothing of them was sent. */
 void conn_close(conn_t *conn, int code, const char *step, const char *detail);
 /** Write what can be written. @return false when the connection is gone */
--- a/lib/roles/rebalancer.c
+++ b/lib/roles/rebalancer.c
@@ -61,8 +61,8 @@
     tc_time_t term_since;
     tc_time_t ticked_at;        /* last rebalancer_tick */
     bool fenced;                /* an engine has seen a higher fence: no more orders in this term */
-    uint32_t wanted;            /* last target passed to is_sustained */
-    tc_time_t wanted_since;     /* time of its last change */
+    uint32_t target;            /* last target passed to is_sustained */
+    tc_time_t target_since;     /* time of its last change */
     struct cds_list_head moves; /* all move_t */
     web_fetch_t ask;
     move_t *calling; /* move whose call is in flight, or NULL */
@@ -84,7 +84,7 @@
     log_end(&line);
 }
 
-static void log_target(const role_pools_t *b, uint32_t wanted)
+static void log_target(const role_pools_t *b, uint32_t target)
 {
     log_line_t line;
     log_begin(&line, LOG_INFO, "role_wish");
@@ -93,7 +93,7 @@
     log_int(&line, "prefill_work_pct", (int64_t)(100 * b->load.prefill));
     log_int(&line, "settled_work_pct", (int64_t)(100 * b->load.prefill_slow));
     log_int(&line, "decode_work_pct", (int64_t)(100 * b->load.decode));
-    log_int(&line, "wanted", wanted);
+    log_int(&line, "wanted", target);
     log_end(&line);
 }
 
@@ -347,24 +347,24 @@
 }
 
 /** Whether the target has been the same for SUSTAIN_MS. @param changed it differs from the present number */
-static bool is_sustained(rebalancer_t *r, uint32_t wanted, bool changed, tc_time_t now)
+static bool is_sustained(rebalancer_t *r, uint32_t target, bool changed, tc_time_t now)
 {
-    if (wanted != r->wanted || !changed) {
-        r->wanted = wanted;
-        r->wanted_since = now;
+    if (target != r->target || !changed) {
+        r->target = target;
+        r->target_since = now;
     }
-    return changed && now - r->wanted_since >= SUSTAIN_MS;
+    return changed && now - r->target_since >= SUSTAIN_MS;
 }
 
 static void decide(rebalancer_t *r, const rebalancer_input_t *input, tc_time_t now)
 {
     role_pools_t pools;
     count_pools(r, input, &pools);
-    const uint32_t wanted = balance_target_prefills(&pools);
-    const bool fewer = wanted < pools.prefills;
+    const uint32_t target = balance_target_prefills(&pools);
+    const bool fewer = target < pools.prefills;
     /* Any target below the present number counts as the same one, so that it stays sustained while engines change
      * one after the other. */
-    if (!is_sustained(r, fewer ? 0 : wanted, wanted != pools.prefills, now))
+    if (!is_sustained(r, fewer ? 0 : target, target != pools.prefills, now))
         return;
     const uint32_t room = (pools.prefills + pools.decodes) / ENGINES_PER_MOVE;
     if (count_moving(r) > room)
@@ -372,7 +372,7 @@
     const backend_t *const engine = choose_engine(r, input, fewer ? PREFILL : DECODE);
     if (!engine)
         return;
-    log_target(&pools, wanted);
+    log_target(&pools, target);
     begin_move(r, engine, fewer ? DECODE : PREFILL, now);
 }
 
@@ -385,7 +385,7 @@
     end_moves(r); /* accepted orders show in the list; the next leader decides about the others */
     r->term = term;
     r->term_since = now;
-    r->wanted_since = now;
+    r->target_since = now;
     r->fenced = false;
 }
 
--- a/lib/sched/sched.h
+++ b/lib/sched/sched.h
@@ -154,9 +154,9 @@
 
 /** An entry box renews all the requests it holds: by count and digest (XOR of sched_digest over its placed
  *  requests), or by a list when renew->listed is set. @param lost receives at most @p room requests that the box
- *  must drop @param want_list set when count or digest differ: the box must send the list @return number of lost
+ *  must drop @param needs_list set when count or digest differ: the box must send the list @return number of lost
  *  requests */
-uint32_t sched_renew(sched_t *sched, const msg_renew_t *renew, held_t *lost, uint32_t room, bool *want_list,
+uint32_t sched_renew(sched_t *sched, const msg_renew_t *renew, held_t *lost, uint32_t room, bool *needs_list,
                      tc_time_t now);
 
 /** Contribution of one attempt to a box's digest. */
--- a/lib/sched/sched_engine.c
+++ b/lib/sched/sched_engine.c
@@ -142,14 +142,14 @@
  *  others were idle. */
 void engine_update_rate(engine_t *e, const msg_progress_t *progress, tc_time_t now)
 {
-    const double alone_ms = (double)progress->took_ms - PREFILL_BASE_MS;
+    const double prefill_ms = (double)progress->took_ms - PREFILL_BASE_MS;
     const double since_ms = e->last_prefill_at > 0 ? (double)(now - e->last_prefill_at) : INFINITY;
     e->last_prefill_at = now;
-    const bool queued = since_ms < alone_ms;
+    const bool queued = since_ms < prefill_ms;
     /* A single prompt this short says nothing about the rate: its time is mostly the fixed part. */
-    if (!queued && (progress->computed_tokens < SCHED_PIECE_TOKENS / 2 || alone_ms < 1))
+    if (!queued && (progress->computed_tokens < SCHED_PIECE_TOKENS / 2 || prefill_ms < 1))
         return;
-    const double ms = queued ? since_ms : alone_ms;
+    const double ms = queued ? since_ms : prefill_ms;
     rate_sum_add(&e->rate_sum, progress->computed_tokens, ms, ENGINE_RATE_WINDOW_MS);
     rate_sum_add(&e->model->rate_sum, progress->computed_tokens, ms, MODEL_RATE_WINDOW_MS);
     e->model->rate = e->model->rate_sum.tokens / e->model->rate_sum.ms;
--- a/lib/sched/sched_lease.c
+++ b/lib/sched/sched_lease.c
@@ -106,18 +106,18 @@
     s->expected = boxes;
 }
 
-uint32_t sched_renew(sched_t *s, const msg_renew_t *renew, held_t *lost, uint32_t room, bool *want_list, tc_time_t now)
+uint32_t sched_renew(sched_t *s, const msg_renew_t *renew, held_t *lost, uint32_t room, bool *needs_list, tc_time_t now)
 {
     owner_t *const owner = owner_get(s, renew->box);
     uint32_t n_lost = 0;
     /* Both sides count the same requests: all of them are renewed at once. */
     const bool same = owner->count == renew->count && owner->digest == renew->digest;
-    *want_list = !renew->listed && !same;
+    *needs_list = !renew->listed && !same;
     if (renew->listed)
         n_lost = renew_listed(s, renew, owner, lost, room, now);
     else if (same)
         owner->lease_until = now + SCHED_LEASE_MS;
-    if (!*want_list)
+    if (!*needs_list)
         record_report(s, owner, now);
     owner->renewed_at = now;
     return n_lost;
--- a/tests/harness/sched_sim.c
+++ b/tests/harness/sched_sim.c
@@ -340,7 +340,7 @@
 {
     held_t held[256], lost[256];
     msg_renew_t message = {.epoch = sim->epoch, .held = held};
-    bool want_list = false;
+    bool needs_list = false;
     snprintf(message.box, sizeof(message.box), "entry-%u", entry);
     for (guint i = 0; i < sim->callers->len && message.held_n < 256; i++) {
         const caller_t *const c = g_ptr_array_index(sim->callers, i);
@@ -361,11 +361,11 @@
             message.digest ^= sched_digest(h->id, h->attempt);
         }
     }
-    (void)sched_renew(sim->sched, &message, lost, 256, &want_list, sim->now);
-    if (!want_list)
+    (void)sched_renew(sim->sched, &message, lost, 256, &needs_list, sim->now);
+    if (!needs_list)
         return;
     message.listed = true;
-    const uint32_t n = sched_renew(sim->sched, &message, lost, 256, &want_list, sim->now);
+    const uint32_t n = sched_renew(sim->sched, &message, lost, 256, &needs_list, sim->now);
     for (uint32_t i = 0; i < n; i++) {
         caller_t *const c = caller_by_id(sim, lost[i].id);
         if (c && c->placed.attempt == lost[i].attempt && c->state != CALLER_WAITING) {
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -89,8 +89,8 @@
 {
     unsigned n = 0;
     for (uint32_t draw = 0; draw < 50; draw++) {
-        const fleet_query_t wish = {.service = "app", .dc = "b", .now = now, .random = draw * 7919};
-        instance_t *const chosen = fleet_choose(fleet, &wish);
+        const fleet_query_t query = {.service = "app", .dc = "b", .now = now, .random = draw * 7919};
+        instance_t *const chosen = fleet_choose(fleet, &query);
         if (!chosen)
             continue;
         g_assert_true(instance_accepts_work(chosen, now));
--- a/tests/unit/test_ring.c
+++ b/tests/unit/test_ring.c
@@ -91,8 +91,8 @@
         char engine[CODEC_STR_SIZE];
         place(s, i, fingerprint, engine);
         search_t search = {.wanted = engine};
-        const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-        fleet_each_successor(fleet, &wish, fingerprint, ASKED, ask, &search);
+        const fleet_query_t query = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+        fleet_each_successor(fleet, &query, fingerprint, ASKED, ask, &search);
         g_assert_cmpuint(search.asked, ==, ASKED);
         found += search.found;
     }
@@ -117,10 +117,10 @@
     engine_cfg_t *const engines = make_engines(30);
     fleet_t *const fleet = make_fleet(engines, 30, 31);
     search_t search = {.wanted = "e29"};
-    const fleet_query_t wish = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
-    fleet_each_successor(fleet, &wish, 1, ASKED, ask, &search);
+    const fleet_query_t query = {.service = "m", .stage = STAGE_DECODE, .dc = "dc0", .now = 100};
+    fleet_each_successor(fleet, &query, 1, ASKED, ask, &search);
     g_assert_cmpuint(search.asked, ==, 20);
-    g_assert_cmpuint(fleet_count(fleet, &wish), ==, 20);
+    g_assert_cmpuint(fleet_count(fleet, &query), ==, 20);
     g_assert_true(search.found);
     fleet_destroy(fleet);
     g_free(engines);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -144,22 +144,22 @@
     fleet_set_list(f, list, G_N_ELEMENTS(list), 50);
     GPtrArray *const tried = g_ptr_array_new();
     /* The better of two random back ends is chosen: draws 1 and 2 draw both. */
-    const fleet_query_t wish = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 1};
+    const fleet_query_t query = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 1};
     const fleet_query_t swapped = {.service = "s", .dc = "a", .tried = tried, .now = 100, .random = 2};
-    instance_t *const near = fleet_choose(f, &wish);
+    instance_t *const near = fleet_choose(f, &query);
     g_assert_cmpstr(near->listed.id, ==, "near");
     instance_t *const same = fleet_choose(f, &swapped);
     g_assert_true(same == near);
     instance_unref(same);
     instance_begin(near, 0, 0);
-    instance_t *const far = fleet_choose(f, &wish); /* load takes precedence over distance */
+    instance_t *const far = fleet_choose(f, &query); /* load takes precedence over distance */
     g_assert_cmpstr(far->listed.id, ==, "far");
     instance_t *const again = fleet_choose(f, &swapped);
     g_assert_true(again == far);
     instance_unref(again);
     g_ptr_array_add(tried, near);
     g_ptr_array_add(tried, far);
-    g_assert_null(fleet_choose(f, &wish));
+    g_assert_null(fleet_choose(f, &query));
     fleet_set_list(f, list, 1, 60); /* a request keeps its back end even when that is no longer listed */
     g_assert_false(near->present);
     instance_end(near, 0, 0);
@@ -179,9 +179,9 @@
     for (int i = 0; i < BOXES; i++) {
         fleet_t *const f = fleet_create();
         fleet_set_list(f, list, 1, 50);
-        const fleet_query_t wish = {.service = "s", .dc = "a", .connections = TAKES, .boxes = BOXES, .now = 100};
+        const fleet_query_t query = {.service = "s", .dc = "a", .connections = TAKES, .boxes = BOXES, .now = 100};
         for (int k = 0; k < PLENTY; k++) {
-            instance_t *const chosen = fleet_choose(f, &wish);
+            instance_t *const chosen = fleet_choose(f, &query);
             if (!chosen)
                 continue;
             instance_begin(chosen, 0, 0);
@@ -202,8 +202,8 @@
     fleet_set_list(f, list, 1, 50);
     const backend_load_t load = {.id = "one", .running = 20};
     fleet_set_remote_loads(f, &load, 1, false, 60);
-    const fleet_query_t wish = {.service = "s", .dc = "a", .connections = 20, .boxes = 2, .now = 100};
-    g_assert_null(fleet_choose(f, &wish));
+    const fleet_query_t query = {.service = "s", .dc = "a", .connections = 20, .boxes = 2, .now = 100};
+    g_assert_null(fleet_choose(f, &query));
     fleet_destroy(f);
 }
 
@@ -215,8 +215,8 @@
     instance_t *const one = fleet_find(f, "one");
     instance_failed(one, 1000);
     for (uint32_t draw = 0; draw < 8; draw++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 1100, .random = draw};
-        instance_t *const chosen = fleet_choose(f, &wish);
+        const fleet_query_t query = {.service = "s", .dc = "a", .now = 1100, .random = draw};
+        instance_t *const chosen = fleet_choose(f, &query);
         g_assert_cmpstr(chosen->listed.id, ==, "two");
         instance_unref(chosen);
     }
@@ -243,8 +243,8 @@
     const backend_load_t busy = {.id = "3", .running = 4};
     fleet_set_remote_loads(f, &busy, 1, false, 90);
     for (uint32_t draw = 0; draw < 64; draw++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .random = draw};
-        instance_t *const chosen = fleet_choose(f, &wish);
+        const fleet_query_t query = {.service = "s", .dc = "a", .now = 100, .random = draw};
+        instance_t *const chosen = fleet_choose(f, &query);
         taken[atoi(chosen->listed.id)]++;
         instance_unref(chosen);
     }
@@ -283,8 +283,8 @@
     GRand *const random = g_rand_new_with_seed(3);
     unsigned near = 0, taken[DCS * EACH] = {0};
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_query_t wish = {.service = "s", .dc = "0", .now = 100, .random = g_rand_int(random)};
-        instance_t *const chosen = fleet_choose(f, &wish);
+        const fleet_query_t query = {.service = "s", .dc = "0", .now = 100, .random = g_rand_int(random)};
+        instance_t *const chosen = fleet_choose(f, &query);
         near += strcmp(chosen->listed.dc, "0") == 0;
         g_assert_cmpuint(++taken[atoi(chosen->listed.id)], <, CHOICES / EACH * 3); /* spread over all local back ends */
         instance_unref(chosen);
@@ -320,13 +320,13 @@
     fleet_set_list(f, list, engines + PLAIN, 50);
     g_free(list);
     for (uint32_t draw = 0; draw < 10; draw++) {
-        const fleet_query_t wish = {.service = service,
-                                    .stage = stage[0] ? STAGE_DECODE : STAGE_NONE,
-                                    .dc = "a",
-                                    .now = 100,
-                                    .random = draw * 2654435761U};
-        instance_unref(fleet_choose(f, &wish));
-        g_assert_cmpint(fleet_next_available_at(f, &wish), ==, TC_TIME_NEVER);
+        const fleet_query_t query = {.service = service,
+                                     .stage = stage[0] ? STAGE_DECODE : STAGE_NONE,
+                                     .dc = "a",
+                                     .now = 100,
+                                     .random = draw * 2654435761U};
+        instance_unref(fleet_choose(f, &query));
+        g_assert_cmpint(fleet_next_available_at(f, &query), ==, TC_TIME_NEVER);
     }
     const uint64_t looks = fleet_instances_examined(f);
     fleet_destroy(f);
@@ -355,8 +355,8 @@
     GRand *const random = g_rand_new_with_seed(1);
     unsigned taken[MANY] = {0}, most = 0;
     for (int i = 0; i < CHOICES; i++) {
-        const fleet_query_t wish = {.service = "s", .dc = "a", .now = 100, .random = g_rand_int(random)};
-        instance_t *const chosen = fleet_choose(f, &wish);
+        const fleet_query_t query = {.service = "s", .dc = "a", .now = 100, .random = g_rand_int(random)};
+        instance_t *const chosen = fleet_choose(f, &query);
         const unsigned times = ++taken[atoi(chosen->listed.id)];
         most = MAX(most, times);
         instance_unref(chosen);
--- a/tests/unit/test_sched_adopt.c
+++ b/tests/unit/test_sched_adopt.c
@@ -76,9 +76,9 @@
                          .listed = true};
     codec_copy_string(renew.box, sizeof(renew.box), "box");
     held_t lost[4];
-    bool want_list = true;
-    (void)sched_renew(f->sched, &renew, lost, 4, &want_list, now);
-    g_assert_false(want_list);
+    bool needs_list = true;
+    (void)sched_renew(f->sched, &renew, lost, 4, &needs_list, now);
+    g_assert_false(needs_list);
     take_answers(f);
 }
 
