--- a/tests/fuzz/fuzz_decoders.c
+++ b/tests/fuzz/fuzz_decoders.c
@@ -1,4 +1,6 @@
-/* libFuzzer: every decoder that reads bytes from outside: frames, settings, events, commands, merge patches. */
+/* libFuzzer target for the decoders of untrusted bytes: peer frames, JSON settings, server-sent events, and log
+ * commands with the merge patches in them. The first byte of the input selects the decoder. Guards against crashes
+ * and memory errors on malformed input. */
 
 #include <stdlib.h>
 
@@ -9,7 +11,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static bool ignore(void *arg, const sse_event_t *event)
+static bool on_event(void *arg, const sse_event_t *event)
 {
     (void)arg;
     return event->data[0] != '!';
@@ -35,7 +37,7 @@
     }
     case 2: {
         sse_t sse;
-        sse_init(&sse, ignore, NULL);
+        sse_init(&sse, on_event, NULL);
         sse_feed(&sse, text, size - 1);
         sse_free(&sse);
         break;
--- a/tests/fuzz/fuzz_sched.c
+++ b/tests/fuzz/fuzz_sched.c
@@ -1,4 +1,6 @@
-/* libFuzzer over the same operations as the randomised run, with the same oracle. Its last line counts them. */
+/* libFuzzer target for the scheduler simulation: the input chooses the operations, and the same invariants are checked
+ * as in tests/random/test_sched_random.c. Guards against a sequence of operations that violates an invariant of the
+ * scheduler. Prints the number of operations and checks on exit. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +13,7 @@
 
 static void print_counts(void)
 {
-    printf("fuzz_sched: %llu operations tried, %llu promises checked\n", (unsigned long long)operations,
+    printf("fuzz_sched: %llu operations tried, %llu invariants checked\n", (unsigned long long)operations,
            (unsigned long long)checks);
 }
 
@@ -25,7 +27,7 @@
     operations += result.operations + 1;
     checks += result.checks;
     if (result.violation) {
-        fprintf(stderr, "broken: %s\n", result.violation);
+        fprintf(stderr, "invariant violated: %s\n", result.violation);
         abort();
     }
     return 0;
