--- a/tests/shim/suspend.c
+++ b/tests/shim/suspend.c
@@ -1,7 +1,8 @@
 /** @file suspend.c
- * Preloaded into a program under test, it makes SIGUSR2 stand for the machine's being suspended: the process stops
- * until SIGCONT, and CLOCK_MONOTONIC leaves that time out while CLOCK_BOOTTIME and the time of day go on. A wait for
- * sockets goes on for what was left of it, as after a real suspension: nothing interrupts it.
+ * LD_PRELOAD library that simulates suspending the machine. SIGUSR2 stops the process until SIGCONT. The
+ * CLOCK_MONOTONIC clocks leave out the time that the process was stopped; CLOCK_BOOTTIME and CLOCK_REALTIME include it.
+ * epoll_wait() continues with its remaining timeout, as after a real suspension: it does not return the EINTR that
+ * SIGUSR2 causes.
  */
 #include <errno.h>
 #include <signal.h>
@@ -14,6 +15,7 @@
 
 enum { NS_PER_S = 1000000000, NS_PER_MS = 1000000 };
 
+/** Total time suspended so far; subtracted from the monotonic clocks. */
 static _Atomic int64_t suspended_ns;
 
 static int64_t real_monotonic_ns(void)
@@ -39,31 +41,31 @@
     return 0;
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int room, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
     const int64_t end = monotonic_ns() + (int64_t)timeout * NS_PER_MS;
     for (;;) {
         const int64_t before = atomic_load(&suspended_ns);
-        const int64_t left = (end - monotonic_ns() + NS_PER_MS - 1) / NS_PER_MS;
-        const int wait = timeout < 0 ? -1 : (int)(left > 0 ? left : 0);
-        const int n = (int)syscall(SYS_epoll_pwait, fd, events, room, wait, NULL, 0);
+        const int64_t left_ms = (end - monotonic_ns() + NS_PER_MS - 1) / NS_PER_MS;
+        const int wait_ms = timeout < 0 ? -1 : (int)(left_ms > 0 ? left_ms : 0);
+        const int n = (int)syscall(SYS_epoll_pwait, fd, events, max_events, wait_ms, NULL, 0);
         if (n >= 0 || errno != EINTR || atomic_load(&suspended_ns) == before)
             return n;
     }
 }
 
-static void on_suspend(int number)
+static void suspend_until_sigcont(int signal_number)
 {
     const int64_t before = real_monotonic_ns();
-    const int kept = errno;
-    (void)number;
+    const int saved_errno = errno;
+    (void)signal_number;
     kill(getpid(), SIGSTOP);
     atomic_fetch_add(&suspended_ns, real_monotonic_ns() - before);
-    errno = kept;
+    errno = saved_errno;
 }
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void install_handler(void)
 {
-    const struct sigaction action = {.sa_handler = on_suspend, .sa_flags = SA_RESTART};
+    const struct sigaction action = {.sa_handler = suspend_until_sigcont, .sa_flags = SA_RESTART};
     sigaction(SIGUSR2, &action, NULL);
 }
