--- a/tests/fault/test_callers.c
+++ b/tests/fault/test_callers.c
@@ -1,4 +1,6 @@
-/* The callers' interface: every form of answer, and requests that are wrong, too large, or never finished. */
+/* HTTP interface for callers: each form of answer, and requests that are invalid, too large or incomplete. Guards
+ * against a wrong status or error body, a request that stays in flight after its caller disconnected, and an
+ * idempotency key that gives one workspace access to another's answer. */
 
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -15,7 +17,7 @@
 
 static cluster_t *cluster;
 
-/** Post a body as it is. @return the answer, new reference */
+/** Post @p body unchanged; @p header may be NULL. @return the JSON answer, new reference, or NULL if it is not JSON */
 static json_t *post(const char *path, const char *body, const char *header, int *status)
 {
     char *const url = g_strdup_printf("http://%s%s", cluster_addr(cluster, "entry-1"), path);
@@ -38,7 +40,8 @@
     return answer;
 }
 
-static void refused(const char *path, const char *body, int wanted, const char *peer)
+/** Assert that a request gets status @p wanted and an `invalid` error which names @p peer. */
+static void assert_refused(const char *path, const char *body, int wanted, const char *peer)
 {
     int status = 0;
     json_t *const answer = post(path, body, NULL, &status);
@@ -50,7 +53,8 @@
     json_decref(answer);
 }
 
-static char *expected(const char *prompt, unsigned max_tokens)
+/** Text that the stub engine generates for a prompt. @return new string */
+static char *expected_text(const char *prompt, unsigned max_tokens)
 {
     const uint64_t hash = stub_prompt_hash(prompt, strlen(prompt));
     GString *const text = g_string_new(NULL);
@@ -68,7 +72,7 @@
     json_t *answer =
         post("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"dust \\\"since\\\" noon\",\"max_tokens\":30}",
              NULL, &status);
-    char *text = expected("dust \"since\" noon", 30);
+    char *text = expected_text("dust \"since\" noon", 30);
     g_assert_cmpint(status, ==, 200);
     g_assert_cmpstr(json_string_value(json_object_get(json_array_get(json_object_get(answer, "choices"), 0), "text")),
                     ==, text);
@@ -77,7 +81,7 @@
     answer = post("/v1/chat/completions",
                   "{\"model\":\"sahel-lm\",\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}],\"max_tokens\":30}",
                   NULL, &status);
-    text = expected("user: hello\n", 30);
+    text = expected_text("user: hello\n", 30);
     g_assert_cmpint(status, ==, 200);
     g_assert_cmpstr(json_string_value(json_object_get(
                         json_object_get(json_array_get(json_object_get(answer, "choices"), 0), "message"), "content")),
@@ -88,14 +92,15 @@
 
 static void test_wrong_requests(void)
 {
-    refused("/v1/completions", "{\"model\":\"sahel-lm\"", 400, "body");
-    refused("/v1/completions", "[]", 400, "body");
-    refused("/v1/completions", "{\"model\":\"sahel-lm\"}", 400, "prompt");
-    refused("/v1/completions", "{\"model\":\"no-such\",\"prompt\":\"x\"}", 400, "model");
-    refused("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"x\",\"max_tokens\":0}", 400, "max_tokens");
-    refused("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"x\",\"priority\":\"high\"}", 400, "priority");
-    refused("/v1/chat/completions", "{\"model\":\"sahel-lm\",\"messages\":[{}]}", 400, "messages");
-    refused("/v1/services/no-such/x", "{}", 400, "no-such");
+    assert_refused("/v1/completions", "{\"model\":\"sahel-lm\"", 400, "body");
+    assert_refused("/v1/completions", "[]", 400, "body");
+    assert_refused("/v1/completions", "{\"model\":\"sahel-lm\"}", 400, "prompt");
+    assert_refused("/v1/completions", "{\"model\":\"no-such\",\"prompt\":\"x\"}", 400, "model");
+    assert_refused("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"x\",\"max_tokens\":0}", 400, "max_tokens");
+    assert_refused("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"x\",\"priority\":\"high\"}", 400,
+                   "priority");
+    assert_refused("/v1/chat/completions", "{\"model\":\"sahel-lm\",\"messages\":[{}]}", 400, "messages");
+    assert_refused("/v1/services/no-such/x", "{}", 400, "no-such");
     int status = 0;
     json_decref(
         post("/v1/completions", "{\"model\":\"sahel-lm\",\"prompt\":\"x\"}", "Idempotency-Key: not/plain", &status));
@@ -104,8 +109,8 @@
 
 static void test_too_large(void)
 {
-    enum { OVER = 5 * 1024 * 1024 };
-    char *const prompt = g_strnfill(OVER, 'x');
+    enum { OVERSIZE_BYTES = 5 * 1024 * 1024 };
+    char *const prompt = g_strnfill(OVERSIZE_BYTES, 'x');
     char *const body = g_strdup_printf("{\"model\":\"sahel-lm\",\"prompt\":\"%s\"}", prompt);
     int status = 0;
     json_decref(post("/v1/completions", body, NULL, &status));
@@ -141,7 +146,7 @@
     return in_flight() == 0;
 }
 
-/** Callers who stop in the middle of their request, or send no HTTP at all. */
+/** Callers that disconnect in the middle of a request or do not send HTTP: nothing stays in flight or held. */
 static void test_half_sent(void)
 {
     static const char *const pieces[] = {
@@ -176,7 +181,7 @@
     g_assert_cmpint(json_integer_value(json_object_get(answer, "keep_ms")), >, 0);
     json_decref(answer);
     GHashTable *const first = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    for (int i = 0; i < 60; i++) { /* callers spread over the boxes */
+    for (int i = 0; i < 60; i++) { /* different callers get different first boxes */
         char *const path = g_strdup_printf("/v1/entries?caller=caller-%d", i);
         json_t *const one = cluster_call(cluster, "entry-1", path, NULL, &status);
         g_hash_table_add(first, g_strdup(json_string_value(
@@ -188,8 +193,9 @@
     g_hash_table_destroy(first);
 }
 
-/** Two workspaces use one id: nobody gets, or ends, the other's answer; through the same entry and another. */
-static void test_id_of_somebody_else(void)
+/** Two workspaces use the same id, through the same entry and through another: neither receives or ends the answer of
+ *  the other. */
+static void test_id_of_another_workspace(void)
 {
     client_t c;
     client_init(&c, "shared-id", 500, 200);
@@ -220,7 +226,7 @@
     g_test_add_func("/callers/wrong-requests", test_wrong_requests);
     g_test_add_func("/callers/too-large", test_too_large);
     g_test_add_func("/callers/half-sent", test_half_sent);
-    g_test_add_func("/callers/id-of-somebody-else", test_id_of_somebody_else);
+    g_test_add_func("/callers/id-of-somebody-else", test_id_of_another_workspace);
     g_test_add_func("/callers/entries", test_entries);
     const int rc = g_test_run();
     cluster_stop(cluster, rc != 0);
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -1,4 +1,6 @@
-/* Control boxes under failure: accepted is durable, in force everywhere, and never reverts. */
+/* Control boxes under failure. Guards against an accepted configuration change that is lost, applied twice or
+ * reverted, or that never comes into force on all boxes: while operators race, the leader is killed or frozen, disks
+ * are lost, a box restarts far behind, or no control box runs. */
 
 #include <signal.h>
 #include <stdio.h>
@@ -12,7 +14,8 @@
 
 static cluster_t *cluster;
 
-static json_int_t accepted(void)
+/** Version of the configuration that the leader has accepted. */
+static json_int_t accepted_version(void)
 {
     json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 10000);
     const json_int_t version = json_integer_value(json_object_get(status, "accepted"));
@@ -36,11 +39,11 @@
     g_assert_cmpint(client_change(cluster, request, patch), ==, 200);
 }
 
-static void test_change_in_force(void)
+static void test_change_comes_into_force(void)
 {
-    const json_int_t before = accepted();
+    const json_int_t before = accepted_version();
     set_max_queue("first", 101);
-    g_assert_cmpint(accepted(), ==, before + 1);
+    g_assert_cmpint(accepted_version(), ==, before + 1);
     g_assert_true(client_wait_in_force(cluster, 15000));
     json_t *const engines = cluster_call(cluster, "entry-2", "/v1/engines", NULL, NULL);
     g_assert_cmpint(json_integer_value(json_object_get(engines, "version")), ==, before + 1);
@@ -89,8 +92,8 @@
     char *output = NULL;
     g_assert_cmpint(cluster_run(cluster, first, NULL), ==, 0);
     g_assert_cmpint(cluster_run(cluster, second, &output), ==, 3);
-    g_assert_nonnull(strstr(output, "ada-confirms"));          /* told who was first */
-    g_assert_cmpint(cluster_run(cluster, first, NULL), ==, 0); /* resent: its first answer */
+    g_assert_nonnull(strstr(output, "ada-confirms"));          /* the error names the confirmation that came first */
+    g_assert_cmpint(cluster_run(cluster, first, NULL), ==, 0); /* a resent request gets its first answer */
     g_free(output);
     g_free(control);
     g_assert_cmpint(max_queue_of(cluster_leader(cluster, 10000)), ==, 200);
@@ -98,13 +101,13 @@
 
 static void test_bad_settings_refused(void)
 {
-    const json_int_t before = accepted();
+    const json_int_t before = accepted_version();
     g_assert_cmpint(client_change(cluster, "bad-range", "{\"targets\":{\"ttft_ms\":0}}"), ==, 400);
     g_assert_cmpint(client_change(cluster, "bad-name", "{\"targets\":{\"speed\":1}}"), ==, 400);
     g_assert_cmpint(client_change(cluster, "last-of-role",
                                   "{\"engines\":{\"d0\":null,\"d1\":null,\"d2\":null,\"d3\":null,\"d4\":null}}"),
                     ==, 400);
-    g_assert_cmpint(accepted(), ==, before);
+    g_assert_cmpint(accepted_version(), ==, before);
 }
 
 typedef struct {
@@ -123,7 +126,7 @@
 
 static void test_leader_killed_in_confirm(void)
 {
-    const json_int_t before = accepted();
+    const json_int_t before = accepted_version();
     int status = 0;
     json_decref(cluster_operate(
         cluster, "/v1/plan",
@@ -133,14 +136,14 @@
     GThread *const thread = g_thread_new("operator", confirm_at, &confirm);
     cluster_signal(cluster, confirm.leader, SIGKILL);
     g_thread_join(thread);
-    /* The operator asks again with the same request id until someone answers. */
+    /* The operator repeats the request with the same request id until a leader answers. */
     status = 0;
     for (int i = 0; i < 50 && status != 200; i++)
         json_decref(cluster_operate(cluster, "/v1/confirm",
                                     json_pack("{s:s,s:s}", "request_id", "killed-confirm", "plan", "plan-killed"),
                                     &status, 10000));
     g_assert_cmpint(status, ==, 200);
-    g_assert_cmpint(accepted(), ==, before + 1); /* once, whichever leader took it */
+    g_assert_cmpint(accepted_version(), ==, before + 1); /* applied once, whichever leader accepted it */
     cluster_spawn(cluster, confirm.leader);
     g_assert_true(client_wait_in_force(cluster, 20000));
 }
@@ -148,12 +151,12 @@
 static void test_leader_frozen_past_its_lease(void)
 {
     const char *const old = cluster_leader(cluster, 10000);
-    const json_int_t before = accepted();
+    const json_int_t before = accepted_version();
     cluster_signal(cluster, old, SIGSTOP);
     set_max_queue("while-frozen", 400);
     cluster_signal(cluster, old, SIGCONT);
-    g_assert_cmpint(accepted(), ==, before + 1);
-    int status = 0; /* the old leader does not take it for its own cluster any more */
+    g_assert_cmpint(accepted_version(), ==, before + 1);
+    int status = 0; /* the former leader no longer accepts changes */
     json_decref(cluster_call(cluster, old, "/v1/confirm", json_pack("{s:s,s:s}", "request_id", "late", "plan", "none"),
                              &status));
     g_assert_true(status == 421 || status == 404);
@@ -168,21 +171,22 @@
 typedef struct {
     const char *box;
     json_int_t queue;
-} wanted_t;
+} expected_queue_t;
 
-static bool has_value(void *arg)
+static bool has_max_queue(void *arg)
 {
-    const wanted_t *const w = arg;
+    const expected_queue_t *const w = arg;
     return max_queue_of(w->box) == w->queue;
 }
 
-/** A control box by name, and the identity that it had before. */
+/** A control box by name, and its identity before the repair. */
 typedef struct {
     const char *box;
     char id[32];
 } repaired_t;
 
-/** Look a box up in the leader's list; the list is full only when no old identity is left in it. */
+/** Look a box up in the leader's list of members. @param id its identity, unchanged if the box is not listed
+ *  @return whether it votes and the list has exactly three members: a fourth one is an identity from before a repair */
 static bool find_control(const char *box, char id[32])
 {
     json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 1000);
@@ -215,7 +219,7 @@
     g_free(path);
 }
 
-/** A box comes back with an empty disk, and right after the repair a second one is lost. */
+/** A box restarts with an empty disk, and a second one is lost right after the first is repaired. */
 static void test_disk_lost_then_second(void)
 {
     repaired_t second = {.box = "control-2"}, first = {.box = "control-1"};
@@ -227,35 +231,35 @@
     set_max_queue("during-loss", 501);
     cluster_spawn(cluster, "control-2");
     g_assert_true(cluster_until(is_repaired, &second, 20000));
-    cluster_signal(cluster, "control-1", SIGKILL); /* the founder, and its disk with it */
+    cluster_signal(cluster, "control-1", SIGKILL); /* the box that founded the cluster, together with its disk */
     empty_disk("control-1");
     set_max_queue("after-second", 502);
-    wanted_t wanted = {.box = "control-2", .queue = 502};
-    g_assert_true(cluster_until(has_value, &wanted, 10000));
-    cluster_spawn(cluster, "control-1"); /* it may found clusters, but must not found a second one here */
+    expected_queue_t wanted = {.box = "control-2", .queue = 502};
+    g_assert_true(cluster_until(has_max_queue, &wanted, 10000));
+    cluster_spawn(cluster, "control-1"); /* it is allowed to found a cluster, but must not found a second one here */
     g_assert_true(cluster_until(is_repaired, &first, 20000));
     wanted.box = "control-1";
-    g_assert_true(cluster_until(has_value, &wanted, 10000));
+    g_assert_true(cluster_until(has_max_queue, &wanted, 10000));
     g_assert_true(client_wait_in_force(cluster, 20000));
 }
 
-/** A box restarts after 500 changes happened without it, most of them in a snapshot by now. */
+/** A box restarts after it missed 500 changes, most of which are only in a snapshot by then. */
 static void test_far_behind(void)
 {
     enum { CHANGES = 500 };
     const char *const leader = cluster_leader(cluster, 10000);
     const char *const box = strcmp(leader, "control-3") == 0 ? "control-2" : "control-3";
     cluster_signal(cluster, box, SIGKILL);
-    const json_int_t before = accepted();
+    const json_int_t before = accepted_version();
     for (int i = 0; i < CHANGES; i++) {
         char request[32];
         snprintf(request, sizeof(request), "many-%d", i);
         set_max_queue(request, 1000 + i);
     }
-    g_assert_cmpint(accepted(), ==, before + CHANGES);
+    g_assert_cmpint(accepted_version(), ==, before + CHANGES);
     cluster_spawn(cluster, box);
-    wanted_t wanted = {.box = box, .queue = 1000 + CHANGES - 1};
-    g_assert_true(cluster_until(has_value, &wanted, 20000));
+    expected_queue_t wanted = {.box = box, .queue = 1000 + CHANGES - 1};
+    g_assert_true(cluster_until(has_max_queue, &wanted, 20000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     const char *const argv[] = {"trackcove", "data", "check", "data/control-1", NULL};
     g_assert_cmpint(cluster_run(cluster, argv, NULL), ==, 0);
@@ -268,7 +272,7 @@
     return status == 503;
 }
 
-/** All control boxes are gone: running answers go on, new work is refused once the lease is over. */
+/** All control boxes are killed: running answers continue, and new requests are refused once the lease has expired. */
 static void test_all_control_lost(void)
 {
     client_t c;
@@ -295,7 +299,7 @@
         snprintf(name, sizeof(name), "control-%d", i);
         cluster_spawn(cluster, name);
     }
-    g_assert_cmpint(accepted(), >, none);
+    g_assert_cmpint(accepted_version(), >, none);
     g_assert_true(cluster_wait_ready(cluster, "entry-1", 20000));
 }
 
@@ -306,7 +310,7 @@
         .deployment = "sahel", .entries = 2, .port_offset = OFFSET, .control_patch = "{\"snapshot_every\":100}"};
     cluster = cluster_start(&options);
     g_assert_nonnull(cluster);
-    g_test_add_func("/control/change-in-force", test_change_in_force);
+    g_test_add_func("/control/change-in-force", test_change_comes_into_force);
     g_test_add_func("/control/racing-operators", test_racing_operators);
     g_test_add_func("/control/bad-settings-refused", test_bad_settings_refused);
     g_test_add_func("/control/leader-killed-in-confirm", test_leader_killed_in_confirm);
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -1,4 +1,5 @@
-/* Planned stops: an entry cuts off nothing, a leaving backend server gets no new work. */
+/* Planned stops: SIGTERM or a drain of an entry, and a backend server that leaves. Guards against answers that are cut
+ * off or refused while an entry stops, and against new work for a backend server that has said it leaves. */
 
 #include <signal.h>
 #include <stdio.h>
@@ -10,7 +11,7 @@
 
 static cluster_t *cluster;
 
-static GPid begin_load(const char *seconds, const char *output)
+static GPid start_load(const char *seconds, const char *output)
 {
     char *const entries = cluster_entries(cluster);
     const char *const load[] = {"trackcove-load",
@@ -35,7 +36,8 @@
     return pid;
 }
 
-/** Everyone was answered whole: the load's own check, and nothing refused, lost or unknown. */
+/** Assert that each request of the load was answered completely: its own check passes, and none was refused, lost or of
+ *  unknown outcome. */
 static void assert_clean(GPid pid, const char *output)
 {
     const int status = cluster_join(pid);
@@ -46,7 +48,7 @@
     json_t *const result = line ? json_loads(line, JSON_DISABLE_EOF_CHECK, NULL) : NULL;
     if (status != 0 || !result || json_real_value(json_object_get(result, "refused")) > 0 ||
         json_integer_value(json_object_get(result, "unknown")) > 0)
-        g_error("load ended with %d: %s", status, line ? line : text);
+        g_error("load generator exited with status %d: %s", status, line ? line : text);
     json_decref(result);
     g_free(text);
     g_free(path);
@@ -65,7 +67,7 @@
 
 static void test_sigterm(void)
 {
-    const GPid load = begin_load("8", "sigterm.out");
+    const GPid load = start_load("8", "sigterm.out");
     served_t served = {.entry = "entry-2"};
     g_assert_true(cluster_until(has_served, &served, 15000));
     cluster_signal(cluster, "entry-2", SIGTERM);
@@ -75,11 +77,11 @@
     g_assert_true(cluster_wait_ready(cluster, "entry-2", 20000));
 }
 
-/** The box that schedules is asked to leave by an operator: its cell is handed over on the way. */
+/** An operator drains the box that schedules: it hands its cell over before it exits. */
 static void test_drain_scheduler(void)
 {
     char *const scheduler = cluster_scheduler(cluster, 10000);
-    const GPid load = begin_load("8", "drain.out");
+    const GPid load = start_load("8", "drain.out");
     served_t served = {.entry = scheduler};
     g_assert_true(cluster_until(has_served, &served, 15000));
     const char *const argv[] = {"trackcove",
@@ -90,7 +92,7 @@
                                 "--token",
                                 "demo-operator-token-0123456789abcdef",
                                 NULL};
-    /* Any control box may be named: the command finds the leader among those given. */
+    /* The command finds the leader among the control boxes that it is given. */
     char *control = g_strdup_printf("%s,%s,%s", cluster_addr(cluster, "control-1"), cluster_addr(cluster, "control-2"),
                                     cluster_addr(cluster, "control-3"));
     const char *const drain[] = {argv[0], argv[1], argv[2], argv[3], control, argv[5], argv[6], NULL};
@@ -111,7 +113,7 @@
     g_free(scheduler);
 }
 
-static long long started(const char *engine)
+static long long requests_started(const char *engine)
 {
     json_t *const stats = cluster_call(cluster, "stub", "/admin/stats", NULL, NULL);
     long long n = -1;
@@ -126,18 +128,18 @@
 
 static void test_engine_leaves(void)
 {
-    enum { FEW_SECONDS_US = 3000000 };
-    const GPid load = begin_load("8", "engine.out");
-    const long long before = started("d0");
-    while (started("d0") == before)
+    enum { NO_NEW_WORK_AFTER_US = 3000000 };
+    const GPid load = start_load("8", "engine.out");
+    const long long before = requests_started("d0");
+    while (requests_started("d0") == before)
         g_usleep(20000);
     cluster_fault(cluster, "d0", "leave", 0);
     cluster_fault(cluster, "p0", "leave", 0);
-    g_usleep(FEW_SECONDS_US); /* the promise's own span, not a guess: after it there is no new work */
-    const long long d0 = started("d0"), p0 = started("p0");
+    g_usleep(NO_NEW_WORK_AFTER_US); /* the guaranteed limit, not an estimate: no new work starts after it */
+    const long long d0 = requests_started("d0"), p0 = requests_started("p0");
     assert_clean(load, "engine.out");
-    g_assert_cmpint(started("d0"), ==, d0);
-    g_assert_cmpint(started("p0"), ==, p0);
+    g_assert_cmpint(requests_started("d0"), ==, d0);
+    g_assert_cmpint(requests_started("p0"), ==, p0);
     cluster_fault(cluster, "d0", "stay", 0);
     cluster_fault(cluster, "p0", "stay", 0);
 }
--- a/tests/fault/test_orders.c
+++ b/tests/fault/test_orders.c
@@ -1,4 +1,5 @@
-/* Engines change role by plan: drained first, ordered once, never out of order, also when leaders change. */
+/* Engines whose role changes by a confirmed plan. Guards against answers cut off because an engine is not drained
+ * first, and against orders that an engine obeys twice or out of order when the leader changes in between. */
 
 #include <signal.h>
 #include <stdio.h>
@@ -12,7 +13,7 @@
 
 typedef struct {
     const char *engine, *role;
-} wanted_t;
+} expected_role_t;
 
 static json_t *engine_stats(const char *engine)
 {
@@ -38,7 +39,7 @@
 
 static bool has_role(void *arg)
 {
-    const wanted_t *const w = arg;
+    const expected_role_t *const w = arg;
     json_t *const stats = engine_stats(w->engine);
     const bool right = strcmp(json_string_value(json_object_get(stats, "role")), w->role) == 0;
     json_decref(stats);
@@ -65,12 +66,12 @@
     for (int i = 0; i < STREAMS; i++) {
         client_join(&clients[i]);
         if (!clients[i].whole || clients[i].wrong || clients[i].doubled)
-            g_error("%s: whole %d wrong %d error %s", clients[i].id, clients[i].whole, clients[i].wrong,
+            g_error("%s: complete %d, wrong tokens %d, error %s", clients[i].id, clients[i].whole, clients[i].wrong,
                     clients[i].error);
     }
 }
 
-/** An engine with answers under way changes its role: nothing is cut off, one order is enough. */
+/** An engine changes its role while it generates answers: none is cut off, and it obeys exactly one order. */
 static void test_drained_first(void)
 {
     client_t clients[STREAMS];
@@ -78,7 +79,7 @@
     g_assert_true(cluster_until(is_busy, (void *)"d0", 10000));
     g_assert_cmpint(client_change(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==, 200);
     join_streams(clients);
-    wanted_t wanted = {.engine = "d0", .role = "prefill"};
+    expected_role_t wanted = {.engine = "d0", .role = "prefill"};
     g_assert_true(cluster_until(has_role, &wanted, 20000));
     g_assert_cmpint(count_of("d0", "obeyed"), ==, 1);
     client_t after;
@@ -88,8 +89,8 @@
     g_assert_true(after.whole && !after.wrong);
 }
 
-/** The leader freezes while the engines drain; the next one orders; the old one wakes. One engine checks the fence,
- *  the other does not. */
+/** The leader freezes while the engines drain, the next leader sends the orders, and the first one resumes. One engine
+ *  checks the fencing token, the other does not. */
 static void test_leader_frozen(void)
 {
     client_t clients[STREAMS];
@@ -103,21 +104,22 @@
     cluster_signal(cluster, old, SIGSTOP);
     g_assert_nonnull(cluster_leader(cluster, 10000));
     join_streams(clients);
-    wanted_t checks = {.engine = "d2", .role = "prefill"}, does_not = {.engine = "d1", .role = "prefill"};
-    g_assert_true(cluster_until(has_role, &checks, 30000));
-    g_assert_true(cluster_until(has_role, &does_not, 30000));
+    expected_role_t fenced_engine = {.engine = "d2", .role = "prefill"},
+                    unfenced_engine = {.engine = "d1", .role = "prefill"};
+    g_assert_true(cluster_until(has_role, &fenced_engine, 30000));
+    g_assert_true(cluster_until(has_role, &unfenced_engine, 30000));
     g_assert_cmpint(
         client_change(cluster, "back", "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"), ==,
         200);
     cluster_signal(cluster, old, SIGCONT);
-    checks.role = does_not.role = "decode";
-    g_assert_true(cluster_until(has_role, &checks, 30000));
-    g_assert_true(cluster_until(has_role, &does_not, 30000));
+    fenced_engine.role = unfenced_engine.role = "decode";
+    g_assert_true(cluster_until(has_role, &fenced_engine, 30000));
+    g_assert_true(cluster_until(has_role, &unfenced_engine, 30000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     for (int i = 0; i < 2; i++) {
         const char *const engine = i ? "d1" : "d2";
-        g_assert_cmpint(count_of(engine, "backward"), ==, 0); /* no order out of order */
-        g_assert_cmpint(count_of(engine, "obeyed"), ==, 2);   /* there and back, each once */
+        g_assert_cmpint(count_of(engine, "backward"), ==, 0); /* no order was obeyed after a later one */
+        g_assert_cmpint(count_of(engine, "obeyed"), ==, 2);   /* to prefill and back to decode, once each */
     }
 }
 
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -1,4 +1,6 @@
-/* Requests under failure, with real processes: callers, engines, entries and schedulers die, stall and freeze. */
+/* Requests under failure, with real processes: callers, engines, entries and schedulers die, stall and freeze, and
+ * engines split, batch or cut off their streams. Guards against answers with wrong, missing or doubled tokens, requests
+ * that run twice or are reported "not_run" after they ran, and engine memory that stays held. */
 
 #include <signal.h>
 #include <stdio.h>
@@ -8,7 +10,7 @@
 
 static cluster_t *cluster;
 
-/** Long limits, so that slow prompts of a test are not refused as too late. */
+/** A long limit on the time to the first token, so that requests with slow prompts are not refused as too late. */
 static const char PATCH[] = "{\"targets\":{\"ttft_ms\":20000}}";
 
 static void start(unsigned entries)
@@ -27,17 +29,17 @@
 static void assert_whole(const client_t *c)
 {
     if (!c->whole || c->wrong || c->doubled)
-        g_error("%s: whole %d wrong %d doubled %d got %u status %d error %s", c->id, c->whole, c->wrong, c->doubled,
-                atomic_load(&c->got), c->status, c->error);
+        g_error("%s: complete %d, wrong tokens %d, doubled tokens %d, got %u tokens, status %d, error %s", c->id,
+                c->whole, c->wrong, c->doubled, atomic_load(&c->got), c->status, c->error);
 }
 
-/** An entry that does not schedule the cell. */
+/** Name of an entry other than the one that schedules the cell. */
 static const char *other_entry(const char *scheduler)
 {
     return strcmp(scheduler, "entry-1") == 0 ? "entry-2" : "entry-1";
 }
 
-static bool engine_busy(void *arg)
+static bool engines_hold_memory(void *arg)
 {
     (void)arg;
     return cluster_stat(cluster, "held_pieces") > 0;
@@ -46,32 +48,32 @@
 static void test_caller_leaves_in_prefill(void)
 {
     client_t c;
-    client_init(&c, "leave-prefill", 60000, 100); /* three seconds of prefill */
+    client_init(&c, "leave-prefill", 60000, 100); /* 3 s of prefill */
     client_start(&c, cluster, "entry-1");
-    if (!cluster_until(engine_busy, NULL, 5000))
-        g_error("no engine took it: status %d error %s", c.status, c.error);
+    if (!cluster_until(engines_hold_memory, NULL, 5000))
+        g_error("no engine started the request: status %d, error %s", c.status, c.error);
     atomic_store(&c.leave, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
-    g_assert_true(client_wait_free(cluster, 2500)); /* well before the prefill would have ended by itself */
-    g_test_message("freed after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
+    g_assert_true(client_wait_free(cluster, 2500)); /* well before the end of an uncancelled prefill */
+    g_test_message("engines hold nothing after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
 static void test_caller_leaves_in_decode(void)
 {
     client_t c;
-    client_init(&c, "leave-decode", 1000, 4000); /* a minute of decode */
+    client_init(&c, "leave-decode", 1000, 4000); /* 60 s of decode */
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 5, 10000));
     atomic_store(&c.leave, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
     g_assert_true(client_wait_free(cluster, 5000));
-    g_test_message("freed after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
+    g_test_message("engines hold nothing after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
-/** Name of the engine of a role that has most requests under way. */
-static char *busiest(const char *role)
+/** Name of the engine of a role with the most running requests. @return new string, or NULL if none runs any */
+static char *busiest_engine(const char *role)
 {
     json_t *const stats = cluster_call(cluster, "stub", "/admin/stats", NULL, NULL);
     char *found = NULL;
@@ -96,11 +98,11 @@
     client_init(&c, "engine-dies", 1000, 300);
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 10, 10000));
-    char *const engine = busiest("decode");
+    char *const engine = busiest_engine("decode");
     g_assert_nonnull(engine);
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
-    assert_whole(&c); /* no token doubled or missing, though two engines made them */
+    assert_whole(&c); /* two engines generated it: no token is doubled or missing */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
     cluster_fault(cluster, engine, "revive", 0);
     g_free(engine);
@@ -114,7 +116,7 @@
     c.once = true;
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 10, 10000));
-    char *const engine = busiest("decode");
+    char *const engine = busiest_engine("decode");
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.whole);
@@ -122,7 +124,7 @@
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     cluster_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    client_t again; /* the operator's caller asks once more: still one run */
+    client_t again; /* the caller repeats the request: it is not run again */
     client_init(&again, c.id, 1000, 300);
     again.once = true;
     client_start(&again, cluster, "entry-2");
@@ -134,7 +136,7 @@
 static void test_transfer_stalls(void)
 {
     static const char *const engines[] = {"d0", "d1", "d2", "d3"};
-    for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) /* one decode engine is left that moves */
+    for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) /* one decode engine is left that does not stall */
         cluster_fault(cluster, engines[i], "stall", 6000);
     const long long before = client_metric(cluster, "entry-1", "trackcove_request_replans_total");
     const long long wasted = cluster_stat(cluster, "wasted");
@@ -174,14 +176,14 @@
     client_start(&rest, cluster, scheduler);
     client_join(&rest);
     assert_whole(&rest);
-    g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1); /* read on, not run again */
+    g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1); /* resumed, not run again */
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
     g_assert_true(client_wait_free(cluster, 5000));
 }
 
-static void test_entry_dies_and_nobody_comes(void)
+static void test_entry_dies_and_caller_does_not_resume(void)
 {
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const char *const entry = other_entry(scheduler);
@@ -191,7 +193,8 @@
     g_assert_true(client_wait_tokens(&c, 5, 10000));
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&c);
-    g_assert_true(client_wait_free(cluster, 8000)); /* its lease lapses, the scheduler cancels */
+    /* The lease of the entry expires, and the scheduler cancels the request. */
+    g_assert_true(client_wait_free(cluster, 8000));
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
@@ -206,7 +209,7 @@
     client_start(&running, cluster, entry);
     g_assert_true(client_wait_tokens(&running, 5, 10000));
     cluster_signal(cluster, scheduler, SIGKILL);
-    client_init(&next, "after-scheduler", 1000, 50); /* asks while nobody schedules */
+    client_init(&next, "after-scheduler", 1000, 50); /* sent while no box schedules the cell */
     client_start(&next, cluster, entry);
     client_join(&next);
     assert_whole(&next);
@@ -234,7 +237,7 @@
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&a);
     client_join(&b);
-    g_assert_true(client_wait_free(cluster, 15000)); /* the next scheduler finds what nobody stands behind */
+    g_assert_true(client_wait_free(cluster, 15000)); /* the next scheduler cancels requests without an entry */
     cluster_spawn(cluster, scheduler);
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
@@ -242,9 +245,9 @@
     g_free(scheduler);
 }
 
-/** The entry stands still with an answer in its hands; its caller comes again elsewhere and gets the whole of it; then
- *  the entry goes on. What it still has in its buffers must not go out a second time. */
-static void test_entry_freezes_and_caller_comes_again(void)
+/** The entry freezes while it relays an answer, its caller resumes through another entry and gets all of it, then the
+ *  first entry continues. It must not send the tokens that are still in its buffers a second time. */
+static void test_entry_freezes_and_caller_resumes(void)
 {
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const char *const entry = other_entry(scheduler);
@@ -263,7 +266,7 @@
     cluster_signal(cluster, entry, SIGCONT);
     client_join(&c);
     g_assert_false(c.whole);
-    g_assert_cmpuint(atomic_load(&c.got), ==, got); /* not one token more */
+    g_assert_cmpuint(atomic_load(&c.got), ==, got); /* no further token was sent */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
@@ -282,7 +285,7 @@
     assert_whole(&c);
     char *const next = cluster_scheduler(cluster, 10000);
     g_assert_cmpstr(next, !=, scheduler);
-    cluster_signal(cluster, scheduler, SIGCONT); /* its lease is over: it must not act */
+    cluster_signal(cluster, scheduler, SIGCONT); /* its lease has expired: it must not schedule */
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     client_t after;
     client_init(&after, "after-freeze", 1000, 50);
@@ -294,9 +297,9 @@
     g_assert_true(client_wait_free(cluster, 8000));
 }
 
-/** A request began through the entry that schedules, which dies with both its roles; asked again while nobody
- *  schedules, it is refused, but not as "not run". */
-static void test_resend_is_not_called_not_run(void)
+/** A request starts through the entry that also schedules, and that box dies. Repeated while no box schedules, the
+ *  request is refused, but not as "not_run". */
+static void test_resend_is_not_reported_not_run(void)
 {
     g_assert_cmpint(client_change(cluster, "short-target", "{\"targets\":{\"ttft_ms\":400}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
@@ -322,12 +325,13 @@
     g_assert_true(client_wait_in_force(cluster, 15000));
 }
 
-/* ===== How engines write their streams ===== */
+/* ===== Faults in the event streams of engines ===== */
 
-enum { NOWHERE = 60000 }; /* a place that no answer of these tests has */
+enum { UNREACHED_TOKEN = 60000 }; /* beyond the end of each answer of these tests */
 
-/** Order one fault of an engine's streams. */
-static void wire_one(const char *name, const char *kind, unsigned n, unsigned place)
+/** Set a fault in the streams of an engine. @param n bytes or tokens, depending on @p kind
+ *  @param place for "halt" and "break": the next event that ends at this token or later stops */
+static void set_stream_fault(const char *name, const char *kind, unsigned n, unsigned place)
 {
     int status = 0;
     json_decref(cluster_call(
@@ -336,8 +340,8 @@
     g_assert_cmpint(status, ==, 200);
 }
 
-/** Order one fault of all decode engines' streams, or of all but one. */
-static void wire_decode(const char *except, const char *kind, unsigned n, unsigned place)
+/** Set a fault in the streams of each decode engine but @p except; "" excepts none. */
+static void set_decode_stream_faults(const char *except, const char *kind, unsigned n, unsigned place)
 {
     json_t *const stats = cluster_call(cluster, "stub", "/admin/stats", NULL, NULL);
     size_t i;
@@ -346,13 +350,13 @@
         const char *const name = json_string_value(json_object_get(e, "name"));
         if (strcmp(json_string_value(json_object_get(e, "role")), "decode") != 0 || strcmp(name, except) == 0)
             continue;
-        wire_one(name, kind, n, place);
+        set_stream_fault(name, kind, n, place);
     }
     json_decref(stats);
 }
 
-/** How many streams were stopped within an event. */
-static json_int_t stopped(void)
+/** Number of streams that were stopped within an event, over all engines. */
+static json_int_t stopped_streams(void)
 {
     json_t *const stats = cluster_call(cluster, "stub", "/admin/stats", NULL, NULL);
     json_int_t n = 0;
@@ -364,14 +368,15 @@
     return n;
 }
 
-static bool stopped_more(void *arg)
+static bool more_streams_stopped(void *arg)
 {
-    return stopped() > *(const json_int_t *)arg;
+    return stopped_streams() > *(const json_int_t *)arg;
 }
 
-static void wire_plain(void)
+/** Clear the faults of the streams, and wait until engines hold nothing. */
+static void clear_stream_faults(void)
 {
-    wire_decode("", "plain", 0, 0);
+    set_decode_stream_faults("", "plain", 0, 0);
     g_assert_true(client_wait_free(cluster, 5000));
 }
 
@@ -383,27 +388,27 @@
         char id[32];
         snprintf(id, sizeof(id), "pieces-%u", pieces[i]);
         client_init(&c, id, 500, 20);
-        wire_decode("", "split", pieces[i], 0);
+        set_decode_stream_faults("", "split", pieces[i], 0);
         client_start(&c, cluster, "entry-1");
         client_join(&c);
         assert_whole(&c);
     }
-    wire_plain();
+    clear_stream_faults();
 }
 
 static void test_events_of_several_tokens(void)
 {
     client_t c;
     client_init(&c, "several", 500, 50);
-    wire_decode("", "batch", 3, 0);
+    set_decode_stream_faults("", "batch", 3, 0);
     client_start(&c, cluster, "entry-1");
     client_join(&c);
     assert_whole(&c);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** One answer, whose stream breaks off behind each byte of an event in turn and is read on each time. */
+/** The stream of one answer breaks after each byte of an event in turn; the entry resumes reading it each time. */
 static void test_breaks_within_events(void)
 {
     enum { EVENT_BYTES = 80 };
@@ -411,69 +416,71 @@
     client_init(&c, "breaks", 500, 4000);
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 1, 10000));
-    char *const engine = busiest("decode");
+    char *const engine = busiest_engine("decode");
     for (unsigned byte = 0; byte < EVENT_BYTES; byte++) {
-        json_int_t before = stopped();
-        wire_one(engine, "break", byte, 0);
-        g_assert_true(cluster_until(stopped_more, &before, 10000));
+        json_int_t before = stopped_streams();
+        set_stream_fault(engine, "break", byte, 0);
+        g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
         if (!client_wait_tokens(&c, atomic_load(&c.got) + 2, 10000))
-            g_error("byte %u: got %u error %s", byte, atomic_load(&c.got), c.error);
+            g_error("no 2 tokens within 10 s of a break after byte %u: got %u in all, error %s", byte,
+                    atomic_load(&c.got), c.error);
     }
     g_assert_false(c.wrong || c.doubled);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     atomic_store(&c.leave, true);
     client_join(&c);
     g_free(engine);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** A stream falls silent within an event; its engine is asked for the rest. Then what was silent goes on. */
+/** A stream stops within an event, and the entry asks the same engine for the rest. Then the stopped stream
+ *  continues. */
 static void test_halts_within_an_event(void)
 {
     client_t c;
-    json_int_t before = stopped();
+    json_int_t before = stopped_streams();
     client_init(&c, "halts", 500, 600);
-    wire_decode("", "halt", 40, 8);
+    set_decode_stream_faults("", "halt", 40, 8);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(stopped_more, &before, 10000));
-    wire_decode("", "halt", 0, NOWHERE); /* nobody else stops */
+    g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
+    set_decode_stream_faults("", "halt", 0, UNREACHED_TOKEN); /* no other stream stops */
     g_assert_true(client_wait_tokens(&c, 8, 10000));
-    wire_decode("", "go_on", 0, 0);
+    set_decode_stream_faults("", "go_on", 0, 0);
     client_join(&c);
     assert_whole(&c);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** Silent within the first event: the prefill result goes to another engine; what the first one still writes is not
- *  taken for the answer. */
+/** A stream stops within its first event, and the prefill result goes to another engine. What the first engine writes
+ *  afterwards must not go into the answer. */
 static void test_halts_within_the_first_event(void)
 {
     client_t c;
-    json_int_t before = stopped();
+    json_int_t before = stopped_streams();
     client_init(&c, "halts-first", 500, 600);
-    wire_decode("", "halt", 40, 1);
+    set_decode_stream_faults("", "halt", 40, 1);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(stopped_more, &before, 10000));
-    wire_decode("", "halt", 0, NOWHERE); /* nobody else stops */
+    g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
+    set_decode_stream_faults("", "halt", 0, UNREACHED_TOKEN); /* no other stream stops */
     g_assert_true(client_wait_tokens(&c, 1, 10000));
-    wire_decode("", "go_on", 0, 0);
+    set_decode_stream_faults("", "go_on", 0, 0);
     client_join(&c);
     assert_whole(&c);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** A second run on an engine that gives other tokens breaks before it comes to where the first run ended. What it
- * brings then must not be taken for what follows the first run's tokens. */
-static void test_second_run_differs_behind_a_halt(void)
+/** The stream of a second run, which generates other tokens, stops before it reaches the point where the first run
+ *  ended. The tokens that it sends after that must not be appended to those of the first run. */
+static void test_second_run_differs_after_a_halt(void)
 {
     client_t c;
     client_init(&c, "differs", 500, 300);
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 30, 10000));
-    char *const engine = busiest("decode");
-    wire_decode(engine, "vary", 15, 0);
-    wire_decode(engine, "halt", 20, 10);
+    char *const engine = busiest_engine("decode");
+    set_decode_stream_faults(engine, "vary", 15, 0);
+    set_decode_stream_faults(engine, "halt", 20, 10);
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
@@ -481,30 +488,30 @@
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
     cluster_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** The same, where the second run gives the same tokens: it is read on behind the break and goes into the answer. */
+/** As before, but the second run generates the same tokens: it is read on after the break and completes the answer. */
 static void test_second_run_breaks_before_the_first_ended(void)
 {
     client_t c;
     client_init(&c, "same-again", 500, 300);
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 30, 10000));
-    char *const engine = busiest("decode");
-    wire_decode(engine, "break", 20, 10);
+    char *const engine = busiest_engine("decode");
+    set_decode_stream_faults(engine, "break", 20, 10);
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
     cluster_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** An entry dies with an answer half given, and so does the engine that has it. The caller comes to another entry with
- *  the id of its last event, unchanged. */
-static void come_again_after_both_died(const char *id, client_t *rest, bool differs)
+/** An entry and the engine that generates the answer die in the middle of it. The caller resends the request to another
+ *  entry with the unchanged id of its last event. @param differs whether the new run generates other tokens */
+static void resend_after_entry_and_engine_died(const char *id, client_t *rest, bool differs)
 {
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const char *const entry = other_entry(scheduler);
@@ -512,13 +519,13 @@
     client_init(&c, id, 500, 300);
     client_start(&c, cluster, entry);
     g_assert_true(client_wait_tokens(&c, 30, 10000));
-    char *const engine = busiest("decode");
+    char *const engine = busiest_engine("decode");
     cluster_signal(cluster, entry, SIGKILL);
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
     if (differs)
-        wire_decode(engine, "vary", 15, 0);
+        set_decode_stream_faults(engine, "vary", 15, 0);
     client_init(rest, id, 500, 300);
     rest->resend = true;
     rest->last_event = atomic_load(&c.got);
@@ -530,29 +537,29 @@
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(engine);
     g_free(scheduler);
-    wire_plain();
+    clear_stream_faults();
 }
 
-/** The new run gives the same tokens: the answer goes on. */
+/** The new run generates the same tokens: the answer continues. */
 static void test_resend_reaches_the_same_answer(void)
 {
     client_t rest;
-    come_again_after_both_died("resend-same", &rest, false);
+    resend_after_entry_and_engine_died("resend-same", &rest, false);
     assert_whole(&rest);
 }
 
-/** The new run gives others, already where the caller has the first one's: nothing of it may follow those. */
+/** The new run differs from the first within the tokens that the caller already has: none of its tokens may follow. */
 static void test_resend_reaches_another_answer(void)
 {
     client_t rest;
-    come_again_after_both_died("resend-other", &rest, true);
+    resend_after_entry_and_engine_died("resend-other", &rest, true);
     g_assert_false(rest.wrong || rest.doubled);
     g_assert_false(rest.whole);
     g_assert_cmpstr(rest.error, ==, "outcome_unknown");
 }
 
-/** Each run gets its own time: one that begins behind the first token's due time has as much for its prefill. */
-static void test_second_prefill_has_its_time(void)
+/** Each run has its own time limit: one that starts after the first token was due has the full time for its prefill. */
+static void test_second_prefill_has_its_own_time(void)
 {
     enum { TTFT_MS = 5000, LONG_PROMPT = 68000 }; /* 3.4 s of prefill */
     static const char *const prefills[] = {"p0", "p1", "p2", "p3", "p4"};
@@ -563,14 +570,14 @@
     const gint64 due = g_get_monotonic_time() + TTFT_MS * G_TIME_SPAN_MILLISECOND;
     client_start(&c, cluster, "entry-1");
     if (!client_wait_tokens(&c, 30, 10000))
-        g_error("no tokens: status %d error %s", c.status, c.error);
+        g_error("fewer than 30 tokens within 10 s: status %d, error %s", c.status, c.error);
     while (g_get_monotonic_time() < due)
         g_assert_true(client_wait_tokens(&c, atomic_load(&c.got) + 1, 10000));
-    for (size_t i = 0; i < G_N_ELEMENTS(prefills); i++) { /* their caches are gone: it is computed once more */
+    for (size_t i = 0; i < G_N_ELEMENTS(prefills); i++) { /* empties their caches, so that the prefill is repeated */
         cluster_fault(cluster, prefills[i], "die", 0);
         cluster_fault(cluster, prefills[i], "revive", 0);
     }
-    char *const engine = busiest("decode");
+    char *const engine = busiest_engine("decode");
     cluster_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
@@ -581,7 +588,7 @@
     g_assert_true(client_wait_free(cluster, 5000));
 }
 
-/** Overload: refused early, and whoever is told "not run" did not run. */
+/** Under overload requests are refused early, and those refused as "not_run" have not run. */
 static void test_overload(void)
 {
     g_assert_cmpint(client_change(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
@@ -619,23 +626,23 @@
     g_test_add_func("/requests/engine-dies-once", test_engine_dies_once);
     g_test_add_func("/requests/transfer-stalls", test_transfer_stalls);
     g_test_add_func("/requests/entry-dies-and-caller-resumes", test_entry_dies_and_caller_resumes);
-    g_test_add_func("/requests/entry-dies-and-nobody-comes", test_entry_dies_and_nobody_comes);
+    g_test_add_func("/requests/entry-dies-and-nobody-comes", test_entry_dies_and_caller_does_not_resume);
     g_test_add_func("/requests/scheduler-dies", test_scheduler_dies);
     g_test_add_func("/requests/entry-and-scheduler-die", test_entry_and_scheduler_die);
-    g_test_add_func("/requests/entry-freezes-and-caller-comes-again", test_entry_freezes_and_caller_comes_again);
+    g_test_add_func("/requests/entry-freezes-and-caller-comes-again", test_entry_freezes_and_caller_resumes);
     g_test_add_func("/requests/scheduler-freezes", test_scheduler_freezes);
-    g_test_add_func("/requests/resend-is-not-called-not-run", test_resend_is_not_called_not_run);
+    g_test_add_func("/requests/resend-is-not-called-not-run", test_resend_is_not_reported_not_run);
     g_test_add_func("/requests/events-in-pieces", test_events_in_pieces);
     g_test_add_func("/requests/events-of-several-tokens", test_events_of_several_tokens);
     g_test_add_func("/requests/breaks-within-events", test_breaks_within_events);
     g_test_add_func("/requests/halts-within-an-event", test_halts_within_an_event);
     g_test_add_func("/requests/halts-within-the-first-event", test_halts_within_the_first_event);
-    g_test_add_func("/requests/second-run-differs-behind-a-halt", test_second_run_differs_behind_a_halt);
+    g_test_add_func("/requests/second-run-differs-behind-a-halt", test_second_run_differs_after_a_halt);
     g_test_add_func("/requests/second-run-breaks-before-the-first-ended",
                     test_second_run_breaks_before_the_first_ended);
     g_test_add_func("/requests/resend-reaches-the-same-answer", test_resend_reaches_the_same_answer);
     g_test_add_func("/requests/resend-reaches-another-answer", test_resend_reaches_another_answer);
-    g_test_add_func("/requests/second-prefill-has-its-time", test_second_prefill_has_its_time);
+    g_test_add_func("/requests/second-prefill-has-its-time", test_second_prefill_has_its_own_time);
     g_test_add_func("/requests/overload", test_overload);
     const int rc = g_test_run();
     stop(rc != 0);
--- a/tests/fault/test_services.c
+++ b/tests/fault/test_services.c
@@ -1,4 +1,5 @@
-/* Plain services under failure: a call that may not be repeated runs at most once, "not run" is true. */
+/* Plain services under failure. Guards against a call that may not be repeated but runs twice, and against the error
+ * "not_run" for a call that may have run: when workers or boxes die, callers race, or no control majority is left. */
 
 #include <signal.h>
 #include <stdio.h>
@@ -27,7 +28,7 @@
     char type[32];
     g_assert_cmpint(call("entry-1", "plain", type), ==, 200);
     g_assert_cmpint(client_count(cluster, "plain", "runs"), ==, 1);
-    g_assert_cmpint(call("entry-2", "plain", type), ==, 502); /* the same id again: it ran, and is not run again */
+    g_assert_cmpint(call("entry-2", "plain", type), ==, 502); /* repeated id: the call does not run again */
     g_assert_cmpstr(type, ==, "outcome_unknown");
     g_assert_cmpint(client_count(cluster, "plain", "runs"), ==, 1);
 }
@@ -48,7 +49,7 @@
 {
     char type[32];
     fault_all("die_before", 3000);
-    /* Bytes reached the worker: nobody can tell, so it is not called "not run" and not sent again. */
+    /* Bytes reached the worker, so the outcome is unknown: not reported as "not_run", and not sent again. */
     g_assert_cmpint(call("entry-1", "dies-before", type), ==, 502);
     g_assert_cmpstr(type, ==, "outcome_unknown");
     g_assert_cmpint(client_count(cluster, "dies-before", "runs"), ==, 0);
@@ -68,7 +69,7 @@
     return NULL;
 }
 
-/** The same id through all entries at once: one claim wins. */
+/** The same id through all entries at once: exactly one claim succeeds. */
 static void test_racing_callers(void)
 {
     for (int round = 0; round < 5; round++) {
@@ -94,7 +95,7 @@
     return client_count(cluster, arg, "runs") > 0;
 }
 
-/** The entry dies while the call runs; its caller comes again elsewhere; the control leader dies too. */
+/** The entry and the control leader die while the call runs, and the caller repeats it through another entry. */
 static void test_entry_and_leader_die(void)
 {
     char id[] = "entry-and-leader";
@@ -107,8 +108,8 @@
     cluster_signal(cluster, "entry-2", SIGKILL);
     cluster_signal(cluster, leader, SIGKILL);
     g_thread_join(thread);
-    g_assert_nonnull(cluster_leader(cluster, 10000)); /* the claim is on a majority of disks */
-    /* Until the new leader is found nothing is sent ("not run"); then the claim is seen. */
+    g_assert_nonnull(cluster_leader(cluster, 10000)); /* the claim is stored on a majority of disks */
+    /* No call is sent until the new leader is found ("not_run"); after that the claim is found. */
     int status = 0;
     for (int i = 0; i < 100 && strcmp(type, "outcome_unknown") != 0; i++) {
         status = call("entry-1", id, type);
@@ -122,7 +123,7 @@
     g_assert_true(cluster_wait_ready(cluster, "entry-2", 20000));
 }
 
-/** A call that may not be repeated is claimed and answered, at any entry. */
+/** Whether entry-2 claims and answers a call that may not be repeated. Each try uses a new id. */
 static bool is_claimed_again(void *arg)
 {
     int *const tries = arg;
@@ -131,7 +132,7 @@
     return call("entry-2", id, type) == 200;
 }
 
-/** Without a control majority a call that may not be repeated is refused, and it truly did not run. */
+/** Without a control majority a call that may not be repeated is refused as "not_run", and it has not run. */
 static void test_no_control(void)
 {
     char type[32];
@@ -144,13 +145,13 @@
     g_assert_nonnull(cluster_leader(cluster, 10000));
     g_assert_cmpint(client_count(cluster, "no-control", "runs"), ==, 0);
     g_assert_true(cluster_wait_ready(cluster, "entry-1", 20000));
-    /* A leader that was stopped takes itself for one for a moment, and claims are refused until the next one is there:
-     * the next test's call was, once, while it has to run. */
+    /* A leader that was stopped still believes for a moment that it leads, and claims are refused until the next leader
+     * is elected. Without this wait, the first call of the next test, which must run, was refused once. */
     int tries = 0;
     g_assert_true(cluster_until(is_claimed_again, &tries, 20000));
 }
 
-/** One slow worker is not taken for dead, a dying one is passed over for a while. */
+/** A slow worker is not treated as dead; one that fails is ejected for a while. */
 static void test_ejection(void)
 {
     char type[32];
@@ -175,10 +176,10 @@
 
 enum { SHED_MS = 5000 };
 
-/** A worker that turns a call away and asks for a while without any gets none meanwhile: the caller who was turned away
- *  has its answer, the others are served elsewhere. Seen before: all 12 calls were turned away, since refusals come
- * fast and a worker is chosen by its latency. */
-static void test_worker_asks_for_no_calls(void)
+/** A worker that sheds a call and asks for no calls for a while gets none during that time: only the first caller is
+ *  refused, and the others are served by other workers. Guards against this fault: workers are chosen by latency and
+ *  a refusal is fast, so all 12 calls went to the shedding worker and were refused. */
+static void test_worker_sheds_calls(void)
 {
     char type[32];
     cluster_fault(cluster, "air-notify-0", "shed", SHED_MS);
@@ -188,17 +189,17 @@
         snprintf(id, sizeof(id), "shed-%d", i);
         refused += call("entry-3", id, type) != 200;
     }
-    g_assert_cmpint(refused, <=, 1); /* none where it was passed over for a failure */
+    g_assert_cmpint(refused, <=, 1); /* 0 if the worker was still ejected for a failure */
     fault_all("shed", SHED_MS);
-    int turned_away = 0;
+    int shed_by_worker = 0;
     for (int i = 0; i < 6; i++) {
         char id[32];
         snprintf(id, sizeof(id), "shed-all-%d", i);
         g_assert_cmpint(call("entry-3", id, type), ==, 503);
-        turned_away += strcmp(type, "not_run") != 0; /* by a worker, not by the box */
+        shed_by_worker += strcmp(type, "not_run") != 0; /* refused by a worker, not by the box */
     }
-    g_assert_cmpint(turned_away, >=, 1);
-    g_assert_cmpint(turned_away, <=, 3); /* each worker is asked once */
+    g_assert_cmpint(shed_by_worker, >=, 1);
+    g_assert_cmpint(shed_by_worker, <=, 3); /* at most one call to each worker */
     fault_all("shed", 0);
     int tries = 0;
     g_assert_true(cluster_until(is_served_again, &tries, 20000));
@@ -215,7 +216,7 @@
     g_test_add_func("/services/worker-dies-before", test_worker_dies_before);
     g_test_add_func("/services/racing-callers", test_racing_callers);
     g_test_add_func("/services/ejection", test_ejection);
-    g_test_add_func("/services/worker-asks-for-no-calls", test_worker_asks_for_no_calls);
+    g_test_add_func("/services/worker-asks-for-no-calls", test_worker_sheds_calls);
     g_test_add_func("/services/no-control", test_no_control);
     g_test_add_func("/services/entry-and-leader-die", test_entry_and_leader_die);
     const int rc = g_test_run();
