--- a/tests/harness/proxy.c
+++ b/tests/harness/proxy.c
@@ -299,7 +299,7 @@
     proxy_reset(proxy);
 }
 
-void proxy_mute(proxy_t *proxy)
+void proxy_blackhole(proxy_t *proxy)
 {
     pair_t *p;
     cds_list_for_each_entry(p, &proxy->pairs, node) {
@@ -308,7 +308,7 @@
     }
 }
 
-void proxy_mute_after(proxy_t *proxy, bool answers, size_t bytes)
+void proxy_blackhole_after(proxy_t *proxy, bool answers, size_t bytes)
 {
     pair_t *p;
     cds_list_for_each_entry(p, &proxy->pairs, node) {
--- a/tests/harness/proxy.h
+++ b/tests/harness/proxy.h
@@ -31,10 +31,10 @@
 /** No more than @p rate bytes a second pass each way of a connection, 0 for any number: whoever sends more waits. */
 void proxy_set_rate(proxy_t *proxy, size_t rate);
 /** The connections that stand lose all from now on, for good; new ones pass. */
-void proxy_mute(proxy_t *proxy);
+void proxy_blackhole(proxy_t *proxy);
 /** The connections that stand let @p bytes more of one direction pass, lose what follows in it for good, and stay open;
  *  new ones pass. @param answers the direction from the side that listens, else that from the side that dialled */
-void proxy_mute_after(proxy_t *proxy, bool answers, size_t bytes);
+void proxy_blackhole_after(proxy_t *proxy, bool answers, size_t bytes);
 /** Reset all connections. */
 void proxy_reset(proxy_t *proxy);
 /** The one it connects to has ended: connections are refused, those that stand are reset; or it is there again. */
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -366,7 +366,7 @@
     world_t *const w = s->world;
     box_t *const b = &w->boxes[world_pick(w, WORLD_BOXES)];
     const bool mute = world_draw(w) < 0.5;
-    void (*const lose)(proxy_t *) = mute ? proxy_mute : proxy_reset;
+    void (*const lose)(proxy_t *) = mute ? proxy_blackhole : proxy_reset;
     world_note(w, "connections to %s %s", b->ip, mute ? "fall silent" : "are reset");
     lose(b->way_to_entry);
     if (b->way_to_control)
@@ -386,7 +386,7 @@
     if (notices_is_on(k))
         return;
     world_note(w, "connections to worker %s lose %s after %zu bytes", k->id, answers ? "answers" : "calls", bytes);
-    proxy_mute_after(k->way, answers, bytes);
+    proxy_blackhole_after(k->way, answers, bytes);
 }
 
 static void mend_ways(const world_t *w)
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -25,7 +25,7 @@
 
 static void mute(void *arg)
 {
-    proxy_mute(arg);
+    proxy_blackhole(arg);
 }
 
 static char *good_key, *other_key;
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -136,7 +136,7 @@
     end_t *const to = of_answers ? &old.caller : &old.server;
     end_send(from, "before ");
     end_expect(f, to, "before ");
-    proxy_mute_after(f->proxy, of_answers, 8);
+    proxy_blackhole_after(f->proxy, of_answers, 8);
     end_send(from, "01234");
     end_expect(f, to, "before 01234");
     end_send(from, "56789");
@@ -163,7 +163,7 @@
 {
     connection_t c = connection_open(f);
     (void)data;
-    proxy_mute_after(f->proxy, answers, 0);
+    proxy_blackhole_after(f->proxy, answers, 0);
     end_send(&c.server, "lost");
     end_send(&c.caller, "call");
     end_expect(f, &c.server, "call");
