--- a/tests/harness/proxy.c
+++ b/tests/harness/proxy.c
@@ -117,9 +117,9 @@
 {
     const bool from_caller = from == &from->pair->caller;
     switch (from->pair->proxy->mode) {
-    case PROXY_NO_ANSWER: return !from_caller;
-    case PROXY_NO_CALL: return from_caller;
-    case PROXY_SILENT: return true;
+    case PROXY_DROP_ANSWERS: return !from_caller;
+    case PROXY_DROP_CALLS: return from_caller;
+    case PROXY_DROP_ALL: return true;
     default: return false;
     }
 }
--- a/tests/harness/proxy.h
+++ b/tests/harness/proxy.h
@@ -12,10 +12,10 @@
 /** What happens to bytes. */
 typedef enum {
     PROXY_PASS,
-    PROXY_DELAY,     /**< they pass 150 ms later */
-    PROXY_NO_ANSWER, /**< those of the side that listens are lost */
-    PROXY_NO_CALL,   /**< those of the side that dialled are lost */
-    PROXY_SILENT,    /**< all are lost */
+    PROXY_DELAY,        /**< they pass 150 ms later */
+    PROXY_DROP_ANSWERS, /**< those of the side that listens are lost */
+    PROXY_DROP_CALLS,   /**< those of the side that dialled are lost */
+    PROXY_DROP_ALL,     /**< all are lost */
     PROXY_MODES
 } proxy_mode_t;
 
