--- a/tests/fault/test_baselines.c
+++ b/tests/fault/test_baselines.c
@@ -56,10 +56,10 @@
     client_init(&c, "silent", 500, 8000); /* a minute of decode at least */
     halt_at(1);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(halted, NULL, 10000));
+    g_assert_true(cluster_wait_until(halted, NULL, 10000));
     halt_at(NOWHERE);
     g_assert_true(client_wait_tokens(&c, 1, 20000));
-    g_assert_true(cluster_until(one_runs, NULL, 5000));
+    g_assert_true(cluster_wait_until(one_runs, NULL, 5000));
     atomic_store(&c.leave, true);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
--- a/tests/fault/test_callers.c
+++ b/tests/fault/test_callers.c
@@ -156,7 +156,7 @@
             g_assert_cmpint(send(fd, pieces[i], strlen(pieces[i]), MSG_NOSIGNAL), >, 0);
             close(fd);
         }
-    g_assert_true(cluster_until(nothing_in_flight, NULL, 15000));
+    g_assert_true(cluster_wait_until(nothing_in_flight, NULL, 15000));
     g_assert_cmpint(cluster_stat(cluster, "held_pieces"), ==, 0);
     client_t c;
     client_init(&c, "after-half-sent", 500, 20);
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -226,16 +226,16 @@
     empty_disk("control-2");
     set_max_queue("during-loss", 501);
     cluster_spawn(cluster, "control-2");
-    g_assert_true(cluster_until(is_repaired, &second, 20000));
+    g_assert_true(cluster_wait_until(is_repaired, &second, 20000));
     cluster_signal(cluster, "control-1", SIGKILL); /* the founder, and its disk with it */
     empty_disk("control-1");
     set_max_queue("after-second", 502);
     wanted_t wanted = {.box = "control-2", .queue = 502};
-    g_assert_true(cluster_until(has_value, &wanted, 10000));
+    g_assert_true(cluster_wait_until(has_value, &wanted, 10000));
     cluster_spawn(cluster, "control-1"); /* it may found clusters, but must not found a second one here */
-    g_assert_true(cluster_until(is_repaired, &first, 20000));
+    g_assert_true(cluster_wait_until(is_repaired, &first, 20000));
     wanted.box = "control-1";
-    g_assert_true(cluster_until(has_value, &wanted, 10000));
+    g_assert_true(cluster_wait_until(has_value, &wanted, 10000));
     g_assert_true(client_wait_in_force(cluster, 20000));
 }
 
@@ -255,7 +255,7 @@
     g_assert_cmpint(accepted(), ==, before + CHANGES);
     cluster_spawn(cluster, box);
     wanted_t wanted = {.box = box, .queue = 1000 + CHANGES - 1};
-    g_assert_true(cluster_until(has_value, &wanted, 20000));
+    g_assert_true(cluster_wait_until(has_value, &wanted, 20000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     const char *const argv[] = {"trackcove", "data", "check", "data/control-1", NULL};
     g_assert_cmpint(cluster_run(cluster, argv, NULL), ==, 0);
@@ -280,7 +280,7 @@
         snprintf(name, sizeof(name), "control-%d", i);
         cluster_signal(cluster, name, SIGKILL);
     }
-    g_assert_true(cluster_until(not_ready, (void *)"entry-1", 15000));
+    g_assert_true(cluster_wait_until(not_ready, (void *)"entry-1", 15000));
     client_t refused;
     client_init(&refused, "refused", 500, 20);
     client_start(&refused, cluster, "entry-1");
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -67,7 +67,7 @@
 {
     const GPid load = begin_load("8", "sigterm.out");
     served_t served = {.entry = "entry-2"};
-    g_assert_true(cluster_until(has_served, &served, 15000));
+    g_assert_true(cluster_wait_until(has_served, &served, 15000));
     cluster_signal(cluster, "entry-2", SIGTERM);
     g_assert_cmpint(cluster_wait_exit(cluster, "entry-2", 60000), ==, 0);
     assert_clean(load, "sigterm.out");
@@ -81,7 +81,7 @@
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const GPid load = begin_load("8", "drain.out");
     served_t served = {.entry = scheduler};
-    g_assert_true(cluster_until(has_served, &served, 15000));
+    g_assert_true(cluster_wait_until(has_served, &served, 15000));
     const char *const argv[] = {"trackcove",
                                 "drain",
                                 scheduler,
--- a/tests/fault/test_orders.c
+++ b/tests/fault/test_orders.c
@@ -75,11 +75,11 @@
 {
     client_t clients[STREAMS];
     start_streams(clients, "drained");
-    g_assert_true(cluster_until(is_busy, (void *)"d0", 10000));
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d0", 10000));
     g_assert_cmpint(client_change(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==, 200);
     join_streams(clients);
     wanted_t wanted = {.engine = "d0", .role = "prefill"};
-    g_assert_true(cluster_until(has_role, &wanted, 20000));
+    g_assert_true(cluster_wait_until(has_role, &wanted, 20000));
     g_assert_cmpint(count_of("d0", "obeyed"), ==, 1);
     client_t after;
     client_init(&after, "after-change", 500, 20);
@@ -94,8 +94,8 @@
 {
     client_t clients[STREAMS];
     start_streams(clients, "frozen");
-    g_assert_true(cluster_until(is_busy, (void *)"d1", 10000));
-    g_assert_true(cluster_until(is_busy, (void *)"d2", 10000));
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d1", 10000));
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d2", 10000));
     g_assert_cmpint(client_change(cluster, "two-engines",
                                   "{\"engines\":{\"d1\":{\"role\":\"prefill\"},\"d2\":{\"role\":\"prefill\"}}}"),
                     ==, 200);
@@ -104,15 +104,15 @@
     g_assert_nonnull(cluster_leader(cluster, 10000));
     join_streams(clients);
     wanted_t checks = {.engine = "d2", .role = "prefill"}, does_not = {.engine = "d1", .role = "prefill"};
-    g_assert_true(cluster_until(has_role, &checks, 30000));
-    g_assert_true(cluster_until(has_role, &does_not, 30000));
+    g_assert_true(cluster_wait_until(has_role, &checks, 30000));
+    g_assert_true(cluster_wait_until(has_role, &does_not, 30000));
     g_assert_cmpint(
         client_change(cluster, "back", "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"), ==,
         200);
     cluster_signal(cluster, old, SIGCONT);
     checks.role = does_not.role = "decode";
-    g_assert_true(cluster_until(has_role, &checks, 30000));
-    g_assert_true(cluster_until(has_role, &does_not, 30000));
+    g_assert_true(cluster_wait_until(has_role, &checks, 30000));
+    g_assert_true(cluster_wait_until(has_role, &does_not, 30000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     for (int i = 0; i < 2; i++) {
         const char *const engine = i ? "d1" : "d2";
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -48,7 +48,7 @@
     client_t c;
     client_init(&c, "leave-prefill", 60000, 100); /* three seconds of prefill */
     client_start(&c, cluster, "entry-1");
-    if (!cluster_until(engine_busy, NULL, 5000))
+    if (!cluster_wait_until(engine_busy, NULL, 5000))
         g_error("no engine took it: status %d error %s", c.status, c.error);
     atomic_store(&c.leave, true);
     client_join(&c);
@@ -415,7 +415,7 @@
     for (unsigned byte = 0; byte < EVENT_BYTES; byte++) {
         json_int_t before = stopped();
         wire_one(engine, "break", byte, 0);
-        g_assert_true(cluster_until(stopped_more, &before, 10000));
+        g_assert_true(cluster_wait_until(stopped_more, &before, 10000));
         if (!client_wait_tokens(&c, atomic_load(&c.got) + 2, 10000))
             g_error("byte %u: got %u error %s", byte, atomic_load(&c.got), c.error);
     }
@@ -435,7 +435,7 @@
     client_init(&c, "halts", 500, 600);
     wire_decode("", "halt", 40, 8);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(stopped_more, &before, 10000));
+    g_assert_true(cluster_wait_until(stopped_more, &before, 10000));
     wire_decode("", "halt", 0, NOWHERE); /* nobody else stops */
     g_assert_true(client_wait_tokens(&c, 8, 10000));
     wire_decode("", "go_on", 0, 0);
@@ -454,7 +454,7 @@
     client_init(&c, "halts-first", 500, 600);
     wire_decode("", "halt", 40, 1);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(stopped_more, &before, 10000));
+    g_assert_true(cluster_wait_until(stopped_more, &before, 10000));
     wire_decode("", "halt", 0, NOWHERE); /* nobody else stops */
     g_assert_true(client_wait_tokens(&c, 1, 10000));
     wire_decode("", "go_on", 0, 0);
--- a/tests/fault/test_services.c
+++ b/tests/fault/test_services.c
@@ -102,7 +102,7 @@
     char type[32] = "";
     fault_all("slow", 2000);
     GThread *const thread = g_thread_new("caller", run_caller, &first);
-    g_assert_true(cluster_until(has_run, id, 10000));
+    g_assert_true(cluster_wait_until(has_run, id, 10000));
     const char *const leader = cluster_leader(cluster, 10000);
     cluster_signal(cluster, "entry-2", SIGKILL);
     cluster_signal(cluster, leader, SIGKILL);
@@ -147,7 +147,7 @@
     /* A leader that was stopped takes itself for one for a moment, and claims are refused until the next one is there:
      * the next test's call was, once, while it has to run. */
     int tries = 0;
-    g_assert_true(cluster_until(is_claimed_again, &tries, 20000));
+    g_assert_true(cluster_wait_until(is_claimed_again, &tries, 20000));
 }
 
 /** One slow worker is not taken for dead, a dying one is passed over for a while. */
@@ -201,7 +201,7 @@
     g_assert_cmpint(turned_away, <=, 3); /* each worker is asked once */
     fault_all("shed", 0);
     int tries = 0;
-    g_assert_true(cluster_until(is_served_again, &tries, 20000));
+    g_assert_true(cluster_wait_until(is_served_again, &tries, 20000));
 }
 
 int main(int argc, char **argv)
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -155,7 +155,7 @@
 bool client_wait_tokens(client_t *c, unsigned tokens, int limit_ms)
 {
     tokens_t t = {.client = c, .tokens = tokens};
-    return cluster_until(has_tokens, &t, limit_ms) && atomic_load(&c->got) >= tokens;
+    return cluster_wait_until(has_tokens, &t, limit_ms) && atomic_load(&c->got) >= tokens;
 }
 
 /* ===== Counts ===== */
@@ -191,7 +191,7 @@
 
 bool client_wait_free(cluster_t *cluster, int limit_ms)
 {
-    return cluster_until(is_free, cluster, limit_ms);
+    return cluster_wait_until(is_free, cluster, limit_ms);
 }
 
 /* ===== Services ===== */
@@ -255,5 +255,5 @@
 
 bool client_wait_in_force(cluster_t *cluster, int limit_ms)
 {
-    return cluster_until(in_force, cluster, limit_ms);
+    return cluster_wait_until(in_force, cluster, limit_ms);
 }
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -328,7 +328,7 @@
     return answer;
 }
 
-bool cluster_until(cluster_condition_t condition, void *arg, int limit_ms)
+bool cluster_wait_until(cluster_condition_t condition, void *arg, int limit_ms)
 {
     const gint64 end = g_get_monotonic_time() + (gint64)limit_ms * 1000;
     while (!condition(arg)) {
@@ -355,7 +355,7 @@
 bool cluster_wait_ready(cluster_t *c, const char *name, int limit_ms)
 {
     named_t named = {.cluster = c, .name = name};
-    return cluster_until(is_ready, &named, limit_ms);
+    return cluster_wait_until(is_ready, &named, limit_ms);
 }
 
 const char *cluster_leader(cluster_t *c, int limit_ms)
@@ -460,7 +460,7 @@
 
 static bool all_ready(cluster_t *c)
 {
-    if (!cluster_until(all_voters, c, READY_MS)) {
+    if (!cluster_wait_until(all_voters, c, READY_MS)) {
         fprintf(stderr, "not all control boxes are voters; see %s/log\n", c->dir);
         return false;
     }
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -84,7 +84,7 @@
 
 /** Run a condition until it is true. @return false after @p limit_ms */
 typedef bool (*cluster_condition_t)(void *arg);
-bool cluster_until(cluster_condition_t condition, void *arg, int limit_ms);
+bool cluster_wait_until(cluster_condition_t condition, void *arg, int limit_ms);
 
 /** Run a program from build/bin with arguments to its end. @param output heap standard output, may be NULL
  * @return exit status */
