--- a/bench/scale.c
+++ b/bench/scale.c
@@ -228,7 +228,7 @@
     if (!submit_change(c, request, 1000 + number))
         return -1;
     for (;;) {
-        json_t *const status = cluster_operate(c, "/v1/status", NULL, NULL, 1000);
+        json_t *const status = cluster_call_leader(c, "/v1/status", NULL, NULL, 1000);
         const bool done = json_integer_value(json_object_get(status, "accepted")) ==
                           json_integer_value(json_object_get(status, "in_force"));
         json_decref(status);
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -14,7 +14,7 @@
 
 static json_int_t accepted(void)
 {
-    json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 10000);
+    json_t *const status = cluster_call_leader(cluster, "/v1/status", NULL, NULL, 10000);
     const json_int_t version = json_integer_value(json_object_get(status, "accepted"));
     json_decref(status);
     return version;
@@ -125,7 +125,7 @@
 {
     const json_int_t before = accepted();
     int status = 0;
-    json_decref(cluster_operate(
+    json_decref(cluster_call_leader(
         cluster, "/v1/plan",
         json_pack("{s:s,s:{s:{s:i}}}", "request_id", "killed", "patch", "targets", "max_queue", 300), &status, 10000));
     g_assert_cmpint(status, ==, 200);
@@ -136,9 +136,9 @@
     /* The operator asks again with the same request id until someone answers. */
     status = 0;
     for (int i = 0; i < 50 && status != 200; i++)
-        json_decref(cluster_operate(cluster, "/v1/confirm",
-                                    json_pack("{s:s,s:s}", "request_id", "killed-confirm", "plan", "plan-killed"),
-                                    &status, 10000));
+        json_decref(cluster_call_leader(cluster, "/v1/confirm",
+                                        json_pack("{s:s,s:s}", "request_id", "killed-confirm", "plan", "plan-killed"),
+                                        &status, 10000));
     g_assert_cmpint(status, ==, 200);
     g_assert_cmpint(accepted(), ==, before + 1); /* once, whichever leader took it */
     cluster_spawn(cluster, confirm.leader);
@@ -185,7 +185,7 @@
 /** Look a box up in the leader's list; the list is full only when no old identity is left in it. */
 static bool find_control(const char *box, char id[32])
 {
-    json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 1000);
+    json_t *const status = cluster_call_leader(cluster, "/v1/status", NULL, NULL, 1000);
     const json_t *const list = json_object_get(status, "control");
     bool voter = false;
     size_t i;
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -101,9 +101,9 @@
     char *const next = cluster_scheduler(cluster, 10000);
     g_assert_cmpstr(next, !=, scheduler);
     int status = 0;
-    json_decref(cluster_operate(cluster, "/v1/drain",
-                                json_pack("{s:s,s:s,s:b}", "request_id", "undrain", "box", scheduler, "on", 0), &status,
-                                10000));
+    json_decref(cluster_call_leader(cluster, "/v1/drain",
+                                    json_pack("{s:s,s:s,s:b}", "request_id", "undrain", "box", scheduler, "on", 0),
+                                    &status, 10000));
     g_assert_cmpint(status, ==, 200);
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -229,7 +229,7 @@
 {
     char *const plan = g_strdup_printf("%s-plan", request);
     int status = 0;
-    json_t *const planned = cluster_operate(
+    json_t *const planned = cluster_call_leader(
         cluster, "/v1/plan", json_pack("{s:s,s:o}", "request_id", plan, "patch", json_loads(patch, 0, NULL)), &status,
         10000);
     g_free(plan);
@@ -237,16 +237,16 @@
         json_decref(planned);
         return status;
     }
-    json_decref(cluster_operate(cluster, "/v1/confirm",
-                                json_pack("{s:s,s:O}", "request_id", request, "plan", json_object_get(planned, "plan")),
-                                &status, 10000));
+    json_decref(cluster_call_leader(
+        cluster, "/v1/confirm", json_pack("{s:s,s:O}", "request_id", request, "plan", json_object_get(planned, "plan")),
+        &status, 10000));
     json_decref(planned);
     return status;
 }
 
 static bool in_force(void *arg)
 {
-    json_t *const status = cluster_operate(arg, "/v1/status", NULL, NULL, 1000);
+    json_t *const status = cluster_call_leader(arg, "/v1/status", NULL, NULL, 1000);
     const json_int_t accepted = json_integer_value(json_object_get(status, "accepted"));
     const json_int_t everywhere = json_integer_value(json_object_get(status, "in_force"));
     json_decref(status);
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -387,7 +387,7 @@
     }
 }
 
-json_t *cluster_operate(cluster_t *c, const char *path, json_t *body, int *status, int limit_ms)
+json_t *cluster_call_leader(cluster_t *c, const char *path, json_t *body, int *status, int limit_ms)
 {
     const char *const leader = cluster_leader(c, limit_ms);
     if (!leader) {
@@ -401,7 +401,7 @@
 {
     const gint64 end = g_get_monotonic_time() + (gint64)limit_ms * 1000;
     for (;;) {
-        json_t *const status = cluster_operate(c, "/v1/status", NULL, NULL, limit_ms);
+        json_t *const status = cluster_call_leader(c, "/v1/status", NULL, NULL, limit_ms);
         const char *const box =
             json_string_value(json_object_get(json_array_get(json_object_get(status, "cells"), 0), "box"));
         char *const name = box ? g_strdup(box) : NULL;
@@ -448,7 +448,7 @@
 static bool all_voters(void *arg)
 {
     cluster_t *const c = arg;
-    json_t *const status = cluster_operate(c, "/v1/status", NULL, NULL, 1000);
+    json_t *const status = cluster_call_leader(c, "/v1/status", NULL, NULL, 1000);
     unsigned voters = 0;
     size_t i;
     json_t *m;
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -65,7 +65,7 @@
 json_t *cluster_call(cluster_t *cluster, const char *name, const char *path, json_t *body, int *status);
 
 /** Ask the control boxes until the leader answers. @param body as cluster_call */
-json_t *cluster_operate(cluster_t *cluster, const char *path, json_t *body, int *status, int limit_ms);
+json_t *cluster_call_leader(cluster_t *cluster, const char *path, json_t *body, int *status, int limit_ms);
 
 /** Name of the control box that leads, or NULL within @p limit_ms. */
 const char *cluster_leader(cluster_t *cluster, int limit_ms);
