--- a/bench/bench.c
+++ b/bench/bench.c
@@ -111,13 +111,13 @@
     case KILL_ENTRY:
     case KILL_SCHEDULER: kill_and_restart(c, name ? name : "entry-1"); break;
     case KILL_ENGINE:
-        cluster_fault(c, "d0", "die", 0);
+        cluster_inject_fault(c, "d0", "die", 0);
         g_usleep(ENGINE_DOWN_US);
-        cluster_fault(c, "d0", "revive", 0);
+        cluster_inject_fault(c, "d0", "revive", 0);
         break;
     case STALL_TRANSFER:
-        cluster_fault(c, "d0", "stall", STALL_MS);
-        cluster_fault(c, "d1", "stall", STALL_MS);
+        cluster_inject_fault(c, "d0", "stall", STALL_MS);
+        cluster_inject_fault(c, "d1", "stall", STALL_MS);
         break;
     case FREEZE_ENTRY:
         cluster_signal(c, name, SIGSTOP);
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -131,15 +131,15 @@
     const long long before = started("d0");
     while (started("d0") == before)
         g_usleep(20000);
-    cluster_fault(cluster, "d0", "leave", 0);
-    cluster_fault(cluster, "p0", "leave", 0);
+    cluster_inject_fault(cluster, "d0", "leave", 0);
+    cluster_inject_fault(cluster, "p0", "leave", 0);
     g_usleep(FEW_SECONDS_US); /* the promise's own span, not a guess: after it there is no new work */
     const long long d0 = started("d0"), p0 = started("p0");
     assert_clean(load, "engine.out");
     g_assert_cmpint(started("d0"), ==, d0);
     g_assert_cmpint(started("p0"), ==, p0);
-    cluster_fault(cluster, "d0", "stay", 0);
-    cluster_fault(cluster, "p0", "stay", 0);
+    cluster_inject_fault(cluster, "d0", "stay", 0);
+    cluster_inject_fault(cluster, "p0", "stay", 0);
 }
 
 int main(int argc, char **argv)
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -98,11 +98,11 @@
     g_assert_true(client_wait_tokens(&c, 10, 10000));
     char *const engine = busiest("decode");
     g_assert_nonnull(engine);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c); /* no token doubled or missing, though two engines made them */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     g_assert_true(client_wait_free(cluster, 5000));
 }
@@ -115,12 +115,12 @@
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 10, 10000));
     char *const engine = busiest("decode");
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.whole);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     client_t again; /* the operator's caller asks once more: still one run */
     client_init(&again, c.id, 1000, 300);
@@ -135,7 +135,7 @@
 {
     static const char *const engines[] = {"d0", "d1", "d2", "d3"};
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) /* one decode engine is left that moves */
-        cluster_fault(cluster, engines[i], "stall", 6000);
+        cluster_inject_fault(cluster, engines[i], "stall", 6000);
     const long long before = client_metric(cluster, "entry-1", "trackcove_request_replans_total");
     const long long wasted = cluster_stat(cluster, "wasted");
     client_t clients[4];
@@ -152,7 +152,7 @@
     g_assert_cmpint(client_metric(cluster, "entry-1", "trackcove_request_replans_total"), >, before);
     g_test_message("prefill tokens wasted: %lld", cluster_stat(cluster, "wasted") - wasted);
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++)
-        cluster_fault(cluster, engines[i], "stall", 0);
+        cluster_inject_fault(cluster, engines[i], "stall", 0);
     g_assert_true(client_wait_free(cluster, 5000));
 }
 
@@ -474,12 +474,12 @@
     char *const engine = busiest("decode");
     wire_decode(engine, "vary", 15, 0);
     wire_decode(engine, "halt", 20, 10);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
     g_assert_false(c.whole);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     wire_plain();
 }
@@ -493,11 +493,11 @@
     g_assert_true(client_wait_tokens(&c, 30, 10000));
     char *const engine = busiest("decode");
     wire_decode(engine, "break", 20, 10);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     wire_plain();
 }
@@ -514,7 +514,7 @@
     g_assert_true(client_wait_tokens(&c, 30, 10000));
     char *const engine = busiest("decode");
     cluster_signal(cluster, entry, SIGKILL);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
     if (differs)
@@ -525,7 +525,7 @@
     g_strlcpy(rest->event_id, c.event_id, sizeof(rest->event_id));
     client_start(rest, cluster, scheduler);
     client_join(rest);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(engine);
@@ -567,14 +567,14 @@
     while (g_get_monotonic_time() < due)
         g_assert_true(client_wait_tokens(&c, atomic_load(&c.got) + 1, 10000));
     for (size_t i = 0; i < G_N_ELEMENTS(prefills); i++) { /* their caches are gone: it is computed once more */
-        cluster_fault(cluster, prefills[i], "die", 0);
-        cluster_fault(cluster, prefills[i], "revive", 0);
+        cluster_inject_fault(cluster, prefills[i], "die", 0);
+        cluster_inject_fault(cluster, prefills[i], "revive", 0);
     }
     char *const engine = busiest("decode");
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     g_assert_cmpint(client_change(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
--- a/tests/fault/test_services.c
+++ b/tests/fault/test_services.c
@@ -14,7 +14,7 @@
 {
     static const char *const workers[] = {"air-notify-0", "air-notify-1", "air-notify-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(workers); i++)
-        cluster_fault(cluster, workers[i], kind, ms);
+        cluster_inject_fault(cluster, workers[i], kind, ms);
 }
 
 static int call(const char *entry, const char *id, char type[32])
@@ -154,7 +154,7 @@
 static void test_ejection(void)
 {
     char type[32];
-    cluster_fault(cluster, "air-notify-0", "die_before", 4000);
+    cluster_inject_fault(cluster, "air-notify-0", "die_before", 4000);
     int unknown = 0;
     for (int i = 0; i < 30; i++) {
         char id[32];
@@ -162,7 +162,7 @@
         unknown += call("entry-3", id, type) != 200;
     }
     g_assert_cmpint(unknown, <=, 2); /* ejected after its first failure */
-    cluster_fault(cluster, "air-notify-0", "die_before", 0);
+    cluster_inject_fault(cluster, "air-notify-0", "die_before", 0);
 }
 
 static bool is_served_again(void *arg)
@@ -181,7 +181,7 @@
 static void test_worker_asks_for_no_calls(void)
 {
     char type[32];
-    cluster_fault(cluster, "air-notify-0", "shed", SHED_MS);
+    cluster_inject_fault(cluster, "air-notify-0", "shed", SHED_MS);
     int refused = 0;
     for (int i = 0; i < 12; i++) {
         char id[32];
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -412,7 +412,7 @@
     }
 }
 
-void cluster_fault(cluster_t *c, const char *name, const char *kind, double ms)
+void cluster_inject_fault(cluster_t *c, const char *name, const char *kind, double ms)
 {
     int status = 0;
     json_decref(cluster_call(c, "stub", "/admin/fault",
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -74,7 +74,7 @@
 char *cluster_scheduler(cluster_t *cluster, int limit_ms);
 
 /** Order a fault of the stand-in. */
-void cluster_fault(cluster_t *cluster, const char *name, const char *kind, double ms);
+void cluster_inject_fault(cluster_t *cluster, const char *name, const char *kind, double ms);
 
 /** A count of the stand-in's statistics. */
 long long cluster_stat(cluster_t *cluster, const char *key);
