--- a/bench/bench.c
+++ b/bench/bench.c
@@ -141,7 +141,7 @@
     const bool shift = strcmp(run->scenario, "load_shift") == 0;
     if (shift)
         snprintf(seconds, sizeof(seconds), "%d", SHIFT_AT_S + SHIFT_AFTER_S);
-    char *const entries = cluster_entries(c);
+    char *const entries = cluster_entry_addrs(c);
     char at[16];
     snprintf(at, sizeof(at), "%d", SHIFT_AT_S);
     const char *const argv[] = {"trackcove-load",
--- a/bench/demo.c
+++ b/bench/demo.c
@@ -15,7 +15,7 @@
     cluster_t *const cluster = cluster_start(&options);
     if (!cluster)
         return 1;
-    char *const entries = cluster_entries(cluster);
+    char *const entries = cluster_entry_addrs(cluster);
     printf("entries: %s\n", entries);
     const char *const load[] = {"trackcove-load", "--entries", entries,  "--admin", cluster_addr(cluster, "stub"),
                                 "--mix",          deployment,  "--load", "0.7",     "--seconds",
--- a/bench/one.c
+++ b/bench/one.c
@@ -22,7 +22,7 @@
     cluster_t *const c = cluster_start(&options);
     if (!c)
         return 1;
-    char *const entries = cluster_entries(c);
+    char *const entries = cluster_entry_addrs(c);
     const char *const load[] = {"trackcove-load",
                                 "--entries",
                                 entries,
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -172,7 +172,7 @@
     g_usleep(IDLE_US / 2);
     const totals_t idle_end = totals(c, ENTRIES);
     const double idle_elapsed_ms = now_ms() - begin;
-    char *const entries = cluster_entries(c);
+    char *const entries = cluster_entry_addrs(c);
     char text[16];
     snprintf(text, sizeof(text), "%g", load);
     const char *const argv[] = {"trackcove-load",
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -12,7 +12,7 @@
 
 static GPid begin_load(const char *seconds, const char *output)
 {
-    char *const entries = cluster_entries(cluster);
+    char *const entries = cluster_entry_addrs(cluster);
     const char *const load[] = {"trackcove-load",
                                 "--entries",
                                 entries,
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -586,7 +586,7 @@
 {
     g_assert_cmpint(client_change(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
-    char *const entries = cluster_entries(cluster);
+    char *const entries = cluster_entry_addrs(cluster);
     const char *const load[] = {"trackcove-load",
                                 "--entries",
                                 entries,
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -429,7 +429,7 @@
     return value;
 }
 
-char *cluster_entries(const cluster_t *c)
+char *cluster_entry_addrs(const cluster_t *c)
 {
     GString *const list = g_string_new(NULL);
     for (unsigned i = 0; i < c->n; i++)
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -80,7 +80,7 @@
 long long cluster_stat(cluster_t *cluster, const char *key);
 
 /** Addresses of all entries, comma between; for trackcove-load. g_free it. */
-char *cluster_entries(const cluster_t *cluster);
+char *cluster_entry_addrs(const cluster_t *cluster);
 
 /** Run a condition until it is true. @return false after @p limit_ms */
 typedef bool (*cluster_condition_t)(void *arg);
