--- a/bench/bench.c
+++ b/bench/bench.c
@@ -171,7 +171,7 @@
                                 "--shift-at",
                                 at,
                                 NULL};
-    const GPid pid = cluster_begin(c, argv, "load.out");
+    const GPid pid = cluster_run_async(c, argv, "load.out");
     if (run->fault != NO_FAULT) {
         g_usleep((gulong)((WARMUP_S + opt_seconds * 0.3) * 1e6));
         inject_fault(c, run->fault);
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -30,7 +30,7 @@
                                 "0",
                                 "--strict",
                                 NULL};
-    const GPid pid = cluster_begin(cluster, load, output);
+    const GPid pid = cluster_run_async(cluster, load, output);
     g_free(entries);
     return pid;
 }
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -276,7 +276,7 @@
     }
 }
 
-GPid cluster_begin(cluster_t *c, const char *const *argv, const char *output_file)
+GPid cluster_run_async(cluster_t *c, const char *const *argv, const char *output_file)
 {
     return spawn(c, argv, output_file);
 }
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -91,7 +91,7 @@
 int cluster_run(cluster_t *cluster, const char *const *argv, char **output);
 
 /** Begin a program from build/bin; finish with cluster_join. */
-GPid cluster_begin(cluster_t *cluster, const char *const *argv, const char *output_file);
+GPid cluster_run_async(cluster_t *cluster, const char *const *argv, const char *output_file);
 int cluster_join(GPid pid);
 
 #endif
