--- a/tests/fault/test_baselines.c
+++ b/tests/fault/test_baselines.c
@@ -63,7 +63,7 @@
     atomic_store(&c.leave, true);
     client_join(&c);
     g_assert_false(c.wrong || c.doubled);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 int main(int argc, char **argv)
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -53,7 +53,7 @@
     atomic_store(&c.leave, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
-    g_assert_true(client_wait_free(cluster, 2500)); /* well before the prefill would have ended by itself */
+    g_assert_true(client_wait_idle(cluster, 2500)); /* well before the prefill would have ended by itself */
     g_test_message("freed after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
@@ -66,7 +66,7 @@
     atomic_store(&c.leave, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
     g_test_message("freed after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
@@ -104,7 +104,7 @@
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
     cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_engine_dies_once(void)
@@ -153,7 +153,7 @@
     g_test_message("prefill tokens wasted: %lld", cluster_stat(cluster, "wasted") - wasted);
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++)
         cluster_inject_fault(cluster, engines[i], "stall", 0);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_entry_dies_and_caller_resumes(void)
@@ -178,7 +178,7 @@
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_entry_dies_and_nobody_comes(void)
@@ -191,7 +191,7 @@
     g_assert_true(client_wait_tokens(&c, 5, 10000));
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&c);
-    g_assert_true(client_wait_free(cluster, 8000)); /* its lease lapses, the scheduler cancels */
+    g_assert_true(client_wait_idle(cluster, 8000)); /* its lease lapses, the scheduler cancels */
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
@@ -216,7 +216,7 @@
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 static void test_entry_and_scheduler_die(void)
@@ -234,7 +234,7 @@
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&a);
     client_join(&b);
-    g_assert_true(client_wait_free(cluster, 15000)); /* the next scheduler finds what nobody stands behind */
+    g_assert_true(client_wait_idle(cluster, 15000)); /* the next scheduler finds what nobody stands behind */
     cluster_spawn(cluster, scheduler);
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
@@ -267,7 +267,7 @@
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 static void test_scheduler_freezes(void)
@@ -291,7 +291,7 @@
     assert_whole(&after);
     g_free(next);
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 /** A request began through the entry that schedules, which dies with both its roles; asked again while nobody
@@ -317,7 +317,7 @@
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 15000));
+    g_assert_true(client_wait_idle(cluster, 15000));
     g_assert_cmpint(client_change(cluster, "long-target", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
 }
@@ -372,7 +372,7 @@
 static void wire_plain(void)
 {
     wire_decode("", "plain", 0, 0);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_events_in_pieces(void)
@@ -578,7 +578,7 @@
     g_free(engine);
     g_assert_cmpint(client_change(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 /** Overload: refused early, and whoever is told "not run" did not run. */
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -189,7 +189,7 @@
     return cluster_stat(arg, "held_pieces") == 0;
 }
 
-bool client_wait_free(cluster_t *cluster, int limit_ms)
+bool client_wait_idle(cluster_t *cluster, int limit_ms)
 {
     return cluster_wait_until(is_free, cluster, limit_ms);
 }
--- a/tests/harness/client.h
+++ b/tests/harness/client.h
@@ -46,7 +46,7 @@
 long long client_metric(cluster_t *cluster, const char *name, const char *metric);
 
 /** Wait until engines hold nothing. */
-bool client_wait_free(cluster_t *cluster, int limit_ms);
+bool client_wait_idle(cluster_t *cluster, int limit_ms);
 
 /** Call a plain service. @param type filled with error.type or "" @return HTTP status, 0 when there was no answer */
 int client_call_service(const cluster_t *cluster, const char *entry, const char *service, const char *id, bool once,
