--- a/bench/scale.c
+++ b/bench/scale.c
@@ -216,7 +216,7 @@
 {
     char patch[64];
     snprintf(patch, sizeof(patch), "{\"targets\":{\"max_queue\":%d}}", value);
-    return client_change(c, name, patch) == 200;
+    return client_change_config(c, name, patch) == 200;
 }
 
 /** Time from sending the confirmation until the change is in force on all boxes, ms; -1: the change failed. */
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -33,7 +33,7 @@
 {
     char patch[64];
     snprintf(patch, sizeof(patch), "{\"targets\":{\"max_queue\":%d}}", value);
-    g_assert_cmpint(client_change(cluster, request, patch), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, request, patch), ==, 200);
 }
 
 static void test_change_in_force(void)
@@ -99,10 +99,10 @@
 static void test_bad_settings_refused(void)
 {
     const json_int_t before = accepted();
-    g_assert_cmpint(client_change(cluster, "bad-range", "{\"targets\":{\"ttft_ms\":0}}"), ==, 400);
-    g_assert_cmpint(client_change(cluster, "bad-name", "{\"targets\":{\"speed\":1}}"), ==, 400);
-    g_assert_cmpint(client_change(cluster, "last-of-role",
-                                  "{\"engines\":{\"d0\":null,\"d1\":null,\"d2\":null,\"d3\":null,\"d4\":null}}"),
+    g_assert_cmpint(client_change_config(cluster, "bad-range", "{\"targets\":{\"ttft_ms\":0}}"), ==, 400);
+    g_assert_cmpint(client_change_config(cluster, "bad-name", "{\"targets\":{\"speed\":1}}"), ==, 400);
+    g_assert_cmpint(client_change_config(cluster, "last-of-role",
+                                         "{\"engines\":{\"d0\":null,\"d1\":null,\"d2\":null,\"d3\":null,\"d4\":null}}"),
                     ==, 400);
     g_assert_cmpint(accepted(), ==, before);
 }
--- a/tests/fault/test_orders.c
+++ b/tests/fault/test_orders.c
@@ -76,7 +76,8 @@
     client_t clients[STREAMS];
     start_streams(clients, "drained");
     g_assert_true(cluster_wait_until(is_busy, (void *)"d0", 10000));
-    g_assert_cmpint(client_change(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==,
+                    200);
     join_streams(clients);
     wanted_t wanted = {.engine = "d0", .role = "prefill"};
     g_assert_true(cluster_wait_until(has_role, &wanted, 20000));
@@ -96,8 +97,8 @@
     start_streams(clients, "frozen");
     g_assert_true(cluster_wait_until(is_busy, (void *)"d1", 10000));
     g_assert_true(cluster_wait_until(is_busy, (void *)"d2", 10000));
-    g_assert_cmpint(client_change(cluster, "two-engines",
-                                  "{\"engines\":{\"d1\":{\"role\":\"prefill\"},\"d2\":{\"role\":\"prefill\"}}}"),
+    g_assert_cmpint(client_change_config(cluster, "two-engines",
+                                         "{\"engines\":{\"d1\":{\"role\":\"prefill\"},\"d2\":{\"role\":\"prefill\"}}}"),
                     ==, 200);
     const char *const old = cluster_leader(cluster, 10000);
     cluster_signal(cluster, old, SIGSTOP);
@@ -106,9 +107,9 @@
     wanted_t checks = {.engine = "d2", .role = "prefill"}, does_not = {.engine = "d1", .role = "prefill"};
     g_assert_true(cluster_wait_until(has_role, &checks, 30000));
     g_assert_true(cluster_wait_until(has_role, &does_not, 30000));
-    g_assert_cmpint(
-        client_change(cluster, "back", "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"), ==,
-        200);
+    g_assert_cmpint(client_change_config(cluster, "back",
+                                         "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"),
+                    ==, 200);
     cluster_signal(cluster, old, SIGCONT);
     checks.role = does_not.role = "decode";
     g_assert_true(cluster_wait_until(has_role, &checks, 30000));
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -298,7 +298,7 @@
  *  schedules, it is refused, but not as "not run". */
 static void test_resend_is_not_called_not_run(void)
 {
-    g_assert_cmpint(client_change(cluster, "short-target", "{\"targets\":{\"ttft_ms\":400}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "short-target", "{\"targets\":{\"ttft_ms\":400}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const char *const entry = other_entry(scheduler);
@@ -318,7 +318,7 @@
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     g_free(scheduler);
     g_assert_true(client_wait_idle(cluster, 15000));
-    g_assert_cmpint(client_change(cluster, "long-target", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "long-target", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
 }
 
@@ -556,7 +556,7 @@
 {
     enum { TTFT_MS = 5000, LONG_PROMPT = 68000 }; /* 3.4 s of prefill */
     static const char *const prefills[] = {"p0", "p1", "p2", "p3", "p4"};
-    g_assert_cmpint(client_change(cluster, "five-seconds", "{\"targets\":{\"ttft_ms\":5000}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "five-seconds", "{\"targets\":{\"ttft_ms\":5000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     client_t c;
     client_init(&c, "long-again", LONG_PROMPT, 600);
@@ -576,7 +576,7 @@
     assert_whole(&c);
     cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    g_assert_cmpint(client_change(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     g_assert_true(client_wait_idle(cluster, 5000));
 }
@@ -584,7 +584,7 @@
 /** Overload: refused early, and whoever is told "not run" did not run. */
 static void test_overload(void)
 {
-    g_assert_cmpint(client_change(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     char *const entries = cluster_entry_addrs(cluster);
     const char *const load[] = {"trackcove-load",
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -225,7 +225,7 @@
 
 /* ===== Operators ===== */
 
-int client_change(cluster_t *cluster, const char *request, const char *patch)
+int client_change_config(cluster_t *cluster, const char *request, const char *patch)
 {
     char *const plan = g_strdup_printf("%s-plan", request);
     int status = 0;
--- a/tests/harness/client.h
+++ b/tests/harness/client.h
@@ -53,7 +53,7 @@
                         char type[32]);
 
 /** Plan and confirm a configuration change. @return HTTP status of the confirmation, 0 when no leader answered */
-int client_change(cluster_t *cluster, const char *request, const char *patch);
+int client_change_config(cluster_t *cluster, const char *request, const char *patch);
 
 /** Wait until the leader says that its accepted version is in force everywhere. */
 bool client_wait_in_force(cluster_t *cluster, int limit_ms);
