--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -238,7 +238,7 @@
     return ntohs(at.sin_port);
 }
 
-void lab_free_addr(char to[32])
+void lab_unused_addr(char to[32])
 {
     /* What was handed out may be opened later: the system, which knows nothing of that, gives the same port to two
      * boxes of a test in 1 of 2,000. */
@@ -251,7 +251,7 @@
     g_snprintf(to, 32, "127.0.0.1:%d", port);
 }
 
-int lab_free_block(const char *ip)
+int lab_unused_ports(const char *ip)
 {
     /* Below those that the system gives to connections. */
     enum { FIRST = 20000, SPAN = 20, BLOCKS = 600 };
@@ -338,7 +338,7 @@
     return b->requests;
 }
 
-unsigned lab_backend_left(const lab_backend_t *b)
+unsigned lab_backend_abandoned(const lab_backend_t *b)
 {
     return b->left;
 }
@@ -387,7 +387,7 @@
     return call(client, addr, request, false);
 }
 
-lab_call_t *lab_call_kept(web_client_t *client, const char *addr, const char *request)
+lab_call_t *lab_call_reuse(web_client_t *client, const char *addr, const char *request)
 {
     return call(client, addr, request, true);
 }
--- a/tests/harness/lab.h
+++ b/tests/harness/lab.h
@@ -49,11 +49,11 @@
 } lab_call_t;
 
 /** A free port on 127.0.0.1, as "127.0.0.1:PORT"; never the same twice. */
-void lab_free_addr(char to[32]);
+void lab_unused_addr(char to[32]);
 
 /** The first of 20 ports for a program's boxes, which no other test of this machine has that listens at the first of
  * them at @p ip. */
-int lab_free_block(const char *ip);
+int lab_unused_ports(const char *ip);
 
 /** Listen at @p addr and answer by @p script. */
 lab_backend_t *lab_backend_start(loop_t *loop, const char *addr, lab_script_t script, void *arg);
@@ -73,12 +73,12 @@
 /** Requests taken whole. */
 unsigned lab_backend_requests(const lab_backend_t *backend);
 /** Connections that the other side closed while a request was unanswered. */
-unsigned lab_backend_left(const lab_backend_t *backend);
+unsigned lab_backend_abandoned(const lab_backend_t *backend);
 
 /** Send a request, given as text. */
 lab_call_t *lab_call(web_client_t *client, const char *addr, const char *request);
 /** The same over a kept connection, if there is one. */
-lab_call_t *lab_call_kept(web_client_t *client, const char *addr, const char *request);
+lab_call_t *lab_call_reuse(web_client_t *client, const char *addr, const char *request);
 /** Only when the call is done or was cancelled. */
 void lab_call_free(lab_call_t *call);
 
--- a/tests/platform/forward_lab.h
+++ b/tests/platform/forward_lab.h
@@ -275,7 +275,7 @@
     forwarder_set_routes(f->forwarder, table);
     f->limits = table->limits;
     route_table_unref(table);
-    lab_free_addr(f->addr);
+    lab_unused_addr(f->addr);
     tc_err_t err = {0};
     f->server = web_server_start(f->loop, f->addr, &f->limits, forwarder_handle, f->forwarder, &err);
     g_assert_nonnull(f->server);
@@ -308,7 +308,7 @@
     memset(list, 0, sizeof(list));
     for (uint32_t i = 0; i < n; i++) {
         f->plan[i].replies = plans[i].replies;
-        lab_free_addr(f->backend_addr[i]);
+        lab_unused_addr(f->backend_addr[i]);
         if (!plans[i].down)
             f->backend[i] = lab_backend_start(f->loop, f->backend_addr[i], script, arg ? arg : &f->plan[i]);
         g_snprintf(list[i].id, sizeof(list[i].id), "i-%u", i);
--- a/tests/platform/large_lab.h
+++ b/tests/platform/large_lab.h
@@ -169,7 +169,7 @@
     *e = (entry_t){.world = w};
     g_snprintf(e->self.box, sizeof(e->self.box), "entry-%02d", i);
     codec_copy_string(e->self.http_addr, sizeof(e->self.http_addr), "127.0.0.1:1");
-    lab_free_addr(e->self.peer_addr);
+    lab_unused_addr(e->self.peer_addr);
     e->self.incarnation = 1;
     const reporter_options_t options = {.peer_listen = e->self.peer_addr, .controls = controls, .neighbours = nobody};
     const reporter_events_t events = {.on_document = on_document, .arg = e};
@@ -284,7 +284,7 @@
     signal(SIGTERM, kill_running);
     w->loop = loop_create();
     w->client = web_client_create(w->loop);
-    w->port = lab_free_block("127.0.3.10"); /* the first control box */
+    w->port = lab_unused_ports("127.0.3.10"); /* the first control box */
     g_strlcpy(w->root, "/tmp/trackcove-large-XXXXXX", sizeof(w->root));
     g_assert_nonnull(g_mkdtemp(w->root));
     for (int i = 0; i < CONTROLS; i++) {
--- a/tests/platform/leader_lab.h
+++ b/tests/platform/leader_lab.h
@@ -27,13 +27,13 @@
 static void leader_join(leader_t *l, fixture_t *f, peer_handler_t handler, reporter_events_t events, void *arg)
 {
     tc_err_t err = {0};
-    lab_free_addr(l->addr);
+    lab_unused_addr(l->addr);
     const peer_options_t options = {
         .box = "leader", .incarnation = 1, .listen = l->addr, .key_file = "", .handler = handler, .arg = arg};
     l->net = peer_create(f->loop, &options, &err);
     g_assert_nonnull(l->net);
     codec_copy_string(l->self.box, sizeof(l->self.box), "entry");
-    lab_free_addr(l->self.peer_addr);
+    lab_unused_addr(l->self.peer_addr);
     l->self.incarnation = 1;
     const char *const controls[] = {l->addr, NULL};
     const char *const no_neighbours[] = {NULL};
--- a/tests/platform/soak/engines.c
+++ b/tests/platform/soak/engines.c
@@ -320,11 +320,11 @@
     k->kind = i < WORLD_PREFILL ? 0 : (i < WORLD_DECODE ? 1 : 2);
     g_snprintf(k->id, sizeof(k->id), "i-%d", i);
     char own[32];
-    lab_free_addr(own);
+    lab_unused_addr(own);
     k->limited = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
     k->rests = notices_array();
     k->backend = lab_backend_start(w->loop, own, on_request, k);
-    lab_free_addr(k->addr);
+    lab_unused_addr(k->addr);
     k->way = proxy_start(w->loop, k->addr, own);
 }
 
--- a/tests/platform/soak/world.c
+++ b/tests/platform/soak/world.c
@@ -255,7 +255,7 @@
     w->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, drop_stream);
     w->schedule = g_string_new(NULL);
     w->began = tc_time_now();
-    w->port = lab_free_block("127.0.1.2"); /* where the list stands */
+    w->port = lab_unused_ports("127.0.1.2"); /* where the list stands */
     g_strlcpy(w->root, "/tmp/trackcove-soak-XXXXXX", sizeof(w->root));
     g_assert_nonnull(g_mkdtemp(w->root));
     char at[32];
--- a/tests/platform/test_call_gate.c
+++ b/tests/platform/test_call_gate.c
@@ -81,7 +81,7 @@
         g_snprintf(list[i].id, sizeof(list[i].id), "e%d", i);
         codec_copy_string(list[i].stage, sizeof(list[i].stage), "decode");
         char addr[32];
-        lab_free_addr(addr);
+        lab_unused_addr(addr);
         codec_copy_string(list[i].addr, sizeof(list[i].addr), addr);
         engines[i] = lab_backend_start(loop, addr, i == 0 ? refuse : send_runs, &counts.queries[i]);
     }
--- a/tests/platform/test_discover.c
+++ b/tests/platform/test_discover.c
@@ -50,7 +50,7 @@
     f->loop = loop_create();
     f->client = web_client_create(f->loop);
     web_client_set_idle_max(f->client, 1);
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     f->platform = lab_backend_start(f->loop, addr, answer, f);
     const discover_platform_t platform = {.addr = addr, .rate = RATE};
     f->discover = discover_create(f->loop, f->client, &platform, on_list, f);
--- a/tests/platform/test_forward.c
+++ b/tests/platform/test_forward.c
@@ -111,7 +111,7 @@
 
 static bool has_left(void *arg)
 {
-    return lab_backend_left(((fixture_t *)arg)->backend[0]) == 1;
+    return lab_backend_abandoned(((fixture_t *)arg)->backend[0]) == 1;
 }
 
 static bool has_request(void *arg)
--- a/tests/platform/test_forward_attempts.c
+++ b/tests/platform/test_forward_attempts.c
@@ -154,7 +154,7 @@
     for (int i = 0; i < 4; i++) {
         char *const text =
             g_strdup_printf("%s /safe/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id1\r\n\r\n", i % 2 ? "GET" : "HEAD");
-        lab_call_t *const c = lab_call_kept(f->callers, f->addr, text);
+        lab_call_t *const c = lab_call_reuse(f->callers, f->addr, text);
         lab_run_until_true(f->loop, &c->done);
         g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
         g_assert_cmpint(c->status, ==, 200);
--- a/tests/platform/test_limits.c
+++ b/tests/platform/test_limits.c
@@ -112,7 +112,7 @@
     backend_server_t *const b = &w->backends[i];
     *b = (backend_server_t){
         .world = w, .stage = stage, .limit = limit, .arrivals = g_array_new(FALSE, FALSE, sizeof(tc_time_t))};
-    lab_free_addr(b->addr);
+    lab_unused_addr(b->addr);
     b->server = lab_backend_start(w->f.loop, b->addr, serve, b);
     backend_t *const listed = &w->list[i];
     g_snprintf(listed->id, sizeof(listed->id), "i-%d", i);
@@ -169,9 +169,9 @@
     const char *const nobody[] = {NULL};
     *e = (entry_t){.self = {.incarnation = (uint64_t)tc_time_now(), .ready = true}};
     g_snprintf(e->self.box, sizeof(e->self.box), "entry-%d", i);
-    lab_free_addr(e->addr);
+    lab_unused_addr(e->addr);
     codec_copy_string(e->self.http_addr, sizeof(e->self.http_addr), e->addr);
-    lab_free_addr(e->self.peer_addr);
+    lab_unused_addr(e->self.peer_addr);
     e->fleet = fleet_create();
     e->client = web_client_create(w->f.loop);
     const forwarder_options_t options = {
--- a/tests/platform/test_rebalancer.c
+++ b/tests/platform/test_rebalancer.c
@@ -59,7 +59,7 @@
     f->orders_taken = 5;
     f->now = tc_time_now();
     for (int i = 0; i < ENGINES; i++) {
-        lab_free_addr(f->addr[i]);
+        lab_unused_addr(f->addr[i]);
         f->engine[i] = lab_backend_start(f->loop, f->addr[i], script, f);
         backend_t *const b = &f->list[i];
         g_snprintf(b->id, sizeof(b->id), "e%d", i);
--- a/tests/platform/test_stream_random.c
+++ b/tests/platform/test_stream_random.c
@@ -432,7 +432,7 @@
                                        "Token-Count: 100,50\r\n%sContent-Length: 4\r\n\r\nbody",
                                        q->path, q->id, q->has_short_deadline ? SHORT_DEADLINE_MS : 8000, resume);
     q->call =
-        one_in(random, 2) ? lab_call_kept(w->f->callers, w->f->addr, text) : lab_call(w->f->callers, w->f->addr, text);
+        one_in(random, 2) ? lab_call_reuse(w->f->callers, w->f->addr, text) : lab_call(w->f->callers, w->f->addr, text);
     g_free(text);
     g_rand_free(random);
 }
--- a/tests/unit/cluster_lab.h
+++ b/tests/unit/cluster_lab.h
@@ -76,8 +76,8 @@
     (void)data;
     f->loop = loop_create();
     for (int i = 0; i < BOXES; i++) {
-        lab_free_addr(f->addr[i]);
-        lab_free_addr(f->http[i]);
+        lab_unused_addr(f->addr[i]);
+        lab_unused_addr(f->http[i]);
         g_strlcpy(f->dir[i], "/tmp/trackcove-cluster-XXXXXX", sizeof(f->dir[i]));
         g_assert_nonnull(g_mkdtemp(f->dir[i]));
     }
--- a/tests/unit/test_backend.c
+++ b/tests/unit/test_backend.c
@@ -297,9 +297,9 @@
     g_test_init(&argc, &argv, NULL);
     http_client_init("test");
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     g_snprintf(unused_url, sizeof(unused_url), "http://%s", addr);
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     g_snprintf(server_url, sizeof(server_url), "http://%s", addr);
     server = http_start(addr, 4, &err);
     g_assert_nonnull(server);
--- a/tests/unit/test_cluster_evacuations.c
+++ b/tests/unit/test_cluster_evacuations.c
@@ -119,7 +119,7 @@
 {
     fixture_t *const f = box->f;
     const char *const controls[] = {control, NULL}, *const nobody[] = {NULL};
-    lab_free_addr(f->self.peer_addr);
+    lab_unused_addr(f->self.peer_addr);
     codec_copy_string(f->self.box, sizeof(f->self.box), "entry");
     codec_copy_string(f->self.http_addr, sizeof(f->self.http_addr), "127.0.0.1:1");
     f->self.incarnation++;
--- a/tests/unit/test_cluster_reports.c
+++ b/tests/unit/test_cluster_reports.c
@@ -36,7 +36,7 @@
 {
     const char *const no_neighbours[] = {NULL};
     char own[32];
-    lab_free_addr(own);
+    lab_unused_addr(own);
     codec_copy_string(f->self.box, sizeof(f->self.box), "entry");
     codec_copy_string(f->self.http_addr, sizeof(f->self.http_addr), "127.0.0.1:1");
     codec_copy_string(f->self.peer_addr, sizeof(f->self.peer_addr), own);
@@ -364,7 +364,7 @@
     const char *controls[SILENT + 2] = {0};
     tc_err_t err = {0};
     for (int i = 0; i < SILENT; i++) {
-        lab_free_addr(addrs[i]);
+        lab_unused_addr(addrs[i]);
         fds[i] = peer_open_listener(addrs[i], "listen", &err);
         g_assert_cmpint(fds[i], >=, 0);
         controls[i] = addrs[i];
--- a/tests/unit/test_evacuations.c
+++ b/tests/unit/test_evacuations.c
@@ -138,7 +138,7 @@
 {
     (void)data;
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     f->loop = loop_create();
     const peer_options_t options = {.box = "leader", .incarnation = 1, .listen = addr, .key_file = ""};
     tc_err_t err = {0};
--- a/tests/unit/test_fetch.c
+++ b/tests/unit/test_fetch.c
@@ -104,12 +104,12 @@
     f->arrived = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (int i = 0; i < BOXES; i++) {
         box_t *const box = &f->boxes[i];
-        lab_free_addr(box->addr);
+        lab_unused_addr(box->addr);
         box->net = open_net(f->loop, box->addr, answer, box);
         codec_copy_string(f->members[i].peer, sizeof(f->members[i].peer), box->addr);
     }
     f->members_n = BOXES;
-    lab_free_addr(f->own);
+    lab_unused_addr(f->own);
     f->net = open_net(f->loop, f->own, ignore_message, NULL);
     const fetch_events_t events = {.on_complete = on_complete, .sources = sources, .arg = f};
     f->fetch = fetch_create(f->net, f->own, &events);
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -202,7 +202,7 @@
     const msg_fetch_ack_t large = {.whole = text, .whole_n = FRAME};
     const msg_fetch_t small = {.from = 1};
     for (int i = 0; i < PEERS; i++) {
-        lab_free_addr(addrs[i]);
+        lab_unused_addr(addrs[i]);
         listeners[i] = peer_open_listener(addrs[i], "listen", &err);
         g_assert_cmpint(listeners[i], >=, 0);
         for (int k = 0; k < FRAMES; k++)
@@ -226,7 +226,7 @@
 static void test_silent_connection(void)
 {
     char proxy_addr[32];
-    lab_free_addr(proxy_addr);
+    lab_unused_addr(proxy_addr);
     side_t server = {0}, client = {0};
     start(&server, "server", server_addr, good_key);
     start(&client, "client", "", good_key);
@@ -418,7 +418,7 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    lab_free_addr(server_addr);
+    lab_unused_addr(server_addr);
     good_key = write_key("a key of enough bytes\n");
     other_key = write_key("another key of enough bytes\n");
     g_test_add_func("/peer/calls", test_calls);
--- a/tests/unit/test_peer_many.c
+++ b/tests/unit/test_peer_many.c
@@ -72,7 +72,7 @@
 static star_t begin(unsigned n)
 {
     star_t w = {.loop = loop_create(), .n = n};
-    lab_free_addr(w.addr);
+    lab_unused_addr(w.addr);
     w.spokes = g_new0(spoke_t, n);
     return w;
 }
@@ -85,7 +85,7 @@
     for (unsigned i = 0; i < w->n; i++) {
         spoke_t *const m = &w->spokes[i];
         m->star = w;
-        lab_free_addr(m->addr);
+        lab_unused_addr(m->addr);
         m->net = start(w, m->addr, on_spoke, m);
         peer_send(m->net, w->addr, MSG_CLAIM, &claim);
     }
--- a/tests/unit/test_peer_torn.c
+++ b/tests/unit/test_peer_torn.c
@@ -209,7 +209,7 @@
     p->stalls = stalls;
     p->cut = cut;
     p->received = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    lab_free_addr(p->addr);
+    lab_unused_addr(p->addr);
     watch_port(p->addr);
     p->server = open_net(loop, "server", p->addr, on_claim, p);
     p->client = open_net(loop, "client", "", no_op, NULL);
@@ -380,8 +380,8 @@
 {
     set_up();
     hello = (hello_t){.loop = loop_create(), .blocked = true, .order = g_string_new(NULL)};
-    lab_free_addr(hello.server_addr);
-    lab_free_addr(hello.client_addr);
+    lab_unused_addr(hello.server_addr);
+    lab_unused_addr(hello.client_addr);
     watch_port(hello.server_addr);
     fault = block_last_hello;
     hello.server = open_net(hello.loop, "server", hello.server_addr, no_op, NULL);
@@ -497,14 +497,14 @@
     memset(&middle, 0, sizeof(middle));
     middle.crossed = crossed != NULL;
     loop_t *const loop = loop_create();
-    lab_free_addr(middle.addr);
+    lab_unused_addr(middle.addr);
     watch_port(middle.addr);
     fault = break_middle;
     middle.middle = open_net(loop, "middle", middle.addr, on_question, NULL);
     const msg_claim_t claim = {0};
     for (int i = 0; i < ENDS; i++) {
         end_t *const end = &middle.ends[i];
-        lab_free_addr(end->addr);
+        lab_unused_addr(end->addr);
         end->asker = open_net(loop, i == 0 ? "0" : "1", end->addr, no_op, NULL);
         peer_call(end->asker, middle.addr, MSG_CLAIM, &claim, LIMIT_MS, on_question_end, end);
     }
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -42,8 +42,8 @@
     tc_err_t err = {0};
     (void)data;
     f->loop = loop_create();
-    lab_free_addr(f->at);
-    lab_free_addr(f->to);
+    lab_unused_addr(f->at);
+    lab_unused_addr(f->to);
     f->listener = peer_open_listener(f->to, "listen", &err);
     g_assert_cmpint(f->listener, >=, 0);
     f->proxy = proxy_start(f->loop, f->at, f->to);
--- a/tests/unit/test_quarantine_spread.c
+++ b/tests/unit/test_quarantine_spread.c
@@ -48,7 +48,7 @@
     struct entry *const e = &w->entries[i];
     const char *const nobody[] = {NULL};
     char own[32];
-    lab_free_addr(own);
+    lab_unused_addr(own);
     *e = (struct entry){.self = {.incarnation = 1}, .quarantine = quarantine_create()};
     g_snprintf(e->self.box, sizeof(e->self.box), "entry-%d", i);
     codec_copy_string(e->self.http_addr, sizeof(e->self.http_addr), "127.0.0.1:1");
--- a/tests/unit/test_reporter.c
+++ b/tests/unit/test_reporter.c
@@ -54,12 +54,12 @@
     const char *const no_neighbours[] = {NULL}, *const controls[] = {f->addr, NULL};
     tc_err_t err = {0};
     f->loop = loop_create();
-    lab_free_addr(f->addr);
+    lab_unused_addr(f->addr);
     const peer_options_t net = {
         .box = "control", .incarnation = 1, .listen = f->addr, .key_file = "", .handler = on_report, .arg = f};
     f->control = peer_create(f->loop, &net, &err);
     g_assert_nonnull(f->control);
-    lab_free_addr(f->self.peer_addr);
+    lab_unused_addr(f->self.peer_addr);
     codec_copy_string(f->self.box, sizeof(f->self.box), "entry");
     codec_copy_string(f->self.http_addr, sizeof(f->self.http_addr), "127.0.0.1:1");
     f->self.incarnation = 1;
--- a/tests/unit/test_saved_list.c
+++ b/tests/unit/test_saved_list.c
@@ -73,7 +73,7 @@
     start_all(f, false);
     for (int i = 0; i < SEEDS; i++)
         g_assert_cmpuint(count_listed(f->replica[i]), ==, BACKENDS); /* before a leader is elected, or a list is read */
-    lab_free_addr(f->self.peer_addr);
+    lab_unused_addr(f->self.peer_addr);
     g_strlcpy(f->self.box, "entry", sizeof(f->self.box));
     const reporter_options_t options = {.peer_listen = f->self.peer_addr, .controls = f->seeds};
     const reporter_events_t events = {.on_backends = on_backends, .arg = f};
--- a/tests/unit/test_web_client.c
+++ b/tests/unit/test_web_client.c
@@ -20,7 +20,7 @@
 {
     response_t answer = {.bytes = bytes, .end = end};
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, respond, &answer);
     lab_call_t *const c = lab_call(f->client, addr, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
@@ -62,7 +62,7 @@
 static peer_end_t peer_end_open(void)
 {
     peer_end_t p = {.fd = -1};
-    lab_free_addr(p.addr);
+    lab_unused_addr(p.addr);
     tc_err_t err = {0};
     p.listener = peer_open_listener(p.addr, "listen", &err);
     g_assert_cmpint(p.listener, >=, 0);
@@ -141,7 +141,7 @@
 {
     (void)data;
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_call_t *const c = lab_call(f->client, addr, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_NOT_SENT);
@@ -151,12 +151,12 @@
 static lab_call_t *call_on_same_connection(fixture_t *f, const char *addr, const char *request)
 {
     web_client_set_idle_max(f->client, 4);
-    lab_call_t *const c = lab_call_kept(f->client, addr, request);
+    lab_call_t *const c = lab_call_reuse(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     lab_call_free(c);
     lab_run_for(f->loop, 20); /* an unsent rest of the request would now corrupt the connection */
-    return lab_call_kept(f->client, addr, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n");
+    return lab_call_reuse(f->client, addr, "GET /next HTTP/1.1\r\nHost: h\r\n\r\n");
 }
 
 static void test_early_response(fixture_t *f, gconstpointer data)
@@ -165,7 +165,7 @@
     enum { BODY = 8 * 1024 * 1024 }; /* more than the kernel's socket buffers hold */
     response_t answer = {.bytes = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", .end = LAB_KEEP};
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, respond, &answer);
     lab_backend_answer_early(b);
     char *const body = g_strnfill(BODY, 'x');
@@ -198,7 +198,7 @@
 static void filtering_cancel(filtering_call_t *p)
 {
     web_call_cancel(p->call);
-    p->next = lab_call_kept(p->f->client, p->addr, GET("/next"));
+    p->next = lab_call_reuse(p->f->client, p->addr, GET("/next"));
 }
 
 static web_head_action_t filtering_head(void *arg, const web_head_t *head)
@@ -242,7 +242,7 @@
 {
     response_t answer = {.bytes = bytes, .end = end};
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, respond, &answer);
     filtering_call_t p = {.f = f, .addr = addr};
     filtering_start(&p);
@@ -291,7 +291,7 @@
     (void)data;
     response_t answer = {.bytes = OK_OWN, .end = LAB_KEEP};
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, respond, &answer);
     web_client_set_idle_max(f->client, 4);
     for (int at_data = 0; at_data <= 1; at_data++) {
@@ -342,17 +342,17 @@
 {
     reused_t kept = {.first = first, .late = late};
     char addr[32];
-    lab_free_addr(addr);
+    lab_unused_addr(addr);
     lab_backend_t *const b = lab_backend_start(f->loop, addr, respond_reused, &kept);
     web_client_set_idle_max(f->client, 4);
-    lab_call_t *const c = lab_call_kept(f->client, addr, request);
+    lab_call_t *const c = lab_call_reuse(f->client, addr, request);
     lab_run_until_true(f->loop, &c->done);
     g_assert_cmpint(c->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(c->body->str, ==, body);
     lab_call_free(c);
     if (late > 0)
         lab_run_for(f->loop, 20);
-    lab_call_t *const next = lab_call_kept(f->client, addr, GET("/2"));
+    lab_call_t *const next = lab_call_reuse(f->client, addr, GET("/2"));
     lab_run_until_true(f->loop, &next->done);
     g_assert_cmpint(next->how, ==, WEB_RESULT_COMPLETE);
     g_assert_cmpstr(next->body->str, ==, "/2");
--- a/tests/unit/web_lab.h
+++ b/tests/unit/web_lab.h
@@ -95,7 +95,7 @@
     f->bodies = g_string_new(NULL);
     f->limits =
         (web_limits_t){.header_bytes = 512, .body_bytes = 64, .header_ms = 300, .idle_ms = 300, .send_timeout_ms = 300};
-    lab_free_addr(f->addr);
+    lab_unused_addr(f->addr);
     tc_err_t err = {0};
     f->server = web_server_start(f->loop, f->addr, &f->limits, handle, f, &err);
     g_assert_nonnull(f->server);
