--- a/tests/harness/chooser.h
+++ b/tests/harness/chooser.h
@@ -1,5 +1,5 @@
 /** @file chooser.h
- * Where a randomised run takes its decisions from: a seeded generator, or a fuzzer's bytes.
+ * Source of decisions for randomised tests: a seeded generator or the input bytes of a fuzzer.
  */
 #ifndef TRACKCOVE_TESTS_CHOOSER_H
 #define TRACKCOVE_TESTS_CHOOSER_H
@@ -10,12 +10,12 @@
 #include <stdint.h>
 
 typedef struct {
-    GRand *random; /* NULL: bytes */
+    GRand *random; /* NULL: decisions come from bytes */
     const uint8_t *bytes;
-    size_t size, at;
+    size_t size, at; /* length of bytes; offset of the next one */
 } chooser_t;
 
-/** A number below @p n. Bytes that ran out give 0. */
+/** Returns a number in [0, n), or 0 when n is 0 or the fuzzer's bytes are used up. */
 static inline uint32_t choose(chooser_t *c, uint32_t n)
 {
     if (n <= 1)
@@ -28,13 +28,13 @@
     return value % n;
 }
 
-/** True once in @p n. */
+/** Returns true with probability 1/n. */
 static inline bool once_in(chooser_t *c, uint32_t n)
 {
     return choose(c, n) == n - 1;
 }
 
-/** Whether a fuzzer's bytes are used up. */
+/** Whether decisions come from a fuzzer's bytes and these are used up. */
 static inline bool chooser_empty(const chooser_t *c)
 {
     return !c->random && c->at >= c->size;
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -14,9 +14,9 @@
     client_t *client;
     sse_t sse;
     uint64_t hash;
-} prefill_lab_t;
+} stream_reader_t;
 
-static void copy_error(char to[32], const char *text, size_t size)
+static void copy_error_type(char to[32], const char *text, size_t size)
 {
     json_t *const body = json_loadb(text, size, 0, NULL);
     const char *const type = json_string_value(json_object_get(json_object_get(body, "error"), "type"));
@@ -26,10 +26,10 @@
 
 static bool on_event(void *arg, const sse_event_t *event)
 {
-    prefill_lab_t *const r = arg;
+    stream_reader_t *const r = arg;
     client_t *const c = r->client;
     if (strcmp(event->name, "error") == 0) {
-        copy_error(c->error, event->data, strlen(event->data));
+        copy_error_type(c->error, event->data, strlen(event->data));
         return true;
     }
     if (strcmp(event->data, "[DONE]") == 0) {
@@ -39,25 +39,25 @@
     json_t *const body = json_loads(event->data, 0, NULL);
     const char *const text =
         json_string_value(json_object_get(json_array_get(json_object_get(body, "choices"), 0), "text"));
-    const unsigned place = (unsigned)strtoul(event->id, NULL, 10);
+    const unsigned token = (unsigned)strtoul(event->id, NULL, 10);
     const unsigned got = atomic_load(&c->got);
-    c->doubled = c->doubled || place <= got;
-    c->wrong = c->wrong || place <= got || !stub_text_matches(text, r->hash, got, place);
+    c->doubled = c->doubled || token <= got;
+    c->wrong = c->wrong || token <= got || !stub_text_matches(text, r->hash, got, token);
     g_strlcpy(c->event_id, event->id, sizeof(c->event_id));
-    atomic_store(&c->got, place);
+    atomic_store(&c->got, token);
     json_decref(body);
     return true;
 }
 
 static bool on_data(void *arg, const char *data, size_t size)
 {
-    prefill_lab_t *const r = arg;
+    stream_reader_t *const r = arg;
     return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->leave);
 }
 
 static bool on_idle(void *arg)
 {
-    const prefill_lab_t *const r = arg;
+    const stream_reader_t *const r = arg;
     return !atomic_load(&r->client->leave);
 }
 
@@ -88,7 +88,7 @@
         headers[n++] = event;
     if (c->once)
         headers[n] = "X-Trackcove-Repeatable: no";
-    prefill_lab_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
+    stream_reader_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
     const http_call_t call = {.url = url,
                               .method = "POST",
                               .body = body,
@@ -107,7 +107,7 @@
     const int rc = http_call(&call, &result, &err);
     sse_free(&reading.sse);
     if (rc == TC_E_REFUSED)
-        copy_error(c->error, result.body ? result.body : "", result.body_size);
+        copy_error_type(c->error, result.body ? result.body : "", result.body_size);
     const unsigned length = stub_answer_length(reading.hash, c->max_tokens);
     c->wrong = c->wrong || (c->whole && atomic_load(&c->got) != length);
     c->status = result.status;
@@ -216,7 +216,7 @@
     const int rc = http_call(&call, &result, &err);
     type[0] = '\0';
     if (rc == TC_E_REFUSED)
-        copy_error(type, result.body ? result.body : "", result.body_size);
+        copy_error_type(type, result.body ? result.body : "", result.body_size);
     const int status = result.status;
     free(result.body);
     g_free(url);
--- a/tests/harness/client.h
+++ b/tests/harness/client.h
@@ -1,5 +1,5 @@
 /** @file client.h
- * One caller of a fault test: streams an answer in a thread of its own and checks every token.
+ * Client for fault tests: streams an answer in a thread of its own and checks every token.
  */
 #ifndef TRACKCOVE_TESTS_CLIENT_H
 #define TRACKCOVE_TESTS_CLIENT_H
@@ -13,49 +13,54 @@
     char id[64];
     char addr[64];
     unsigned prompt_tokens, max_tokens;
-    bool once;           /* not repeatable */
-    bool resend;         /* says that it sends this id again */
-    unsigned last_event; /* the answer is had up to here */
-    char event_id[48];   /* id of the last event, as it came; set before it begins it is sent instead of last_event */
-    /* what happened */
+    bool once;           /* sends X-Trackcove-Repeatable: no */
+    bool resend;         /* sends Last-Event-ID, to resume a request that was sent before */
+    unsigned last_event; /* last token that the client already has */
+    char event_id[48];   /* id of the last event received; when set before the start, sent instead of last_event */
+    /* results */
     pthread_t thread;
-    atomic_uint got;   /* tokens, those before last_event included */
-    atomic_bool leave; /* set to make the caller go */
+    atomic_uint got;   /* last token received; starts at last_event */
+    atomic_bool leave; /* set to make the client disconnect */
     atomic_bool ended;
-    bool whole, wrong, doubled;
-    char error[32]; /* error.type, "" for none */
-    int status;
+    bool whole;     /* [DONE] was received */
+    bool wrong;     /* the text or the length differs from the expected answer */
+    bool doubled;   /* an event was received twice */
+    char error[32]; /* error.type; "": no error */
+    int status;     /* HTTP status; 0: no answer */
 } client_t;
 
-/** Fill in a request; prompts differ by id. */
+/** Initialises a request. The prompt is derived from @p id, so that prompts of different ids differ. */
 void client_init(client_t *client, const char *id, unsigned prompt_tokens, unsigned max_tokens);
 
-/** Begin on an entry of the cluster ("entry-1"). */
+/** Starts the request at an entry box of the cluster, such as "entry-1". The caller joins it with client_join(). */
 void client_start(client_t *client, const cluster_t *cluster, const char *entry);
 
-/** Wait for its end. */
+/** Waits until the request has ended. */
 void client_join(client_t *client);
 
-/** Wait until it has so many tokens. @return false after @p limit_ms or when it ended before */
+/** Waits until the client has @p tokens tokens. @return false after @p limit_ms, or when the request ended with fewer
+ */
 bool client_wait_tokens(client_t *client, unsigned tokens, int limit_ms);
 
-/** How often work, or answers, began for an id, as the stand-in counts. @param what "runs" or "answers" */
+/** How often a run or an answer began for a request id, as counted by the stub. @param what "runs" or "answers" */
 int client_count(cluster_t *cluster, const char *id, const char *what);
 
-/** Value of a counter of a box's /metrics. */
+/** Value of a counter at a box's /metrics, -1 when it is absent or the box does not answer. */
 long long client_metric(cluster_t *cluster, const char *name, const char *metric);
 
-/** Wait until engines hold nothing. */
+/** Waits until no engine of the stub holds KV pieces. @return false after @p limit_ms */
 bool client_wait_idle(cluster_t *cluster, int limit_ms);
 
-/** Call a plain service. @param type filled with error.type or "" @return HTTP status, 0 when there was no answer */
+/** Calls a plain service. @param type receives error.type, or "" @return HTTP status, 0 when there was no answer */
 int client_call_service(const cluster_t *cluster, const char *entry, const char *service, const char *id, bool once,
                         char type[32]);
 
-/** Plan and confirm a configuration change. @return HTTP status of the confirmation, 0 when no leader answered */
+/** Plans and confirms a configuration change. @param patch JSON merge patch @return HTTP status of the confirmation, or
+ *  of the plan when that fails; 0 when no leader answered */
 int client_change_config(cluster_t *cluster, const char *request, const char *patch);
 
-/** Wait until the leader says that its accepted version is in force everywhere. */
+/** Waits until the leader reports that the accepted configuration is in force on all boxes. @return false after
+ *  @p limit_ms */
 bool client_wait_in_force(cluster_t *cluster, int limit_ms);
 
 #endif
--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -38,25 +38,25 @@
 
 typedef struct {
     unsigned offset;
-} shift_t;
+} port_shift_t;
 
 static gboolean shift_port(const GMatchInfo *match, GString *out, gpointer data)
 {
-    const shift_t *const shift = data;
+    const port_shift_t *const shift = data;
     char *const port = g_match_info_fetch(match, 1);
     g_string_append_printf(out, "127.0.0.1:%lu", strtoul(port, NULL, 10) + shift->offset);
     g_free(port);
     return FALSE;
 }
 
-/** TRACKCOVE_TEST_PORTS moves all ports of tests and bench further, where those are taken. */
+/** Port offset from TRACKCOVE_TEST_PORTS, for machines where the default ports of tests and benchmarks are in use. */
 static unsigned extra_offset(void)
 {
     const char *const extra = g_getenv("TRACKCOVE_TEST_PORTS");
     return extra ? (unsigned)strtoul(extra, NULL, 10) : 0;
 }
 
-/** Read a JSON file of the example with its ports moved. */
+/** Reads a JSON file of the example and shifts its ports by the offset. */
 static json_t *read_example(const cluster_options_t *o, const char *file)
 {
     char *const path = g_build_filename("examples", o->deployment, file, NULL);
@@ -65,11 +65,11 @@
     if (!g_file_get_contents(path, &text, NULL, &error))
         g_error("%s", error->message);
     GRegex *const ports = g_regex_new("127\\.0\\.0\\.1:(\\d+)", 0, 0, NULL);
-    shift_t shift = {.offset = o->port_offset + extra_offset()};
-    char *const moved = g_regex_replace_eval(ports, text, -1, 0, 0, shift_port, &shift, NULL);
-    json_t *const json = json_loads(moved, 0, NULL);
+    port_shift_t shift = {.offset = o->port_offset + extra_offset()};
+    char *const shifted = g_regex_replace_eval(ports, text, -1, 0, 0, shift_port, &shift, NULL);
+    json_t *const json = json_loads(shifted, 0, NULL);
     g_regex_unref(ports);
-    g_free(moved);
+    g_free(shifted);
     g_free(text);
     g_free(path);
     return json;
@@ -80,7 +80,7 @@
     char *const path = g_build_filename(c->dir, file, NULL);
     json_t *const change = patch ? json_loads(patch, 0, NULL) : json_object();
     if (!change)
-        g_error("bad patch: %s", patch);
+        g_error("settings patch is not valid JSON: %s", patch);
     json_t *const merged = merge_apply(json, change);
     if (json_dump_file(merged, path, JSON_INDENT(2)) != 0)
         g_error("cannot write %s", path);
@@ -90,8 +90,8 @@
     g_free(path);
 }
 
-/** Only the first @p keep control boxes stay in a map of them. */
-static void trim_control(json_t *map, unsigned keep)
+/** Removes all control boxes but the first @p keep from a map of them. */
+static void keep_first_controls(json_t *map, unsigned keep)
 {
     for (unsigned i = keep + 1; i <= 5; i++) {
         char name[32];
@@ -115,13 +115,14 @@
     snprintf(name, sizeof(name), "%s-%u", kind, number);
     snprintf(file, sizeof(file), "%s.json", name);
     json_t *const settings = read_example(o, file);
-    trim_control(json_object_get(settings, map), c->controls);
+    keep_first_controls(json_object_get(settings, map), c->controls);
     add_process(c, name, json_string_value(json_object_get(settings, "http_listen")));
     write_settings(c, file, settings, patch);
 }
 
-/** Entries beyond those of the example, for measuring: entry-1 under another name, on ports of their own. */
-static void prepare_extra(cluster_t *c, const cluster_options_t *o, unsigned number)
+/** Adds an entry box beyond those of the example, for benchmarks: the settings of entry-1 with another name and ports.
+ */
+static void prepare_extra_entry(cluster_t *c, const cluster_options_t *o, unsigned number)
 {
     enum { EXTRA_HTTP = 10000, EXTRA_PEER = 11000, EXTRA_THREADS = 8 };
     char name[32], file[48], http[64], peer[64];
@@ -134,7 +135,7 @@
     json_t *const own = json_pack("{s:s,s:s,s:s,s:s,s:i}", "box", name, "http_listen", http, "peer_listen", peer,
                                   "log_file", log, "threads", EXTRA_THREADS);
     json_object_update(settings, own);
-    trim_control(json_object_get(settings, "control"), c->controls);
+    keep_first_controls(json_object_get(settings, "control"), c->controls);
     add_process(c, name, http);
     write_settings(c, file, settings, NULL);
     json_decref(own);
@@ -167,12 +168,12 @@
         g_mkdir_with_parents(data, 0700);
         g_free(data);
     }
-    const unsigned listed = count_files(o->deployment, "entry");
+    const unsigned in_example = count_files(o->deployment, "entry");
     for (unsigned i = 1; i <= c->entries; i++) {
-        if (i <= listed)
+        if (i <= in_example)
             prepare_box(c, o, "entry", i, "control", o->entry_patch);
         else
-            prepare_extra(c, o, i);
+            prepare_extra_entry(c, o, i);
     }
     char *const log = g_build_filename(c->dir, "log", NULL);
     char *const key = g_build_filename(c->dir, "cluster.key", NULL);
@@ -189,7 +190,7 @@
     for (unsigned i = 0; i < c->n; i++)
         if (strcmp(c->processes[i].name, name) == 0)
             return (process_t *)(uintptr_t)&c->processes[i];
-    g_error("no process %s", name);
+    g_error("the cluster has no process named %s", name);
 }
 
 GPid cluster_pid(const cluster_t *c, const char *name)
@@ -210,13 +211,13 @@
 
 static GPid spawn(const cluster_t *c, const char *const *argv, const char *output)
 {
-    fflush(NULL); /* or the child would write our buffers once more */
+    fflush(NULL); /* otherwise the child writes the parent's buffered output again */
     const pid_t pid = fork();
     if (pid < 0)
         g_error("fork: %s", strerror(errno));
     if (pid > 0)
         return pid;
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a test that aborts leaves nothing running */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* no process outlives a test that aborts */
     enter_dir(c->dir);
     if (output && (!freopen(output, "a", stdout) || !freopen(output, "a", stderr)))
         _exit(127);
@@ -342,20 +343,20 @@
 typedef struct {
     cluster_t *cluster;
     const char *name;
-} named_t;
+} process_ref_t;
 
 static bool is_ready(void *arg)
 {
-    const named_t *const named = arg;
+    const process_ref_t *const ref = arg;
     int status = 0;
-    json_decref(cluster_call(named->cluster, named->name, "/readyz", NULL, &status));
+    json_decref(cluster_call(ref->cluster, ref->name, "/readyz", NULL, &status));
     return status == 200;
 }
 
 bool cluster_wait_ready(cluster_t *c, const char *name, int limit_ms)
 {
-    named_t named = {.cluster = c, .name = name};
-    return cluster_wait_until(is_ready, &named, limit_ms);
+    process_ref_t ref = {.cluster = c, .name = name};
+    return cluster_wait_until(is_ready, &ref, limit_ms);
 }
 
 const char *cluster_leader(cluster_t *c, int limit_ms)
@@ -418,7 +419,7 @@
     json_decref(cluster_call(c, "stub", "/admin/fault",
                              json_pack("{s:s,s:s,s:f}", "name", name, "kind", kind, "ms", ms), &status));
     if (status != 200)
-        g_error("fault %s of %s was refused", kind, name);
+        g_error("the stub refused fault %s for %s", kind, name);
 }
 
 long long cluster_stat(cluster_t *c, const char *key)
@@ -438,7 +439,7 @@
     return g_string_free(list, FALSE);
 }
 
-/* ===== Life ===== */
+/* ===== Start and stop ===== */
 
 const char *cluster_dir(const cluster_t *c)
 {
@@ -461,14 +462,14 @@
 static bool all_ready(cluster_t *c)
 {
     if (!cluster_wait_until(all_voters, c, READY_MS)) {
-        fprintf(stderr, "not all control boxes are voters; see %s/log\n", c->dir);
+        fprintf(stderr, "not all control boxes became voters in time; see %s/log\n", c->dir);
         return false;
     }
     for (unsigned i = 0; i < c->n; i++) {
         if (!g_str_has_prefix(c->processes[i].name, "entry"))
             continue;
         if (!cluster_wait_ready(c, c->processes[i].name, READY_MS)) {
-            fprintf(stderr, "%s is not ready; see %s/log\n", c->processes[i].name, c->dir);
+            fprintf(stderr, "%s did not become ready in time; see %s/log\n", c->processes[i].name, c->dir);
             return false;
         }
     }
@@ -526,7 +527,7 @@
     for (unsigned i = 0; i < c->n; i++)
         cluster_signal(c, c->processes[i].name, SIGKILL);
     if (keep)
-        fprintf(stderr, "kept: %s\n", c->dir);
+        fprintf(stderr, "cluster folder kept: %s\n", c->dir);
     else
         remove_tree(c->dir);
     g_free(c->dir);
--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -22,18 +22,18 @@
     loop_watch_t watch;
     GString *in;
     bool hanging;
-    bool deaf;          /* answered early: the rest of the request stays unread */
-    lab_reply_t reply;  /* under way, or none: bytes NULL */
-    size_t size, sent;  /* of its bytes */
-    size_t due;         /* bytes that may be sent by now */
-    guint next;         /* of its pieces */
-    loop_timer_t pause; /* before the next piece */
+    bool input_ignored;       /* answered early: the rest of the request is not read */
+    lab_reply_t reply;        /* being sent; bytes is NULL when there is none */
+    size_t size, sent;        /* bytes of the reply in all, and sent so far */
+    size_t due;               /* bytes of the reply that may be sent by now */
+    guint next;               /* index of the next piece of the reply */
+    loop_timer_t piece_timer; /* runs until the next piece is due */
 } lab_conn_t;
 
 struct lab_backend {
     loop_t *loop;
     char addr[32];
-    loop_watch_t listener; /* its fd is -1 while the process is down */
+    loop_watch_t listener; /* fd is -1 while the back end is down */
     lab_script_t script;
     void *arg;
     unsigned requests, left;
@@ -41,7 +41,7 @@
     struct cds_list_head conns;
 };
 
-static void drop_reply(lab_conn_t *c)
+static void free_reply(lab_conn_t *c)
 {
     g_free(c->reply.bytes);
     if (c->reply.pieces)
@@ -51,19 +51,19 @@
 
 static void conn_end(lab_conn_t *c, bool reset)
 {
-    const struct linger hard = {.l_onoff = 1, .l_linger = 0};
+    const struct linger reset_on_close = {.l_onoff = 1, .l_linger = 0};
     if (reset)
-        setsockopt(c->watch.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
-    loop_disarm(&c->pause);
+        setsockopt(c->watch.fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
+    loop_disarm(&c->piece_timer);
     loop_unwatch(c->backend->loop, &c->watch);
     close(c->watch.fd);
     cds_list_del(&c->node);
     g_string_free(c->in, TRUE);
-    drop_reply(c);
+    free_reply(c);
     g_free(c);
 }
 
-/** Bytes of the first whole request, 0 when there is none. */
+/** Returns the size of the first complete request, 0 when there is none. With @p early, a complete head is enough. */
 static size_t request_length(const GString *in, bool early)
 {
     const char *const end = strstr(in->str, "\r\n\r\n");
@@ -77,19 +77,19 @@
     return in->len >= head + body ? head + body : 0;
 }
 
-/** Watch for what is of use now. */
+/** Sets the events that the connection waits for in its present state. */
 static void conn_watch(lab_conn_t *c)
 {
     const bool sending = c->reply.bytes && c->sent < c->due;
-    const uint32_t events = (c->deaf ? 0u : EPOLLIN) | (sending ? EPOLLOUT : 0u);
+    const uint32_t events = (c->input_ignored ? 0u : EPOLLIN) | (sending ? EPOLLOUT : 0u);
     loop_watch_modify(c->backend->loop, &c->watch, c->backend->frozen ? 0u : events);
 }
 
-/** The answer is sent. @return false when the connection is gone */
+/** Ends a reply that is sent. @return false when the connection was closed and freed */
 static bool conn_finish(lab_conn_t *c)
 {
     const lab_end_t end = c->reply.end;
-    drop_reply(c);
+    free_reply(c);
     c->hanging = end == LAB_HANG;
     if (end == LAB_KEEP || end == LAB_HANG) {
         conn_watch(c);
@@ -99,9 +99,9 @@
     return false;
 }
 
-static void on_pause_over(void *arg);
+static void on_piece_due(void *arg);
 
-/** The next piece may be sent, at once or later. */
+/** Schedules the next piece; what follows the last piece may be sent at once. */
 static void conn_next_piece(lab_conn_t *c)
 {
     const GArray *const pieces = c->reply.pieces;
@@ -110,10 +110,10 @@
         return;
     }
     const lab_piece_t *const piece = &g_array_index(pieces, lab_piece_t, c->next);
-    loop_arm(c->backend->loop, &c->pause, tc_time_now() + piece->wait, on_pause_over, c);
+    loop_arm(c->backend->loop, &c->piece_timer, tc_time_now() + piece->wait, on_piece_due, c);
 }
 
-/** Send what may be sent. @return false when the connection is gone */
+/** Sends what is due of the reply. @return false when the connection was closed and freed */
 static bool conn_send(lab_conn_t *c)
 {
     while (c->sent < c->due && !c->backend->frozen) {
@@ -137,7 +137,7 @@
 
 static bool conn_take_requests(lab_conn_t *c);
 
-static void on_pause_over(void *arg)
+static void on_piece_due(void *arg)
 {
     lab_conn_t *const c = arg;
     const lab_piece_t *const piece = &g_array_index(c->reply.pieces, lab_piece_t, c->next);
@@ -147,12 +147,12 @@
         (void)conn_take_requests(c);
 }
 
-/** @return false when the connection is gone */
+/** Answers the first @p length bytes of the input. @return false when the connection was closed and freed */
 static bool conn_answer(lab_conn_t *c, size_t length)
 {
     lab_backend_t *const b = c->backend;
     b->requests++;
-    c->deaf = b->early;
+    c->input_ignored = b->early;
     char *const request = g_strndup(c->in->str, length);
     g_string_erase(c->in, 0, (gssize)length);
     c->reply = b->script(b->arg, request);
@@ -166,7 +166,7 @@
     return conn_send(c);
 }
 
-/** Answer the requests that are there whole, one after the other. @return false when the connection is gone */
+/** Answers the complete requests one after the other. @return false when the connection was closed and freed */
 static bool conn_take_requests(lab_conn_t *c)
 {
     size_t length;
@@ -183,7 +183,7 @@
     if ((events & EPOLLOUT) && !conn_send(c))
         return;
     if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) {
-        (void)conn_take_requests(c); /* that came while an answer was under way */
+        (void)conn_take_requests(c); /* requests received while a reply was being sent */
         return;
     }
     const ssize_t n = recv(c->watch.fd, data, sizeof(data), 0);
@@ -226,7 +226,7 @@
     return fd;
 }
 
-/** A port that the system has free. */
+/** Returns a port that is unused at present, chosen by the system. */
 static int free_port(void)
 {
     struct sockaddr_in at = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -240,20 +240,20 @@
 
 void lab_unused_addr(char to[32])
 {
-    /* What was handed out may be opened later: the system, which knows nothing of that, gives the same port to two
-     * boxes of a test in 1 of 2,000. */
-    static bool given[65536];
+    /* A port returned here may be opened later. Until then the system may choose it again: without this table, two
+     * boxes of a test got the same port in 1 of 2,000 cases. */
+    static bool used[65536];
     int port;
     do {
         port = free_port();
-    } while (given[port]);
-    given[port] = true;
+    } while (used[port]);
+    used[port] = true;
     g_snprintf(to, 32, "127.0.0.1:%d", port);
 }
 
 int lab_unused_ports(const char *ip)
 {
-    /* Below those that the system gives to connections. */
+    /* Below the system's range of ephemeral ports. */
     enum { FIRST = 20000, SPAN = 20, BLOCKS = 600 };
     for (int i = 0; i < BLOCKS; i++) {
         const int port = FIRST + ((int)getpid() + i) % BLOCKS * SPAN;
@@ -266,7 +266,7 @@
         close(fd);
         return port;
     }
-    g_assert_not_reached(); /* nobody runs so many */
+    g_assert_not_reached(); /* all 600 blocks are in use */
 }
 
 lab_backend_t *lab_backend_start(loop_t *loop, const char *addr, lab_script_t script, void *arg)
@@ -295,8 +295,8 @@
         conn_watch(c);
 }
 
-/** Nobody listens any more, and all connections are reset. */
-static void end_all(void *arg)
+/** Stops listening and resets all connections. */
+static void backend_shut_down(void *arg)
 {
     lab_backend_t *const b = arg;
     if (!lab_backend_is_up(b))
@@ -311,7 +311,7 @@
 
 void lab_backend_crash(lab_backend_t *b)
 {
-    loop_post(b->loop, end_all, b);
+    loop_post(b->loop, backend_shut_down, b);
 }
 
 void lab_backend_restart(lab_backend_t *b)
@@ -329,7 +329,7 @@
 void lab_backend_stop(lab_backend_t *b)
 {
     loop_cancel_posted(b->loop, b);
-    end_all(b);
+    backend_shut_down(b);
     g_free(b);
 }
 
@@ -343,7 +343,7 @@
     return b->left;
 }
 
-/* ===== Callers ===== */
+/* ===== Calls ===== */
 
 static web_head_action_t on_head(void *arg, const web_head_t *head)
 {
@@ -409,22 +409,22 @@
     loop_timer_t timer;
     tc_time_t until;
     bool met;
-} wait_t;
+} condition_wait_t;
 
-static void look(void *arg)
+static void check_condition(void *arg)
 {
-    wait_t *const w = arg;
+    condition_wait_t *const w = arg;
     w->met = w->condition && w->condition(w->arg);
     if (w->met || tc_time_now() >= w->until)
         loop_stop(w->loop);
     else
-        loop_arm(w->loop, &w->timer, tc_time_now() + POLL_MS, look, w);
+        loop_arm(w->loop, &w->timer, tc_time_now() + POLL_MS, check_condition, w);
 }
 
 static bool run(loop_t *loop, lab_condition_t condition, void *arg, tc_time_t span)
 {
-    wait_t w = {.loop = loop, .condition = condition, .arg = arg, .until = tc_time_now() + span};
-    loop_arm(loop, &w.timer, tc_time_now(), look, &w);
+    condition_wait_t w = {.loop = loop, .condition = condition, .arg = arg, .until = tc_time_now() + span};
+    loop_arm(loop, &w.timer, tc_time_now(), check_condition, &w);
     loop_run(loop);
     loop_restart(loop);
     return w.met;
--- a/tests/harness/lab.h
+++ b/tests/harness/lab.h
@@ -1,5 +1,6 @@
 /** @file lab.h
- * Everything in one loop on 127.0.0.1: fake back ends that answer by a script, callers, and waiting for events.
+ * Loopback test bed: fake back ends that answer by a script, HTTP clients, and waiting for conditions, all in one event
+ * loop on 127.0.0.1.
  */
 #ifndef TRACKCOVE_TESTS_LAB_H
 #define TRACKCOVE_TESTS_LAB_H
@@ -10,85 +11,85 @@
 #include "peer/loop.h"
 #include "web/web_client.h"
 
-/** How a fake back end ends an answer. */
+/** What a fake back end does with the connection after an answer. */
 typedef enum {
-    LAB_KEEP,  /**< keeps the connection */
-    LAB_CLOSE, /**< closes it in order */
+    LAB_KEEP,  /**< keeps it open for further requests */
+    LAB_CLOSE, /**< closes it */
     LAB_RESET, /**< resets it */
-    LAB_HANG   /**< keeps it and says nothing more */
+    LAB_HANG   /**< keeps it open and counts the request as unanswered */
 } lab_end_t;
 
-/** A part of an answer that is sent by itself. */
+/** A part of an answer that is sent separately. */
 typedef struct {
-    size_t size;
-    tc_time_t wait; /**< ms before it is sent */
+    size_t size;    /**< in bytes */
+    tc_time_t wait; /**< ms between the part before it and this one */
 } lab_piece_t;
 
-/** What a fake back end answers: bytes as they are. */
+/** The answer of a fake back end. */
 typedef struct {
-    char *bytes; /**< freed by the lab; NULL for none */
+    char *bytes; /**< sent as they are, then freed with g_free(); NULL: no answer */
     lab_end_t end;
-    GArray
-        *pieces; /**< lab_piece_t, freed by the lab: the answer's parts, the rest follows at once; NULL: all at once */
+    GArray *pieces; /**< lab_piece_t, freed by the fake back end; bytes behind the last one follow at once; NULL: sent
+                       in one part */
 } lab_reply_t;
 
-/** Called for every whole request. @param request its bytes as text, headers and body */
+/** Called for every complete request. @param request head and body, as a string */
 typedef lab_reply_t (*lab_script_t)(void *arg, const char *request);
 
 typedef struct lab_backend lab_backend_t;
 
-/** What came of one call of a caller. */
+/** State and result of one HTTP call. */
 typedef struct {
-    bool done;
-    web_result_t how;
-    int status;
-    char *retry_after; /**< header, or NULL */
-    char *headers;     /**< "name: value" lines, each with a line end before and behind it */
-    GString *body;
-    web_call_t *call;
+    bool done;         /**< the call has ended, and how is set */
+    web_result_t how;  /**< how the call ended */
+    int status;        /**< HTTP status; 0: no head was received */
+    char *retry_after; /**< Retry-After header, or NULL */
+    char *headers;     /**< "name: value" lines, each with a newline before and after it; NULL: no head was received */
+    GString *body;     /**< received so far */
+    web_call_t *call;  /**< to cancel the call until it is done */
 } lab_call_t;
 
-/** A free port on 127.0.0.1, as "127.0.0.1:PORT"; never the same twice. */
+/** Returns an unused port on 127.0.0.1, as "127.0.0.1:PORT". A process never gets the same port twice. */
 void lab_unused_addr(char to[32]);
 
-/** The first of 20 ports for a program's boxes, which no other test of this machine has that listens at the first of
- * them at @p ip. */
+/** Returns the first of 20 consecutive ports for a test's boxes. Tests that run at the same time get different ports if
+ * each listens at its first port at @p ip. */
 int lab_unused_ports(const char *ip);
 
-/** Listen at @p addr and answer by @p script. */
+/** Listens at @p addr and answers by @p script. Free with lab_backend_stop(). */
 lab_backend_t *lab_backend_start(loop_t *loop, const char *addr, lab_script_t script, void *arg);
-/** From now on answer as soon as a request's head is there, and read nothing more of it. */
+/** From now on, answers as soon as the head of a request is received and doesn't read the rest. */
 void lab_backend_answer_early(lab_backend_t *backend);
-/** From now on nothing is sent and nothing is read, as of a process that stands still; and on again. */
+/** Stops (true) or resumes (false) reading and sending, as a suspended process does; connections stay open. */
 void lab_backend_freeze(lab_backend_t *backend, bool frozen);
-/** The process ends, once what calls this has returned: its connections are reset, new ones are refused. Harmless when
- * it has ended. */
+/** Simulates a crash, after the current callback of the loop has returned: connections are reset, new ones refused. No
+ * effect when the back end is down. */
 void lab_backend_crash(lab_backend_t *backend);
-/** It is there again, at the same address, with nothing of before. */
+/** Listens again at the same address after a crash, without connections. */
 void lab_backend_restart(lab_backend_t *backend);
-/** Whether it runs. */
+/** Whether the back end listens: it has not crashed. */
 bool lab_backend_is_up(const lab_backend_t *backend);
-/** Connections from now on are refused, those that stand are reset. */
+/** Resets all connections, stops listening and frees the back end. */
 void lab_backend_stop(lab_backend_t *backend);
-/** Requests taken whole. */
+/** Number of complete requests received. */
 unsigned lab_backend_requests(const lab_backend_t *backend);
-/** Connections that the other side closed while a request was unanswered. */
+/** Number of connections that the client closed while a request was left unanswered (LAB_HANG). */
 unsigned lab_backend_abandoned(const lab_backend_t *backend);
 
-/** Send a request, given as text. */
+/** Sends a request, given as text, over a new connection. Free with lab_call_free(). */
 lab_call_t *lab_call(web_client_t *client, const char *addr, const char *request);
-/** The same over a kept connection, if there is one. */
+/** As lab_call(), over an idle connection if there is one. */
 lab_call_t *lab_call_reuse(web_client_t *client, const char *addr, const char *request);
-/** Only when the call is done or was cancelled. */
+/** Frees the call, which must be done or cancelled. */
 void lab_call_free(lab_call_t *call);
 
-/** What lab_run_until waits for. */
+/** Condition that lab_run_until() waits for. */
 typedef bool (*lab_condition_t)(void *arg);
-/** Run the loop until the condition holds. Fails the test after a time that only a hang takes. */
+/** Runs the loop until the condition holds. Fails the test after 60 s. */
 void lab_run_until(loop_t *loop, lab_condition_t condition, void *arg);
-/** The same for a flag. */
+/** As lab_run_until(), until @p flag is true. */
 void lab_run_until_true(loop_t *loop, const bool *flag);
-/** Let the loop turn for a while: for what must not happen. */
+/** Runs the loop for @p span ms, to check that something does not happen. */
 void lab_run_for(loop_t *loop, tc_time_t span);
 
 #endif
--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -38,11 +38,11 @@
     char path[40];
     char *text = NULL;
     g_snprintf(path, sizeof(path), "/proc/%d/status", (int)pid);
-    g_assert_true(g_file_get_contents(path, &text, NULL, NULL)); /* it has not ended by itself */
+    g_assert_true(g_file_get_contents(path, &text, NULL, NULL)); /* fails when the process was waited for */
     const char *const line = strstr(text, "VmHWM:");
     const long kb = line ? strtol(line + strlen("VmHWM:"), NULL, 10) : 0;
     g_free(text);
-    return kb; /* 0: it has ended, and nobody has waited for it */
+    return kb; /* 0: a zombie, which has no VmHWM line */
 }
 
 void folder_empty(const char *dir)
--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -1,21 +1,22 @@
 /** @file process.h
- * The project's programs as real processes of a test, and the folders that they leave.
+ * Runs the project's programs as processes of a test, and cleans up their folders.
  */
 #ifndef TRACKCOVE_TESTS_PROCESS_H
 #define TRACKCOVE_TESTS_PROCESS_H
 
 #include <sys/types.h>
 
-/** Start a program with its settings; what it writes goes to SETTINGS.log. @return its id, to be waited for */
+/** Starts a program with its settings; appends its output to the file SETTINGS.log. @return process id, which the
+ * caller waits for */
 pid_t process_spawn(const char *path, const char *settings);
 
-/** The same with a library preloaded, NULL for none. */
+/** As process_spawn(), with the library @p shim preloaded; NULL: none. */
 pid_t process_spawn_with(const char *path, const char *settings, const char *shim);
 
-/** Most memory that a process that runs ever had, KB. */
+/** Peak resident memory of a running process in KB (VmHWM); 0 when it has exited and was not waited for. */
 long process_peak_kb(pid_t pid);
 
-/** Remove all files in a folder. */
+/** Removes all files in a folder, which may not contain folders. */
 void folder_empty(const char *dir);
 
 #endif
--- a/tests/harness/proxy.c
+++ b/tests/harness/proxy.c
@@ -19,17 +19,16 @@
     DELAY_MS = 150,
     TICK_MS = 5,
     CHUNK = 65536,
-    AHEAD_MS = 20 /* what a narrow way holds of bytes that it has read: the sender waits for the rest */
+    AHEAD_MS = 20 /* with a rate limit: most data read ahead of sending; the sender waits with the rest */
 };
 
-/** Of bytes that may pass. */
-static const size_t ANY_NUMBER = SIZE_MAX;
+static const size_t NO_QUOTA = SIZE_MAX;
 
-const char *const proxy_mode_names[PROXY_MODES] = {"pass", "delay", "lose answers", "lose calls", "lose all"};
+const char *const proxy_mode_names[PROXY_MODES] = {"pass", "delay", "drop answers", "drop calls", "drop all"};
 
 typedef struct side side_t;
 
-/** Bytes that wait for their time. */
+/** Bytes queued until they are due. */
 typedef struct {
     struct cds_list_head node;
     tc_time_t due;
@@ -41,11 +40,11 @@
 struct side {
     loop_watch_t watch;
     struct pair *pair;
-    struct cds_list_head out; /* to be written to this end */
-    tc_time_t free_at;        /* of a narrow way: when all that waits for this end is written */
-    bool held;                /* not read for now */
-    bool ended;               /* nothing comes from it any more */
-    size_t left;              /* bytes that come from it and may still pass */
+    struct cds_list_head out; /* chunk_t, to be written to this end */
+    tc_time_t free_at;        /* with a rate limit: when all that is queued for this end is written */
+    bool paused;              /* reading from this end is paused */
+    bool ended;               /* this end has closed its connection */
+    size_t quota;             /* bytes from this end that are still forwarded */
 };
 
 /** A connection through the proxy. */
@@ -53,20 +52,20 @@
     struct cds_list_head node;
     proxy_t *proxy;
     side_t caller, listener;
-    bool harmed; /* bytes of it are lost */
-    bool mute;   /* for good */
+    bool lossy;      /* bytes were dropped */
+    bool blackholed; /* set to a black hole by proxy_blackhole*(): not reset when the mode changes */
 } pair_t;
 
 struct proxy {
     loop_t *loop;
-    loop_watch_t watch; /* its fd is -1 while it is down */
+    loop_watch_t watch; /* listener; fd is -1 while the proxy is down */
     char at[32], to[32];
     proxy_mode_t mode;
-    size_t rate; /* bytes a second, each way of a connection; 0: any number */
+    size_t rate; /* bytes/s in each direction of a connection; 0: no limit */
     struct cds_list_head pairs;
 };
 
-/* ===== Ending ===== */
+/* ===== Closing ===== */
 
 static void side_close(side_t *s, bool reset)
 {
@@ -88,9 +87,9 @@
     g_free(p);
 }
 
-/* ===== Passing on ===== */
+/* ===== Forwarding ===== */
 
-/** Write what is due. @return false when the connection is gone */
+/** Writes the chunks that are due. @return false when the connection was closed and freed */
 static bool side_flush(side_t *s, tc_time_t now)
 {
     chunk_t *chunk, *next;
@@ -113,7 +112,7 @@
     return true;
 }
 
-static bool is_lost(const side_t *from)
+static bool is_dropped(const side_t *from)
 {
     const bool from_caller = from == &from->pair->caller;
     switch (from->pair->proxy->mode) {
@@ -124,18 +123,18 @@
     }
 }
 
-/** How many of @p size bytes that come now may pass: the first ones. */
-static size_t take_passing(side_t *from, size_t size)
+/** Returns how many of @p size received bytes, from the first on, are forwarded, and reduces the quota by them. */
+static size_t take_quota(side_t *from, size_t size)
 {
-    if (is_lost(from))
+    if (is_dropped(from))
         return 0;
-    const size_t passing = MIN(size, from->left);
-    from->left -= from->left == ANY_NUMBER ? 0 : passing;
+    const size_t passing = MIN(size, from->quota);
+    from->quota -= from->quota == NO_QUOTA ? 0 : passing;
     return passing;
 }
 
-/** When bytes that come now may be written to @p to. */
-static tc_time_t due_at(const proxy_t *proxy, side_t *to, size_t size, tc_time_t now)
+/** When bytes received now may be written to @p to. */
+static tc_time_t send_time(const proxy_t *proxy, side_t *to, size_t size, tc_time_t now)
 {
     if (proxy->rate == 0)
         return proxy->mode == PROXY_DELAY ? now + DELAY_MS : now;
@@ -143,14 +142,14 @@
     return to->free_at;
 }
 
-/** Read from @p from only while the narrow way to @p to has room. */
-static void hold(side_t *from, const side_t *to, tc_time_t now)
+/** Pauses reading from @p from while the data queued for @p to takes longer than AHEAD_MS to send. */
+static void update_pause(side_t *from, const side_t *to, tc_time_t now)
 {
-    const bool held = to->free_at > now + AHEAD_MS;
-    if (from->held == held || from->ended)
+    const bool paused = to->free_at > now + AHEAD_MS;
+    if (from->paused == paused || from->ended)
         return;
-    from->held = held;
-    loop_watch_modify(from->pair->proxy->loop, &from->watch, held ? 0 : EPOLLIN);
+    from->paused = paused;
+    loop_watch_modify(from->pair->proxy->loop, &from->watch, paused ? 0 : EPOLLIN);
 }
 
 static void on_io(void *arg, uint32_t events)
@@ -161,12 +160,12 @@
     char buffer[CHUNK];
     (void)events;
     const size_t rate = p->proxy->rate;
-    const size_t most = rate > 0 ? MIN(sizeof(buffer), rate * AHEAD_MS / 1000) : sizeof(buffer);
-    const ssize_t n = recv(from->watch.fd, buffer, most, 0);
+    const size_t limit = rate > 0 ? MIN(sizeof(buffer), rate * AHEAD_MS / 1000) : sizeof(buffer);
+    const ssize_t n = recv(from->watch.fd, buffer, limit, 0);
     if (n < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (n <= 0) {
-        /* An end that comes while bytes wait is told behind them. */
+        /* Bytes that are still queued are sent before the close is passed on. */
         from->ended = true;
         if (n < 0 || cds_list_empty(&to->out))
             pair_close(p, n < 0);
@@ -174,17 +173,17 @@
             loop_watch_modify(p->proxy->loop, &from->watch, 0);
         return;
     }
-    const size_t passing = take_passing(from, (size_t)n);
-    p->harmed |= passing < (size_t)n;
+    const size_t passing = take_quota(from, (size_t)n);
+    p->lossy |= passing < (size_t)n;
     if (passing == 0)
         return;
     const tc_time_t now = tc_time_now();
     chunk_t *const chunk = g_malloc0(sizeof(*chunk) + passing);
     chunk->size = passing;
-    chunk->due = due_at(p->proxy, to, passing, now);
+    chunk->due = send_time(p->proxy, to, passing, now);
     memcpy(chunk->data, buffer, passing);
     cds_list_add_tail(&chunk->node, &to->out);
-    hold(from, to, now);
+    update_pause(from, to, now);
     (void)side_flush(to, now);
 }
 
@@ -196,8 +195,8 @@
     cds_list_for_each_entry_safe(p, next, &proxy->pairs, node) {
         if (!side_flush(&p->caller, now) || !side_flush(&p->listener, now))
             continue;
-        hold(&p->caller, &p->listener, now);
-        hold(&p->listener, &p->caller, now);
+        update_pause(&p->caller, &p->listener, now);
+        update_pause(&p->listener, &p->caller, now);
         const bool over = (p->caller.ended && cds_list_empty(&p->listener.out)) ||
                           (p->listener.ended && cds_list_empty(&p->caller.out));
         if (over)
@@ -210,9 +209,9 @@
 static void side_init(side_t *s, pair_t *p, int fd)
 {
     s->pair = p;
-    s->left = ANY_NUMBER;
+    s->quota = NO_QUOTA;
     s->watch = (loop_watch_t){.fd = fd, .on_io = on_io, .arg = s};
-    const int on = 1; /* what passes is not held back by our own kernel */
+    const int on = 1; /* Nagle's algorithm would add delays of its own */
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     CDS_INIT_LIST_HEAD(&s->out);
     loop_watch(p->proxy->loop, &s->watch, EPOLLIN);
@@ -243,7 +242,7 @@
     side_init(&p->listener, p, out);
 }
 
-/* ===== Life ===== */
+/* ===== Start and stop ===== */
 
 static void proxy_listen(proxy_t *proxy)
 {
@@ -254,7 +253,7 @@
     loop_watch(proxy->loop, &proxy->watch, EPOLLIN);
 }
 
-static void proxy_deafen(proxy_t *proxy)
+static void proxy_stop_listening(proxy_t *proxy)
 {
     if (proxy->watch.fd < 0)
         return;
@@ -295,7 +294,7 @@
         proxy_listen(proxy);
         return;
     }
-    proxy_deafen(proxy);
+    proxy_stop_listening(proxy);
     proxy_reset(proxy);
 }
 
@@ -303,8 +302,8 @@
 {
     pair_t *p;
     cds_list_for_each_entry(p, &proxy->pairs, node) {
-        p->mute = true;
-        p->caller.left = p->listener.left = 0;
+        p->blackholed = true;
+        p->caller.quota = p->listener.quota = 0;
     }
 }
 
@@ -313,8 +312,8 @@
     pair_t *p;
     cds_list_for_each_entry(p, &proxy->pairs, node) {
         side_t *const from = answers ? &p->listener : &p->caller;
-        p->mute = true;
-        from->left = MIN(from->left, bytes);
+        p->blackholed = true;
+        from->quota = MIN(from->quota, bytes);
     }
 }
 
@@ -323,7 +322,7 @@
     pair_t *p, *next;
     proxy->mode = mode;
     cds_list_for_each_entry_safe(p, next, &proxy->pairs, node)
-        if (p->harmed && !p->mute)
+        if (p->lossy && !p->blackholed)
             pair_close(p, true);
 }
 
@@ -331,6 +330,6 @@
 {
     proxy_reset(proxy);
     loop_remove_ticks(proxy->loop, proxy);
-    proxy_deafen(proxy);
+    proxy_stop_listening(proxy);
     g_free(proxy);
 }
--- a/tests/harness/proxy.h
+++ b/tests/harness/proxy.h
@@ -1,45 +1,47 @@
 /** @file proxy.h
- * A TCP proxy on loopback that harms what passes through it: delays, resets, silence, one way cut.
+ * TCP proxy on loopback that injects network faults: delays, resets, black holes, loss of one direction.
  *
- * Connections are accepted whatever the mode, as the network accepts what it will
- * lose. Everything runs in the loop's thread.
+ * Connections are accepted in every mode: they are set up before their data is lost. All calls are made in the loop's
+ * thread.
  */
 #ifndef TRACKCOVE_TESTS_PROXY_H
 #define TRACKCOVE_TESTS_PROXY_H
 
 #include "peer/loop.h"
 
-/** What happens to bytes. */
+/** What the proxy does with the bytes that it receives. */
 typedef enum {
-    PROXY_PASS,
-    PROXY_DELAY,        /**< they pass 150 ms later */
-    PROXY_DROP_ANSWERS, /**< those of the side that listens are lost */
-    PROXY_DROP_CALLS,   /**< those of the side that dialled are lost */
-    PROXY_DROP_ALL,     /**< all are lost */
+    PROXY_PASS,         /**< forwards them at once */
+    PROXY_DELAY,        /**< forwards them after 150 ms */
+    PROXY_DROP_ANSWERS, /**< drops those from the listening side */
+    PROXY_DROP_CALLS,   /**< drops those from the dialling side */
+    PROXY_DROP_ALL,     /**< drops all */
     PROXY_MODES
 } proxy_mode_t;
 
-/** Names of the modes, for the schedule. */
+/** Names of the modes, for the schedule that a failed soak prints. */
 extern const char *const proxy_mode_names[PROXY_MODES];
 
 typedef struct proxy proxy_t;
 
-/** Listen at @p at, "IP:port", and connect what comes to @p to. */
+/** Listens at @p at and forwards each connection to @p to; both are "IP:port". Free with proxy_stop(). */
 proxy_t *proxy_start(loop_t *loop, const char *at, const char *to);
-/** From now on. What was lost stays lost: connections that lost bytes are reset when the mode changes. */
+/** Sets the mode. Connections that lost bytes are reset, as the loss can't be repaired; those set to a black hole stay.
+ */
 void proxy_set(proxy_t *proxy, proxy_mode_t mode);
-/** No more than @p rate bytes a second pass each way of a connection, 0 for any number: whoever sends more waits. */
+/** Limits each direction of a connection to @p rate bytes/s; a faster sender is blocked by TCP flow control. 0: no
+ *  limit. */
 void proxy_set_rate(proxy_t *proxy, size_t rate);
-/** The connections that stand lose all from now on, for good; new ones pass. */
+/** Drops all further bytes of the present connections, for as long as they last; new connections are not affected. */
 void proxy_blackhole(proxy_t *proxy);
-/** The connections that stand let @p bytes more of one direction pass, lose what follows in it for good, and stay open;
- *  new ones pass. @param answers the direction from the side that listens, else that from the side that dialled */
+/** Forwards @p bytes more in one direction of the present connections and drops what follows; they stay open, and new
+ *  connections are not affected. @param answers true: bytes from the listening side, false: from the dialling side */
 void proxy_blackhole_after(proxy_t *proxy, bool answers, size_t bytes);
-/** Reset all connections. */
+/** Resets all connections. */
 void proxy_reset(proxy_t *proxy);
-/** The one it connects to has ended: connections are refused, those that stand are reset; or it is there again. */
+/** Simulates that the server behind the proxy is down (connections are refused, present ones reset) or up again. */
 void proxy_set_down(proxy_t *proxy, bool down);
-/** Close everything. */
+/** Resets all connections, stops listening and frees the proxy. */
 void proxy_stop(proxy_t *proxy);
 
 #endif
