--- a/tests/platform/soak/engines.c
+++ b/tests/platform/soak/engines.c
@@ -18,14 +18,14 @@
 }
 
 /** A worker begins to work on a try. */
-static void note_run(world_t *w, const char *id)
+static void record_run(world_t *w, const char *id)
 {
-    try_t *const t = world_try(w, id);
+    attempt_t *const t = world_attempt(w, id);
     t->runs++;
     if (t->once && t->runs > 1)
-        world_broken(w, "a request that must run once ran twice", id);
+        world_fail(w, "a request that must run once ran twice", id);
     if (t->refused)
-        world_broken(w, "a request that was refused as not run ran", id);
+        world_fail(w, "a request that was refused as not run ran", id);
 }
 
 static lab_reply_t reply(lab_end_t end, const char *format, ...) __attribute__((format(printf, 2, 3)));
@@ -47,19 +47,19 @@
 
 /** How a stream ends. */
 typedef enum {
-    TEAR_NONE,
-    TEAR_RESET,
-    TEAR_CLOSE, /* in order, without the end of the chunks */
-    TEAR_END,   /* the chunks end well, within an event */
-    TEAR_STOP,  /* it falls silent, the connection stays */
-    TEARS
-} tear_t;
+    STREAM_COMPLETE,
+    STREAM_RESET,
+    STREAM_CLOSE, /* in order, without the end of the chunks */
+    STREAM_END_WITHIN_EVENT,   /* the chunks end well, within an event */
+    STREAM_STALL,  /* it falls silent, the connection stays */
+    STREAM_ENDS
+} stream_end_t;
 
 enum {
-    EVENT_TOKENS = 4,  /* most in one event */
-    FILLER_BYTES = 60, /* most of an event's text behind what names it */
-    PART_BYTES = 120,  /* most of a stream sent at once: an event has 40 to 150 */
-    PACE_MS = 25       /* most between two parts */
+    EVENT_TOKENS_MAX = 4,  /* most in one event */
+    FILLER_BYTES_MAX = 60, /* most of an event's text behind what names it */
+    PART_BYTES_MAX = 120,  /* most of a stream sent at once: an event has 40 to 150 */
+    PIECE_DELAY_MAX_MS = 25       /* most between two parts */
 };
 
 /** An event as engines write them: its id before or behind its text, or behind the line of a version. */
@@ -82,12 +82,12 @@
     GArray *const events = g_array_new(FALSE, FALSE, sizeof(record_event_t));
     const record_run_t run = {.number = ++w->runs, .after = after};
     const char *const nl = world_pick(w, 2) ? "\n" : "\r\n";
-    const unsigned most = 1 + (unsigned)world_pick(w, EVENT_TOKENS);
+    const unsigned most = 1 + (unsigned)world_pick(w, EVENT_TOKENS_MAX);
     for (unsigned first = after + 1, last; first <= r->tokens; first = last + 1) {
         const unsigned more = (unsigned)world_pick(w, (int)most);
         last = MIN(r->tokens, first + more);
         char *const text = g_strdup_printf("%s run %u tokens %u to %u %.*s", name, run.number, first, last,
-                                           world_pick(w, FILLER_BYTES + 1),
+                                           world_pick(w, FILLER_BYTES_MAX + 1),
                                            "abcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvwxyzabcdefgh");
         const record_event_t e = {run, first, last, 0, write_event(w, text, last, nl)};
         g_array_append_val(events, e);
@@ -115,10 +115,10 @@
 
 /** Bytes that are sent of a stream that breaks off: any place, but the chunks never end well between two events, since
  *  nobody could tell that from a whole answer. */
-static size_t choose_cut(world_t *w, const GArray *events, tear_t tear)
+static size_t choose_cut(world_t *w, const GArray *events, stream_end_t stream_end)
 {
     const size_t cut = (size_t)world_pick(w, (int)size_of(events));
-    return tear == TEAR_END && !is_within(events, cut) ? cut + 1 : cut;
+    return stream_end == STREAM_END_WITHIN_EVENT && !is_within(events, cut) ? cut + 1 : cut;
 }
 
 /** Record the events. @return the first @p cut bytes of them */
@@ -145,29 +145,29 @@
 {
     for (size_t at = 0, size; at < bytes->len; at += size) {
         const size_t before = out->len;
-        const size_t part = 1 + (size_t)world_pick(w, PART_BYTES);
+        const size_t part = 1 + (size_t)world_pick(w, PART_BYTES_MAX);
         size = MIN(bytes->len - at, part);
         g_string_append_printf(out, "%zx\r\n%.*s\r\n", size, (int)size, bytes->str + at);
         const size_t chunk = out->len - before;
         const size_t now = world_pick(w, 4) ? chunk : 1 + (size_t)world_pick(w, (int)chunk - 1);
-        add_piece(pieces, now, world_pick(w, PACE_MS));
+        add_piece(pieces, now, world_pick(w, PIECE_DELAY_MAX_MS));
         if (now < chunk)
-            add_piece(pieces, chunk - now, world_pick(w, PACE_MS));
+            add_piece(pieces, chunk - now, world_pick(w, PIECE_DELAY_MAX_MS));
     }
 }
 
-static lab_end_t end_of(tear_t tear)
+static lab_end_t connection_end(stream_end_t stream_end)
 {
-    switch (tear) {
-    case TEAR_RESET: return LAB_RESET;
-    case TEAR_CLOSE: return LAB_CLOSE;
-    case TEAR_STOP: return LAB_HANG;
+    switch (stream_end) {
+    case STREAM_RESET: return LAB_RESET;
+    case STREAM_CLOSE: return LAB_CLOSE;
+    case STREAM_STALL: return LAB_HANG;
     default: return LAB_KEEP;
     }
 }
 
 /** A run of a stream, whose name is the request's body. */
-static lab_reply_t stream(struct worker *me, const char *id, const char *request, tear_t tear)
+static lab_reply_t stream(struct worker *me, const char *id, const char *request, stream_end_t stream_end)
 {
     world_t *const w = me->world;
     const char *const name = strstr(request, "\r\n\r\n") + 4;
@@ -175,15 +175,15 @@
     record_t *const r = world_stream(w, name, 0);
     const unsigned after = (unsigned)strtoul(asked, NULL, 10);
     if (!r || !record_ends_with(r, after)) {
-        world_broken(w, "a run is asked to go on behind an event that was made", id);
+        world_fail(w, "a run is asked to go on behind an event that was made", id);
         g_free(asked);
         return refuse();
     }
     g_free(asked);
     GArray *const events = make_events(w, r, name, after);
-    const bool tears = tear != TEAR_NONE && events->len > 0;
-    const size_t cut = tears ? choose_cut(w, events, tear) : size_of(events);
-    w->torn += is_within(events, cut);
+    const bool truncate = stream_end != STREAM_COMPLETE && events->len > 0;
+    const size_t cut = truncate ? choose_cut(w, events, stream_end) : size_of(events);
+    w->truncated += is_within(events, cut);
     GString *const sent = record_events(r, events, cut);
     GString *const out = g_string_new(NULL);
     g_string_printf(out,
@@ -191,12 +191,12 @@
                     "Transfer-Encoding: chunked\r\n\r\n",
                     id, me->id);
     GArray *const pieces = g_array_new(FALSE, FALSE, sizeof(lab_piece_t));
-    add_piece(pieces, out->len, world_pick(w, PACE_MS));
+    add_piece(pieces, out->len, world_pick(w, PIECE_DELAY_MAX_MS));
     add_chunks(w, out, pieces, sent);
-    g_string_append(out, !tears || tear == TEAR_END ? "0\r\n\r\n" : "");
+    g_string_append(out, !truncate || stream_end == STREAM_END_WITHIN_EVENT ? "0\r\n\r\n" : "");
     g_string_free(sent, TRUE);
     g_array_free(events, TRUE);
-    return (lab_reply_t){.bytes = g_string_free(out, FALSE), .end = tears ? end_of(tear) : LAB_KEEP, .pieces = pieces};
+    return (lab_reply_t){.bytes = g_string_free(out, FALSE), .end = truncate ? connection_end(stream_end) : LAB_KEEP, .pieces = pieces};
 }
 
 /* ===== Workers ===== */
@@ -204,13 +204,13 @@
 static lab_reply_t serve(struct worker *me, const char *id, const char *request)
 {
     world_t *const w = me->world;
-    const bool wrong = world_draw(w) < me->trouble;
+    const bool wrong = world_random(w) < me->failure_rate;
     const int how = world_pick(w, 6);
     if (wrong && how == 0)
         return refuse();
-    note_run(w, id);
+    record_run(w, id);
     if (me->kind == 2)
-        return stream(me, id, request, wrong ? (tear_t)(1 + world_pick(w, TEARS - 1)) : TEAR_NONE);
+        return stream(me, id, request, wrong ? (stream_end_t)(1 + world_pick(w, STREAM_ENDS - 1)) : STREAM_COMPLETE);
     if (wrong && how == 1)
         return reply(LAB_RESET, "%s", "");
     if (wrong && how == 2)
@@ -224,15 +224,15 @@
                  strlen(id), id);
 }
 
-enum { BACK_MIN_MS = 1000, BACK_MAX_MS = 3000 /* a worker that ended is there again */ };
+enum { RESTART_MIN_MS = 1000, RESTART_MAX_MS = 3000 /* a worker that ended is there again */ };
 
 /** The worker ends, and with it all that it runs. */
 static void engine_crash(struct worker *me)
 {
-    world_note(me->world, "worker %s ends", me->id);
-    proxy_set_down(me->way, true);
+    world_log(me->world, "worker %s ends", me->id);
+    proxy_set_down(me->proxy, true);
     lab_backend_crash(me->backend);
-    me->back_at = tc_time_now() + BACK_MIN_MS + world_pick(me->world, BACK_MAX_MS - BACK_MIN_MS);
+    me->restart_at = tc_time_now() + RESTART_MIN_MS + world_pick(me->world, RESTART_MAX_MS - RESTART_MIN_MS);
 }
 
 /** Add header lines to the head of an answer. @param line for g_free, or "" */
@@ -267,12 +267,12 @@
         ; /* it takes none */
     else if (strcmp(expected, me->id) != 0)
         answer = reply(LAB_KEEP, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
-    else if (me->kind == 1 && strcmp(stage, "prefill") == 0 && world_draw(me->world) >= me->trouble)
+    else if (me->kind == 1 && strcmp(stage, "prefill") == 0 && world_random(me->world) >= me->failure_rate)
         answer = reply(LAB_KEEP, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\n{\"prefill_handle\":\"h1\"}");
     else if (me->kind == 1)
         answer = refuse();
     else if (fatal) {
-        fatal_ran(fatal);
+        fatal_started(fatal);
         engine_crash(me);
         answer = reply(LAB_HANG, "%s", "");
     } else
@@ -281,7 +281,7 @@
     add_header(&answer, g_strdup(notices_header(me)));
     limits_answered(me, id, &answer);
     notices_answered(me, id, &answer);
-    arrivals_note(me->world, me->kind > 0, id, me->kind == 1 && answer.bytes && strstr(answer.bytes, "prefill_handle"));
+    arrivals_record(me->world, me->kind > 0, id, me->kind == 1 && answer.bytes && strstr(answer.bytes, "prefill_handle"));
     g_free(id);
     g_free(expected);
     g_free(stage);
@@ -321,47 +321,47 @@
     g_snprintf(k->id, sizeof(k->id), "i-%d", i);
     char own[32];
     lab_unused_addr(own);
-    k->limited = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
-    k->rests = notices_array();
+    k->limited_at = g_array_new(FALSE, FALSE, sizeof(tc_time_t));
+    k->pauses = notices_create_pauses();
     k->backend = lab_backend_start(w->loop, own, on_request, k);
     lab_unused_addr(k->addr);
-    k->way = proxy_start(w->loop, k->addr, own);
+    k->proxy = proxy_start(w->loop, k->addr, own);
 }
 
 void engine_freeze(struct worker *k, tc_time_t until)
 {
-    k->wake_at = until;
+    k->resume_at = until;
     lab_backend_freeze(k->backend, true);
 }
 
-void engine_wake(struct worker *k)
+void engine_resume(struct worker *k)
 {
-    k->wake_at = 0;
+    k->resume_at = 0;
     lab_backend_freeze(k->backend, false);
 }
 
 void engine_restart(struct worker *k)
 {
-    k->back_at = 0;
+    k->restart_at = 0;
     limits_restart(k);
     const bool left = k->leave_at > 0;
-    notices_end(k);
+    notices_clear(k);
     if (left || world_pick(k->world, 2)) /* else under its id */
-        g_snprintf(k->id, sizeof(k->id), "i-%d.%u", (int)(k - k->world->worker), ++k->lives);
+        g_snprintf(k->id, sizeof(k->id), "i-%d.%u", (int)(k - k->world->worker), ++k->restarts);
     lab_backend_restart(k->backend);
-    proxy_set_down(k->way, false);
+    proxy_set_down(k->proxy, false);
 }
 
 void engine_leave(struct worker *k)
 {
-    if (!k->back_at)
+    if (!k->restart_at)
         engine_crash(k);
 }
 
 void engine_destroy(struct worker *k)
 {
-    proxy_stop(k->way);
+    proxy_stop(k->proxy);
     lab_backend_stop(k->backend);
-    g_array_free(k->limited, TRUE);
-    g_array_free(k->rests, TRUE);
+    g_array_free(k->limited_at, TRUE);
+    g_array_free(k->pauses, TRUE);
 }
--- a/tests/platform/soak/engines.h
+++ b/tests/platform/soak/engines.h
@@ -12,7 +12,7 @@
 /** It stands still until @p until: it reads nothing and sends nothing, its connections stay. */
 void engine_freeze(struct worker *worker, tc_time_t until);
 /** Wake it, if it stands still. */
-void engine_wake(struct worker *worker);
+void engine_resume(struct worker *worker);
 /** It has ended, and is there again with nothing of before. */
 void engine_restart(struct worker *worker);
 /** One that leaves ends; another one is there soon after. */
--- a/tests/platform/soak/fatal.c
+++ b/tests/platform/soak/fatal.c
@@ -8,11 +8,11 @@
 /* ===== Constants ===== */
 
 enum {
-    FATALS = 3,
-    AGAIN_MIN_MS = 100,
-    AGAIN_MAX_MS = 900,
-    CONTACT_MS = 3000, /* boxes that nothing has harmed for so long know what each of them knew */
-    JUDGED_MS = 5500,  /* of calm: that, and time for more tries than are allowed */
+    FATAL_REQUESTS = 3,
+    RETRY_MIN_MS = 100,
+    RETRY_MAX_MS = 900,
+    AGREEMENT_MS = 3000, /* boxes that nothing has harmed for so long know what each of them knew */
+    CHECK_MS = 5500,  /* of calm: that, and time for more tries than are allowed */
     LATE_MAX = 3,      /* sent after that, on the platform's word */
     WINDOW_MS = 10000,
     ALLOWANCE = 60
@@ -28,37 +28,37 @@
     kind_t kind;
     lab_call_t *call;
     tc_time_t next_at;
-    unsigned tries;
+    unsigned attempts;
     unsigned ended;     /* workers */
-    tc_time_t third_at; /* the third of them, 0: none */
+    tc_time_t third_end_at; /* the third of them, 0: none */
     unsigned late;      /* sent to workers when all boxes were to know */
 };
 
 struct fatal_callers {
     world_t *world;
     web_client_t *client;
-    struct fatal list[FATALS];
-    tc_time_t calm_at; /* 0: boxes are harmed */
+    struct fatal list[FATAL_REQUESTS];
+    tc_time_t faults_ended_at; /* 0: boxes are harmed */
 };
 
 fatal_callers_t *fatal_create(world_t *w, web_client_t *client)
 {
-    static const kind_t kinds[FATALS] = {KIND_RESUMABLE, KIND_SAFE, KIND_STREAM};
+    static const kind_t kinds[FATAL_REQUESTS] = {KIND_RESUMABLE, KIND_SAFE, KIND_STREAM};
     fatal_callers_t *const f = g_new0(fatal_callers_t, 1);
     f->world = w;
     f->client = client;
-    for (int i = 0; i < FATALS; i++) {
-        f->list[i] = (struct fatal){.owner = f, .kind = kinds[i], .next_at = tc_time_now() + AGAIN_MAX_MS};
+    for (int i = 0; i < FATAL_REQUESTS; i++) {
+        f->list[i] = (struct fatal){.owner = f, .kind = kinds[i], .next_at = tc_time_now() + RETRY_MAX_MS};
         g_snprintf(f->list[i].name, sizeof(f->list[i].name), "fatal-%d", i);
     }
-    w->fatals = f;
+    w->fatal_callers = f;
     return f;
 }
 
 void fatal_destroy(fatal_callers_t *f)
 {
-    f->world->fatals = NULL;
-    for (int i = 0; i < FATALS; i++) {
+    f->world->fatal_callers = NULL;
+    for (int i = 0; i < FATAL_REQUESTS; i++) {
         if (!f->list[i].call)
             continue;
         if (!f->list[i].call->done)
@@ -68,51 +68,51 @@
     g_free(f);
 }
 
-static void send_one(struct fatal *one)
+static void send_request(struct fatal *fatal)
 {
-    world_t *const w = one->owner->world;
+    world_t *const w = fatal->owner->world;
     char addr[32], id[32];
     const int box = world_pick(w, WORLD_BOXES);
     world_addr(w, box, PORT_FRONT, addr);
-    g_snprintf(id, sizeof(id), "%s.%u", one->name, one->tries++);
-    world_try(w, id)->box = 1 + (unsigned)box;
-    arrivals_request(w, kind_is_stream(one->kind));
+    g_snprintf(id, sizeof(id), "%s.%u", fatal->name, fatal->attempts++);
+    world_attempt(w, id)->box = 1 + (unsigned)box;
+    arrivals_request(w, kind_is_stream(fatal->kind));
     char *const text = g_strdup_printf("POST /%s/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nDeadline-Ms: 2000\r\n"
                                        "Token-Count: 500,100\r\nContent-Length: %zu\r\n\r\n%s",
-                                       kind_paths[one->kind], id, strlen(one->name), one->name);
-    one->call = lab_call(one->owner->client, addr, text);
+                                       kind_paths[fatal->kind], id, strlen(fatal->name), fatal->name);
+    fatal->call = lab_call(fatal->owner->client, addr, text);
     g_free(text);
 }
 
 void fatal_drive(fatal_callers_t *f)
 {
     const tc_time_t now = tc_time_now();
-    for (int i = 0; i < FATALS; i++) {
-        struct fatal *const one = &f->list[i];
-        if (one->call && one->call->done) {
-            lab_call_free(one->call);
-            one->call = NULL;
-            one->next_at = now + AGAIN_MIN_MS + world_pick(f->world, AGAIN_MAX_MS - AGAIN_MIN_MS);
+    for (int i = 0; i < FATAL_REQUESTS; i++) {
+        struct fatal *const fatal = &f->list[i];
+        if (fatal->call && fatal->call->done) {
+            lab_call_free(fatal->call);
+            fatal->call = NULL;
+            fatal->next_at = now + RETRY_MIN_MS + world_pick(f->world, RETRY_MAX_MS - RETRY_MIN_MS);
         }
-        if (!one->call && now >= one->next_at)
-            send_one(one);
+        if (!fatal->call && now >= fatal->next_at)
+            send_request(fatal);
     }
 }
 
-void fatal_calm(fatal_callers_t *f)
+void fatal_end_faults(fatal_callers_t *f)
 {
-    f->calm_at = tc_time_now();
+    f->faults_ended_at = tc_time_now();
 }
 
-bool fatal_is_judged(const fatal_callers_t *f)
+bool fatal_is_checked(const fatal_callers_t *f)
 {
-    return f->calm_at > 0 && tc_time_now() - f->calm_at >= JUDGED_MS;
+    return f->faults_ended_at > 0 && tc_time_now() - f->faults_ended_at >= CHECK_MS;
 }
 
 void fatal_count(const fatal_callers_t *f, unsigned *ended, unsigned *late)
 {
     *ended = *late = 0;
-    for (int i = 0; i < FATALS; i++) {
+    for (int i = 0; i < FATAL_REQUESTS; i++) {
         *ended += f->list[i].ended;
         *late += f->list[i].ended > 3 ? f->list[i].ended - 3 : 0;
     }
@@ -120,26 +120,26 @@
 
 struct fatal *fatal_find(world_t *w, const char *body)
 {
-    for (int i = 0; w->fatals && i < FATALS; i++)
-        if (strcmp(w->fatals->list[i].name, body) == 0)
-            return &w->fatals->list[i];
+    for (int i = 0; w->fatal_callers && i < FATAL_REQUESTS; i++)
+        if (strcmp(w->fatal_callers->list[i].name, body) == 0)
+            return &w->fatal_callers->list[i];
     return NULL;
 }
 
-void fatal_arrived(struct fatal *one)
+void fatal_arrived(struct fatal *fatal)
 {
-    const fatal_callers_t *const f = one->owner;
-    if (one->third_at == 0 || f->calm_at == 0)
+    const fatal_callers_t *const f = fatal->owner;
+    if (fatal->third_end_at == 0 || f->faults_ended_at == 0)
         return;
-    const tc_time_t known_at = MAX(one->third_at, f->calm_at) + CONTACT_MS;
-    if (tc_time_now() >= known_at && ++one->late > LATE_MAX)
-        world_broken(f->world, "a request under which three workers ended is sent to no other", one->name);
+    const tc_time_t known_at = MAX(fatal->third_end_at, f->faults_ended_at) + AGREEMENT_MS;
+    if (tc_time_now() >= known_at && ++fatal->late > LATE_MAX)
+        world_fail(f->world, "a request under which three workers ended is sent to no other", fatal->name);
 }
 
-void fatal_ran(struct fatal *one)
+void fatal_started(struct fatal *fatal)
 {
-    if (++one->ended == 3)
-        one->third_at = tc_time_now();
+    if (++fatal->ended == 3)
+        fatal->third_end_at = tc_time_now();
 }
 
 /* ===== Arrivals ===== */
@@ -155,9 +155,9 @@
     add_now(w->arrivals[lm].requests);
 }
 
-void arrivals_note(world_t *w, bool lm, const char *id, bool prefilled)
+void arrivals_record(world_t *w, bool lm, const char *id, bool prefilled)
 {
-    try_t *const t = world_try(w, id);
+    attempt_t *const t = world_attempt(w, id);
     if (prefilled && !t->read) {
         t->read = true; /* the first prompt that is read is no extra */
         return;
@@ -170,7 +170,7 @@
 {
     static const retry_rules_t rules = {.ratio = RETRY_RATIO, .allowance = ALLOWANCE, .window = WINDOW_MS};
     if (windows_max_excess(a->requests, a->extras, &rules) > 0)
-        world_broken(w, "arrivals beyond the first of their request keep to the budget", name);
+        world_fail(w, "arrivals beyond the first of their request keep to the budget", name);
 }
 
 void arrivals_check(world_t *w)
--- a/tests/platform/soak/fatal.h
+++ b/tests/platform/soak/fatal.h
@@ -15,9 +15,9 @@
 /** Send what is due, and take what came. */
 void fatal_drive(fatal_callers_t *callers);
 /** From now on no box is harmed. */
-void fatal_calm(fatal_callers_t *callers);
+void fatal_end_faults(fatal_callers_t *callers);
 /** Whether it has been calm for long enough to judge. */
-bool fatal_is_judged(const fatal_callers_t *callers);
+bool fatal_is_checked(const fatal_callers_t *callers);
 /** How many workers ended in all, and after the third of each request. */
 void fatal_count(const fatal_callers_t *callers, unsigned *ended, unsigned *late);
 
@@ -26,12 +26,12 @@
 /** It reached a worker. */
 void fatal_arrived(struct fatal *fatal);
 /** A worker begins to run it, and ends. */
-void fatal_ran(struct fatal *fatal);
+void fatal_started(struct fatal *fatal);
 
 /** A caller sends a request for the service, "app" or "lm". */
 void arrivals_request(world_t *world, bool lm);
 /** A request reached a worker. @param prefilled it read the prompt, and no more */
-void arrivals_note(world_t *world, bool lm, const char *id, bool prefilled);
+void arrivals_record(world_t *world, bool lm, const char *id, bool prefilled);
 /** No window of ten seconds holds more extras than its requests, or those of a window before, allow. */
 void arrivals_check(world_t *world);
 
--- a/tests/platform/soak/limits.h
+++ b/tests/platform/soak/limits.h
@@ -9,7 +9,7 @@
 /** The worker names another limit from now on, or none any more, by lot. */
 void limits_change(struct worker *worker);
 /** It names none. */
-void limits_lift(struct worker *worker);
+void limits_remove(struct worker *worker);
 /** It starts again: boxes have heard nothing of it yet. */
 void limits_restart(struct worker *worker);
 /** The header line of its answers, or "". @return for g_free */
--- a/tests/platform/soak/notices.h
+++ b/tests/platform/soak/notices.h
@@ -8,16 +8,16 @@
 #include "platform/soak/world.h"
 
 /** For a worker's rests. */
-GArray *notices_array(void);
+GArray *notices_create_pauses(void);
 /** The worker turns all requests away for a while and asks each box for no more, or leaves, by lot; unless one does
  *  already. */
 void notices_begin(struct worker *worker);
 /** It asks for nothing any more; when it leaves it goes on with that. */
-void notices_calm(struct worker *worker);
+void notices_stop_rejecting(struct worker *worker);
 /** It says nothing of the kind: it starts anew. */
-void notices_end(struct worker *worker);
+void notices_clear(struct worker *worker);
 /** Whether it does, so that its way is to be left alone. */
-bool notices_is_on(const struct worker *worker);
+bool notices_are_active(const struct worker *worker);
 /** Call every tick. @return whether it leaves and is to end now */
 bool notices_tick(struct worker *worker);
 
--- a/tests/platform/soak/record.c
+++ b/tests/platform/soak/record.c
@@ -60,7 +60,7 @@
 }
 
 /** The event that a run sent whole and that is this one byte for byte, or NULL. */
-static const record_event_t *find_whole(const record_t *r, const char *data, size_t size)
+static const record_event_t *find_event(const record_t *r, const char *data, size_t size)
 {
     for (guint i = 0; i < r->events->len; i++) {
         const record_event_t *const e = g_ptr_array_index(r->events, i);
@@ -78,9 +78,9 @@
     return e->run.number > r->run && e->run.after == r->last;
 }
 
-static const char *take_event(record_t *r, const char *data, size_t size)
+static const char *check_event(record_t *r, const char *data, size_t size)
 {
-    const record_event_t *const e = find_whole(r, data, size);
+    const record_event_t *const e = find_event(r, data, size);
     if (!e)
         return "each event of a stream is one that a run made, byte for byte";
     if (e->first <= r->last)
@@ -95,7 +95,7 @@
 }
 
 /** What is left of an answer that broke off within an event is the beginning of what a run made of the next one. */
-static bool is_beginning(const record_t *r, const char *data, size_t size)
+static bool is_event_prefix(const record_t *r, const char *data, size_t size)
 {
     for (guint i = 0; i < r->events->len; i++) {
         const record_event_t *const e = g_ptr_array_index(r->events, i);
@@ -105,19 +105,19 @@
     return size == 0;
 }
 
-const char *record_take(record_t *r, const char *body, size_t size, bool whole)
+const char *record_check_answer(record_t *r, const char *body, size_t size, bool complete)
 {
     size_t length;
     while ((length = event_size(body, size)) > 0) {
-        const char *const broken = take_event(r, body, length);
-        if (broken)
-            return broken;
+        const char *const error = check_event(r, body, length);
+        if (error)
+            return error;
         body += length;
         size -= length;
     }
-    if (!is_beginning(r, body, size))
+    if (!is_event_prefix(r, body, size))
         return "the torn end of a stream is one that a run made";
-    if (whole && (size > 0 || r->last != r->tokens))
+    if (complete && (size > 0 || r->last != r->tokens))
         return "a stream that ends well is complete";
     return NULL;
 }
--- a/tests/platform/soak/record.h
+++ b/tests/platform/soak/record.h
@@ -42,6 +42,6 @@
 
 /** The caller got an answer, whole or not: its events stand behind those of its answers before.
  *  @param whole it ended well  @return the promise that it breaks, or NULL */
-const char *record_take(record_t *record, const char *body, size_t size, bool whole);
+const char *record_check_answer(record_t *record, const char *body, size_t size, bool complete);
 
 #endif
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -34,11 +34,11 @@
     FREEZE_MAX_MS = 1500,
     SUSPEND_MIN_MS = 300,
     SUSPEND_MAX_MS = 3000,
-    SILENT_BYTES = 600,    /* most that pass before a connection falls silent: within its stream */
+    BLACKHOLE_BYTES_MAX = 600,    /* most that pass before a connection falls silent: within its stream */
     WIPE_EVERY_MS = 12000, /* a box with a new disk must be a member again before the next disk goes */
     TOKENS_MIN = 5,        /* of a stream */
     TOKENS_MAX = 30,
-    LEAVE_BYTES = 800, /* most that a caller has when it leaves: an event has 40 to 150, an answer up to 30 */
+    ABORT_BYTES_MAX = 800, /* most that a caller has when it leaves: an event has 40 to 150, an answer up to 30 */
     REQUESTS_MAX = 4,  /* of one caller for one stream */
     MEMORY_KB_MAX = 44 * 1024,
     SETTLE_MS = 20000, /* after the last fault everything must be as before within this time */
@@ -46,9 +46,9 @@
 };
 
 /** Of streams that may be taken up elsewhere. */
-static const double LEAVE_SHARE = 0.15;
+static const double ABORT_SHARE = 0.15;
 /** Of the answers of decode engines, until a fault changes it. */
-static const double TROUBLE_SHARE = 0.1;
+static const double DECODE_FAILURE_RATE = 0.1;
 
 /* ===== State ===== */
 
@@ -61,7 +61,7 @@
     int box;
     record_t *stream;  /* that is asked for until it is whole, or NULL */
     unsigned requests; /* for it */
-    size_t leave_at;   /* the caller closes when it has so many bytes; 0: it stays */
+    size_t abort_at_bytes;   /* the caller closes when it has so many bytes; 0: it stays */
 } caller_t;
 
 typedef struct {
@@ -70,18 +70,18 @@
     web_client_t *client;
     caller_t callers[CALLERS_MAX];
     unsigned started, answered, served, refused, unknown;
-    unsigned left, returned; /* callers that closed within a stream; that came back for the rest of one */
+    unsigned aborted, resumed; /* callers that closed within a stream; that came back for the rest of one */
     unsigned faults, puts, reads;
     lab_call_t *put, *read;
     uint64_t version; /* offered last */
     uint64_t put_version, acked;
     int put_box;         /* that was asked */
     uint64_t read_floor; /* acknowledged before the read was sent */
-    uint64_t seen;       /* newest version that a read told */
+    uint64_t newest_read;       /* newest version that a read told */
     tc_time_t next_fault, next_put, last_wipe;
-    fatal_callers_t *fatals;
-    bool calm;       /* no more faults */
-    unsigned in_row; /* requests served one after the other since the last failure */
+    fatal_callers_t *fatal_callers;
+    bool faults_ended;       /* no more faults */
+    unsigned served_in_row; /* requests served one after the other since the last failure */
     bool config_is_newest;
 } soak_t;
 
@@ -100,10 +100,10 @@
 }
 
 /** Come back for the rest of a stream, at another box. */
-static void choose_return(soak_t *s, caller_t *c)
+static void choose_resumption(soak_t *s, caller_t *c)
 {
     c->box = (c->box + 1 + world_pick(s->world, WORLD_BOXES - 1)) % WORLD_BOXES;
-    s->returned++;
+    s->resumed++;
 }
 
 static void start_caller(soak_t *s, caller_t *c)
@@ -111,14 +111,14 @@
     world_t *const w = s->world;
     char addr[32], last[40] = "";
     if (c->stream)
-        choose_return(s, c);
+        choose_resumption(s, c);
     else
         choose_request(s, c);
     g_snprintf(c->id, sizeof(c->id), "%s.%u", c->name, c->requests++);
-    world_try(w, c->id)->box = 1 + (unsigned)c->box;
-    world_try(w, c->id)->once = c->kind == KIND_ONCE || c->kind == KIND_STREAM;
-    c->leave_at =
-        kind_is_resumable(c->kind) && world_draw(w) < LEAVE_SHARE ? 1 + (size_t)world_pick(w, LEAVE_BYTES) : 0;
+    world_attempt(w, c->id)->box = 1 + (unsigned)c->box;
+    world_attempt(w, c->id)->once = c->kind == KIND_ONCE || c->kind == KIND_STREAM;
+    c->abort_at_bytes =
+        kind_is_resumable(c->kind) && world_random(w) < ABORT_SHARE ? 1 + (size_t)world_pick(w, ABORT_BYTES_MAX) : 0;
     if (c->stream && c->stream->last > 0)
         g_snprintf(last, sizeof(last), "Last-Event-Id: %u\r\n", c->stream->last);
     world_addr(w, c->box, PORT_FRONT, addr);
@@ -131,20 +131,20 @@
 }
 
 /** The answer, or what the caller has of it. @param whole it ended well */
-static void check_body(const soak_t *s, const caller_t *c, bool whole)
+static void check_body(const soak_t *s, const caller_t *c, bool complete)
 {
     const GString *const body = c->call->body;
-    const char *broken = NULL;
+    const char *error = NULL;
     if (c->stream)
-        broken = record_take(c->stream, body->str, body->len, whole);
-    else if (whole && strcmp(body->str, c->id) != 0)
-        broken = "a caller gets its own whole answer";
-    if (broken)
-        world_broken(s->world, broken, c->id);
+        error = record_check_answer(c->stream, body->str, body->len, complete);
+    else if (complete && strcmp(body->str, c->id) != 0)
+        error = "a caller gets its own whole answer";
+    if (error)
+        world_fail(s->world, error, c->id);
 }
 
 /** No call is under way; a stream that is not whole may be asked for again. */
-static void drop_call(caller_t *c)
+static void free_call(caller_t *c)
 {
     lab_call_free(c->call);
     c->call = NULL;
@@ -156,36 +156,36 @@
 {
     world_t *const w = s->world;
     const lab_call_t *const call = c->call;
-    const bool whole = call->how == WEB_RESULT_COMPLETE;
+    const bool complete = call->how == WEB_RESULT_COMPLETE;
     s->answered++;
     if (call->status == 200)
-        check_body(s, c, whole);
-    if (whole && call->status == 200) {
+        check_body(s, c, complete);
+    if (complete && call->status == 200) {
         s->served++;
-        s->in_row++;
+        s->served_in_row++;
         c->stream = NULL;
     } else {
-        s->in_row = 0;
+        s->served_in_row = 0;
         s->unknown++;
     }
-    if (whole && (call->status == 503 || call->status == 429)) {
-        try_t *const t = world_try(w, c->id);
+    if (complete && (call->status == 503 || call->status == 429)) {
+        attempt_t *const t = world_attempt(w, c->id);
         s->refused++;
         t->refused = t->once; /* what may be repeated may have been begun before */
         if (t->once && t->runs > 0)
-            world_broken(w, "a refusal as not run is true", c->id);
+            world_fail(w, "a refusal as not run is true", c->id);
     }
-    drop_call(c);
+    free_call(c);
 }
 
 /** The caller closes its connection within the answer. */
-static void leave(soak_t *s, caller_t *c)
+static void abort_call(soak_t *s, caller_t *c)
 {
     web_call_cancel(c->call->call);
-    g_string_truncate(c->call->body, c->leave_at);
-    s->left++;
+    g_string_truncate(c->call->body, c->abort_at_bytes);
+    s->aborted++;
     check_body(s, c, false);
-    drop_call(c);
+    free_call(c);
 }
 
 static void drive_callers(soak_t *s)
@@ -194,9 +194,9 @@
         caller_t *const c = &s->callers[i];
         if (c->call && c->call->done)
             end_caller(s, c);
-        else if (c->call && c->leave_at && c->call->status == 200 && c->call->body->len >= c->leave_at)
-            leave(s, c);
-        if (!c->call && world_draw(s->world) < 0.05)
+        else if (c->call && c->abort_at_bytes && c->call->status == 200 && c->call->body->len >= c->abort_at_bytes)
+            abort_call(s, c);
+        if (!c->call && world_random(s->world) < 0.05)
             start_caller(s, c);
     }
 }
@@ -216,7 +216,7 @@
     box_t *const box = &s->world->boxes[s->put_box];
     if (s->put_version > s->acked)
         s->acked = s->put_version;
-    if (!s->calm && world_draw(s->world) < 0.1)
+    if (!s->faults_ended && world_random(s->world) < 0.1)
         process_restart(s->world, box, &box->control, SIGKILL, 300);
 }
 
@@ -226,11 +226,11 @@
         if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 200)
             on_acknowledged(s);
         if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 400)
-            world_broken(s->world, "a valid configuration is not refused", s->put->body->str);
+            world_fail(s->world, "a valid configuration is not refused", s->put->body->str);
         lab_call_free(s->put);
         s->put = NULL;
     }
-    if (s->put || now < s->next_put || (s->calm && s->acked == s->version))
+    if (s->put || now < s->next_put || (s->faults_ended && s->acked == s->version))
         return;
     s->next_put = now + PUT_EVERY_MS;
     if (s->acked == s->version)
@@ -254,8 +254,8 @@
                                  : NULL;
         const uint64_t version = (uint64_t)json_integer_value(json_object_get(root, "version"));
         if (root && version < s->read_floor)
-            world_broken(s->world, "a read is never older than what was acknowledged", "config");
-        s->seen = root && version > s->seen ? version : s->seen;
+            world_fail(s->world, "a read is never older than what was acknowledged", "config");
+        s->newest_read = root && version > s->newest_read ? version : s->newest_read;
         s->config_is_newest = root && version >= s->acked;
         json_decref(root);
         lab_call_free(s->read);
@@ -264,7 +264,7 @@
     if (s->read)
         return;
     s->reads++;
-    s->read_floor = s->acked > s->seen ? s->acked : s->seen;
+    s->read_floor = s->acked > s->newest_read ? s->acked : s->newest_read;
     s->read = call_control(s, world_pick(s->world, WORLD_DISKS), "GET /config/get HTTP/1.1\r\nHost: c\r\n\r\n");
 }
 
@@ -278,34 +278,34 @@
     return true;
 }
 
-static void wipe(soak_t *s, tc_time_t now)
+static void wipe_disk(soak_t *s, tc_time_t now)
 {
     world_t *const w = s->world;
     box_t *const b = &w->boxes[world_pick(w, WORLD_DISKS)];
     if (now - s->last_wipe < WIPE_EVERY_MS || !all_controls_run(w))
         return;
     s->last_wipe = now;
-    world_note(w, "disk of %s is lost", b->ip);
+    world_log(w, "disk of %s is lost", b->ip);
     process_restart(w, b, &b->control, SIGKILL, 500);
     lab_run_for(s->loop, 50); /* the process is gone before its folder is emptied */
     folder_empty(b->dir);
 }
 
-static void pause_or_wake(soak_t *s, box_t *b, process_t *p)
+static void toggle_pause(soak_t *s, box_t *b, process_t *p)
 {
     if (!p->pid || p->ending)
         return;
-    world_note(s->world, "%s %s on %s", p->paused ? "wake" : "pause", p->program, b->ip);
+    world_log(s->world, "%s %s on %s", p->paused ? "wake" : "pause", p->program, b->ip);
     process_signal(p, p->paused ? SIGCONT : SIGSTOP);
     p->paused = !p->paused;
     if (p == &b->entry)
-        b->harmed_at = tc_time_now();
+        b->disrupted_at = tc_time_now();
 }
 
 /** Decode engines are two of six: half of what goes wrong with workers is theirs. */
 static struct worker *pick_worker(world_t *w)
 {
-    const bool any = world_draw(w) < 0.5;
+    const bool any = world_random(w) < 0.5;
     return &w->worker[any ? world_pick(w, WORLD_WORKERS) : WORLD_DECODE + world_pick(w, WORLD_WORKERS - WORLD_DECODE)];
 }
 
@@ -316,95 +316,95 @@
     return &w->worker[i < WORLD_PREFILL ? i : WORLD_DECODE];
 }
 
-static void trouble_worker(soak_t *s)
+static void toggle_worker_failures(soak_t *s)
 {
     struct worker *const k = pick_worker(s->world);
-    k->trouble = k->trouble > 0 ? 0 : world_draw(s->world);
-    world_note(s->world, "worker %s goes wrong in %.2f of its answers", k->id, k->trouble);
+    k->failure_rate = k->failure_rate > 0 ? 0 : world_random(s->world);
+    world_log(s->world, "worker %s goes wrong in %.2f of its answers", k->id, k->failure_rate);
 }
 
 static void freeze_worker(soak_t *s, tc_time_t now)
 {
     struct worker *const k = pick_worker(s->world);
     const int span = FREEZE_MIN_MS + world_pick(s->world, FREEZE_MAX_MS - FREEZE_MIN_MS);
-    if (notices_is_on(k))
+    if (notices_are_active(k))
         return;
-    world_note(s->world, "worker %s stands still for %d ms", k->id, span);
+    world_log(s->world, "worker %s stands still for %d ms", k->id, span);
     engine_freeze(k, now + span);
 }
 
 /** Harm a way or mend it; a way to control boxes only while the others' are whole, so that a majority is left. */
-static void harm_way(soak_t *s)
+static void change_proxy_mode(soak_t *s)
 {
     world_t *const w = s->world;
     const int i = world_pick(w, WORLD_BOXES);
-    const proxy_mode_t mode = world_draw(w) < 0.4 ? PROXY_PASS : (proxy_mode_t)world_pick(w, PROXY_MODES);
+    const proxy_mode_t mode = world_random(w) < 0.4 ? PROXY_PASS : (proxy_mode_t)world_pick(w, PROXY_MODES);
     box_t *const b = &w->boxes[i];
     struct worker *const k = &w->worker[world_pick(w, WORLD_WORKERS)];
     switch (world_pick(w, 3)) {
     case 0:
-        world_note(w, "way to entry of %s: %s", b->ip, proxy_mode_names[mode]);
-        proxy_set(b->way_to_entry, mode);
+        world_log(w, "way to entry of %s: %s", b->ip, proxy_mode_names[mode]);
+        proxy_set(b->entry_proxy, mode);
         break;
     case 1:
         for (int at = 0; at < WORLD_DISKS; at++)
-            proxy_set(w->boxes[at].way_to_control, at == i ? mode : PROXY_PASS);
-        world_note(w, "way to control of %s: %s, others pass", b->ip, proxy_mode_names[mode]);
+            proxy_set(w->boxes[at].control_proxy, at == i ? mode : PROXY_PASS);
+        world_log(w, "way to control of %s: %s, others pass", b->ip, proxy_mode_names[mode]);
         break;
     default:
-        if (notices_is_on(k))
+        if (notices_are_active(k))
             break;
-        world_note(w, "way to worker %s: %s", k->id, proxy_mode_names[mode]);
-        proxy_set(k->way, mode);
+        world_log(w, "way to worker %s: %s", k->id, proxy_mode_names[mode]);
+        proxy_set(k->proxy, mode);
         break;
     }
 }
 
 /** The connections that stand are reset, or fall silent for good. */
-static void lose_connections(soak_t *s)
+static void break_connections(soak_t *s)
 {
     world_t *const w = s->world;
     box_t *const b = &w->boxes[world_pick(w, WORLD_BOXES)];
-    const bool mute = world_draw(w) < 0.5;
-    void (*const lose)(proxy_t *) = mute ? proxy_blackhole : proxy_reset;
-    world_note(w, "connections to %s %s", b->ip, mute ? "fall silent" : "are reset");
-    lose(b->way_to_entry);
-    if (b->way_to_control)
-        lose(b->way_to_control);
+    const bool blackhole = world_random(w) < 0.5;
+    void (*const disrupt)(proxy_t *) = blackhole ? proxy_blackhole : proxy_reset;
+    world_log(w, "connections to %s %s", b->ip, blackhole ? "fall silent" : "are reset");
+    disrupt(b->entry_proxy);
+    if (b->control_proxy)
+        disrupt(b->control_proxy);
     const struct worker *const k = &w->worker[world_pick(w, WORLD_WORKERS)];
-    if (!notices_is_on(k))
-        lose(k->way);
+    if (!notices_are_active(k))
+        disrupt(k->proxy);
 }
 
 /** The connections to a worker that stand fall silent one way, after some bytes, and stay open. */
-static void silence_worker(soak_t *s)
+static void blackhole_worker(soak_t *s)
 {
     world_t *const w = s->world;
     const struct worker *const k = pick_worker(w);
-    const bool answers = world_draw(w) < 0.8;
-    const size_t bytes = (size_t)world_pick(w, SILENT_BYTES);
-    if (notices_is_on(k))
+    const bool answers = world_random(w) < 0.8;
+    const size_t bytes = (size_t)world_pick(w, BLACKHOLE_BYTES_MAX);
+    if (notices_are_active(k))
         return;
-    world_note(w, "connections to worker %s lose %s after %zu bytes", k->id, answers ? "answers" : "calls", bytes);
-    proxy_blackhole_after(k->way, answers, bytes);
+    world_log(w, "connections to worker %s lose %s after %zu bytes", k->id, answers ? "answers" : "calls", bytes);
+    proxy_blackhole_after(k->proxy, answers, bytes);
 }
 
-static void mend_ways(const world_t *w)
+static void restore_proxies(const world_t *w)
 {
     for (int i = 0; i < WORLD_WORKERS; i++)
-        proxy_set(w->worker[i].way, PROXY_PASS);
+        proxy_set(w->worker[i].proxy, PROXY_PASS);
     for (int i = 0; i < WORLD_BOXES; i++) {
-        proxy_set(w->boxes[i].way_to_entry, PROXY_PASS);
-        if (w->boxes[i].way_to_control)
-            proxy_set(w->boxes[i].way_to_control, PROXY_PASS);
+        proxy_set(w->boxes[i].entry_proxy, PROXY_PASS);
+        if (w->boxes[i].control_proxy)
+            proxy_set(w->boxes[i].control_proxy, PROXY_PASS);
     }
 }
 
-static void one_fault(soak_t *s, tc_time_t now)
+static void inject_fault(soak_t *s, tc_time_t now)
 {
     world_t *const w = s->world;
     box_t *const b = &w->boxes[world_pick(w, WORLD_BOXES)];
-    process_t *const p = b->control.program && world_draw(w) < 0.4 ? &b->control : &b->entry;
+    process_t *const p = b->control.program && world_random(w) < 0.4 ? &b->control : &b->entry;
     const tc_time_t pause = 50 + world_pick(w, 1500);
     s->faults++;
     switch (world_pick(w, 22)) {
@@ -413,41 +413,41 @@
     case 2: process_restart(w, b, p, SIGTERM, pause); break;
     case 3: process_signal(p, SIGHUP); break;
     case 4:
-    case 5: pause_or_wake(s, b, p); break;
+    case 5: toggle_pause(s, b, p); break;
     case 6:
-    case 7: trouble_worker(s); break;
+    case 7: toggle_worker_failures(s); break;
     case 8:
-    case 9: harm_way(s); break;
-    case 10: lose_connections(s); break;
+    case 9: change_proxy_mode(s); break;
+    case 10: break_connections(s); break;
     case 11: freeze_worker(s, now); break;
     case 12:
     case 13:
-    case 14: silence_worker(s); break;
+    case 14: blackhole_worker(s); break;
     case 15:
     case 16: limits_change(pick_limited(w)); break;
     case 19:
     case 20: notices_begin(pick_worker(w)); break;
     case 17:
     case 18: box_suspend(w, b, SUSPEND_MIN_MS + world_pick(w, SUSPEND_MAX_MS - SUSPEND_MIN_MS)); break;
-    default: wipe(s, now); break;
+    default: wipe_disk(s, now); break;
     }
 }
 
 static void drive_faults(soak_t *s, tc_time_t now)
 {
-    if (s->calm || now < s->next_fault)
+    if (s->faults_ended || now < s->next_fault)
         return;
     s->next_fault = now + FAULT_MIN_MS + world_pick(s->world, FAULT_MAX_MS - FAULT_MIN_MS);
-    one_fault(s, now);
+    inject_fault(s, now);
 }
 
 /** Decode engines go wrong from the start: not every run of the soak draws that by lot. */
 static void begin_faults(soak_t *s)
 {
-    s->calm = false;
-    s->fatals = fatal_create(s->world, s->client);
+    s->faults_ended = false;
+    s->fatal_callers = fatal_create(s->world, s->client);
     for (int i = WORLD_DECODE; i < WORLD_WORKERS; i++)
-        s->world->worker[i].trouble = TROUBLE_SHARE;
+        s->world->worker[i].failure_rate = DECODE_FAILURE_RATE;
     for (int i = 0; i < 2; i++)
         limits_change(&s->world->worker[i]); /* for long enough to be judged */
     notices_begin(&s->world->worker[WORLD_PREFILL - 1]);
@@ -456,23 +456,23 @@
 static void end_faults(soak_t *s)
 {
     world_t *const w = s->world;
-    s->calm = true;
-    fatal_calm(s->fatals);
-    s->in_row = 0;
+    s->faults_ended = true;
+    fatal_end_faults(s->fatal_callers);
+    s->served_in_row = 0;
     s->config_is_newest = false;
-    world_note(w, "no more faults");
-    mend_ways(w);
+    world_log(w, "no more faults");
+    restore_proxies(w);
     for (int i = 0; i < WORLD_WORKERS; i++) {
-        w->worker[i].trouble = 0;
-        limits_lift(&w->worker[i]);
-        notices_calm(&w->worker[i]);
-        engine_wake(&w->worker[i]);
+        w->worker[i].failure_rate = 0;
+        limits_remove(&w->worker[i]);
+        notices_stop_rejecting(&w->worker[i]);
+        engine_resume(&w->worker[i]);
     }
     for (int i = 0; i < WORLD_BOXES; i++) {
         process_t *const both[] = {&w->boxes[i].entry, &w->boxes[i].control};
         for (int k = 0; k < 2; k++)
             if (both[k]->paused)
-                pause_or_wake(s, &w->boxes[i], both[k]);
+                toggle_pause(s, &w->boxes[i], both[k]);
     }
 }
 
@@ -483,7 +483,7 @@
         const box_t *const box = &s->world->boxes[i / 2];
         const process_t *const p = i % 2 ? &box->control : &box->entry;
         if (p->pid && process_peak_kb(p->pid) > MEMORY_KB_MAX)
-            world_broken(s->world, "memory is bounded", p->settings);
+            world_fail(s->world, "memory is bounded", p->settings);
     }
 }
 
@@ -496,42 +496,42 @@
     drive_puts(s, now);
     drive_reads(s);
     drive_callers(s);
-    if (s->fatals)
-        fatal_drive(s->fatals);
+    if (s->fatal_callers)
+        fatal_drive(s->fatal_callers);
     drive_faults(s, now);
 }
 
-static bool drive_until(soak_t *s, tc_time_t until, bool (*enough)(const soak_t *))
+static bool drive_until(soak_t *s, tc_time_t until, bool (*condition)(const soak_t *))
 {
     while (tc_time_now() < until && !s->world->failed) {
         drive(s);
-        if (enough && enough(s))
+        if (condition && condition(s))
             return true;
         lab_run_for(s->loop, TICK_MS);
     }
-    return !enough;
+    return !condition;
 }
 
 static bool is_up(const soak_t *s)
 {
-    return s->acked > 0 && s->in_row >= 20;
+    return s->acked > 0 && s->served_in_row >= 20;
 }
 
 static bool is_recovered(const soak_t *s)
 {
-    return s->in_row >= 100 && s->config_is_newest && s->acked == s->version && fatal_is_judged(s->fatals);
+    return s->served_in_row >= 100 && s->config_is_newest && s->acked == s->version && fatal_is_checked(s->fatal_callers);
 }
 
 static int report(const soak_t *s, guint32 seed)
 {
     world_t *const w = s->world;
     unsigned ended = 0, late = 0;
-    if (s->fatals)
-        fatal_count(s->fatals, &ended, &late);
+    if (s->fatal_callers)
+        fatal_count(s->fatal_callers, &ended, &late);
     printf("seed %u: %u requests, %u served, %u refused as not run, %u failed; %u runs of streams, %u torn within an "
            "event, %u callers left one, %u returned; %u workers ended, %u of them after the third; %u faults; %u puts, "
            "%u reads, newest %" G_GUINT64_FORMAT ": %s\n",
-           seed, s->answered, s->served, s->refused, s->unknown - s->refused, w->runs, w->torn, s->left, s->returned,
+           seed, s->answered, s->served, s->refused, s->unknown - s->refused, w->runs, w->truncated, s->aborted, s->resumed,
            ended, late, s->faults, s->puts, s->reads, s->acked, w->failed ? "FAILED" : "passed");
     if (!w->failed)
         return 0;
@@ -569,21 +569,21 @@
     s.loop = loop_create();
     s.client = web_client_create(s.loop);
     s.world = world_create(s.loop, (guint32)seed, bin, shim);
-    s.calm = true;
+    s.faults_ended = true;
     s.version = 1;
     if (!drive_until(&s, tc_time_now() + START_MS, is_up) && !s.world->failed)
-        world_broken(s.world, "the system comes up", "no service in time");
+        world_fail(s.world, "the system comes up", "no service in time");
     begin_faults(&s);
     (void)drive_until(&s, tc_time_now() + (tc_time_t)seconds * 1000, NULL);
     check_memory(&s);
     end_faults(&s);
     if (!drive_until(&s, tc_time_now() + SETTLE_MS, is_recovered) && !s.world->failed)
-        world_broken(s.world, "service recovers after the last fault", "not in time");
+        world_fail(s.world, "service recovers after the last fault", "not in time");
     check_memory(&s);
     arrivals_check(s.world);
     const int status = report(&s, (guint32)seed);
-    if (s.fatals)
-        fatal_destroy(s.fatals);
+    if (s.fatal_callers)
+        fatal_destroy(s.fatal_callers);
     world_end_processes(s.world);
     if (status == 0)
         remove_files(s.world);
--- a/tests/platform/soak/world.c
+++ b/tests/platform/soak/world.c
@@ -15,24 +15,24 @@
 
 /* ===== Notes ===== */
 
-void world_note(world_t *w, const char *format, ...)
+void world_log(world_t *w, const char *format, ...)
 {
     va_list args;
     va_start(args, format);
-    g_string_append_printf(w->schedule, "%8lld ", (long long)(tc_time_now() - w->began));
+    g_string_append_printf(w->schedule, "%8lld ", (long long)(tc_time_now() - w->started_at));
     g_string_append_vprintf(w->schedule, format, args);
     g_string_append_c(w->schedule, '\n');
     va_end(args);
 }
 
-void world_broken(world_t *w, const char *promise, const char *what)
+void world_fail(world_t *w, const char *promise, const char *what)
 {
-    world_note(w, "BROKEN %s: %s", promise, what);
+    world_log(w, "BROKEN %s: %s", promise, what);
     fprintf(stderr, "broken: %s: %s\n", promise, what);
     w->failed = true;
 }
 
-double world_draw(world_t *w)
+double world_random(world_t *w)
 {
     return g_rand_double(w->random);
 }
@@ -42,34 +42,34 @@
     return g_rand_int_range(w->random, 0, n);
 }
 
-try_t *world_try(world_t *w, const char *id)
+attempt_t *world_attempt(world_t *w, const char *id)
 {
-    try_t *t = g_hash_table_lookup(w->tries, id);
+    attempt_t *t = g_hash_table_lookup(w->attempts, id);
     if (!t) {
-        t = g_new0(try_t, 1);
-        g_hash_table_insert(w->tries, g_strdup(id), t);
+        t = g_new0(attempt_t, 1);
+        g_hash_table_insert(w->attempts, g_strdup(id), t);
     }
     return t;
 }
 
-int world_box_of(world_t *w, const char *id)
+int world_attempt_box(world_t *w, const char *id)
 {
-    return id[0] ? (int)world_try(w, id)->box - 1 : -1;
+    return id[0] ? (int)world_attempt(w, id)->box - 1 : -1;
 }
 
-bool box_was_harmed(const world_t *w, int box, tc_time_t since)
+bool box_was_disrupted(const world_t *w, int box, tc_time_t since)
 {
     const box_t *const b = &w->boxes[box];
-    return b->harmed_at >= since || b->entry.paused || b->entry.ending || !b->entry.pid;
+    return b->disrupted_at >= since || b->entry.paused || b->entry.ending || !b->entry.pid;
 }
 
-void box_hears(const world_t *w, int box, tc_time_t *told)
+void box_note_delivery(const world_t *w, int box, tc_time_t *received_at)
 {
-    if (*told == 0 || box_was_harmed(w, box, *told))
-        *told = tc_time_now();
+    if (*received_at == 0 || box_was_disrupted(w, box, *received_at))
+        *received_at = tc_time_now();
 }
 
-bool answer_is_heard(const lab_reply_t *answer)
+bool answer_is_delivered(const lab_reply_t *answer)
 {
     return answer->bytes && answer->bytes[0] && answer->end == LAB_KEEP;
 }
@@ -108,10 +108,10 @@
 }
 
 /** What its entry heard before may be lost, or heard late. */
-static void note_harm(box_t *b, const process_t *p)
+static void note_disruption(box_t *b, const process_t *p)
 {
     if (p == &b->entry)
-        b->harmed_at = tc_time_now();
+        b->disrupted_at = tc_time_now();
 }
 
 static void process_start(const world_t *w, box_t *b, process_t *p, bool first)
@@ -121,7 +121,7 @@
     p->pid = process_spawn_with(path, p->settings, w->shim);
     p->ending = p->paused = false;
     p->resume_at = 0;
-    note_harm(b, p);
+    note_disruption(b, p);
     g_free(path);
 }
 
@@ -135,9 +135,9 @@
 {
     if (!p->pid || p->ending)
         return;
-    world_note(w, "signal %d to %s on %s, back after %lld ms", number, p->program, b->ip, (long long)pause);
+    world_log(w, "signal %d to %s on %s, back after %lld ms", number, p->program, b->ip, (long long)pause);
     p->ending = true;
-    note_harm(b, p);
+    note_disruption(b, p);
     p->start_at = tc_time_now() + pause;
     if (p->paused)
         process_signal(p, SIGCONT);
@@ -147,13 +147,13 @@
 void box_suspend(world_t *w, box_t *b, tc_time_t span)
 {
     process_t *const both[] = {&b->entry, &b->control};
-    world_note(w, "machine %s is suspended for %lld ms", b->ip, (long long)span);
+    world_log(w, "machine %s is suspended for %lld ms", b->ip, (long long)span);
     for (int i = 0; i < 2; i++) {
         if (!both[i]->pid || both[i]->ending || both[i]->paused)
             continue;
         process_signal(both[i], SIGUSR2); /* see tests/shim/suspend.c */
         both[i]->paused = true;
-        note_harm(b, both[i]);
+        note_disruption(b, both[i]);
         both[i]->resume_at = tc_time_now() + span;
     }
 }
@@ -163,20 +163,20 @@
     if (!p->resume_at || tc_time_now() < p->resume_at)
         return;
     p->resume_at = 0;
-    note_harm(b, p);
+    note_disruption(b, p);
     if (!p->paused)
         return; /* woken before */
     process_signal(p, SIGCONT);
     p->paused = false;
 }
 
-static void look_after(world_t *w, box_t *b, process_t *p)
+static void check_process(world_t *w, box_t *b, process_t *p)
 {
     int status;
     if (p->pid && waitpid(p->pid, &status, WNOHANG) == p->pid) {
         if (!p->ending) {
             char *const what = g_strdup_printf("%s on %s, status %d", p->program, b->ip, status);
-            world_broken(w, "no process ends by itself", what);
+            world_fail(w, "no process ends by itself", what);
             g_free(what);
             p->start_at = tc_time_now();
         }
@@ -191,14 +191,14 @@
     for (int i = 0; i < WORLD_BOXES; i++) {
         resume(&w->boxes[i], &w->boxes[i].entry);
         resume(&w->boxes[i], &w->boxes[i].control);
-        look_after(w, &w->boxes[i], &w->boxes[i].entry);
-        look_after(w, &w->boxes[i], &w->boxes[i].control);
+        check_process(w, &w->boxes[i], &w->boxes[i].entry);
+        check_process(w, &w->boxes[i], &w->boxes[i].control);
     }
     for (int i = 0; i < WORLD_WORKERS; i++)
-        if (w->worker[i].wake_at && tc_time_now() >= w->worker[i].wake_at)
-            engine_wake(&w->worker[i]);
+        if (w->worker[i].resume_at && tc_time_now() >= w->worker[i].resume_at)
+            engine_resume(&w->worker[i]);
     for (int i = 0; i < WORLD_WORKERS; i++)
-        if (w->worker[i].back_at && tc_time_now() >= w->worker[i].back_at)
+        if (w->worker[i].restart_at && tc_time_now() >= w->worker[i].restart_at)
             engine_restart(&w->worker[i]);
     for (int i = 0; i < WORLD_WORKERS; i++)
         if (notices_tick(&w->worker[i]))
@@ -208,7 +208,7 @@
 /* ===== Life ===== */
 
 /** Other boxes reach this box's programs through proxies: at the box's address, where the programs do not listen. */
-static proxy_t *create_way(const world_t *w, int i, int port)
+static proxy_t *create_proxy(const world_t *w, int i, int port)
 {
     char at[32], to[32];
     g_snprintf(at, sizeof(at), "127.0.1.%d:%d", 10 + i, w->port + PORT_INNER + port);
@@ -221,9 +221,9 @@
     enum { CONTROL, ENTRY }; /* order of the programs' own ports */
     box_t *const b = &w->boxes[i];
     g_snprintf(b->ip, sizeof(b->ip), "127.0.1.%d", 10 + i);
-    b->way_to_entry = create_way(w, i, ENTRY);
+    b->entry_proxy = create_proxy(w, i, ENTRY);
     if (i < WORLD_DISKS)
-        b->way_to_control = create_way(w, i, CONTROL);
+        b->control_proxy = create_proxy(w, i, CONTROL);
     b->entry.program = "trackcove-forwardd";
     g_snprintf(b->entry.settings, sizeof(b->entry.settings), "%s/entry-%d.json", w->root, i);
     process_start(w, b, &b->entry, true);
@@ -236,7 +236,7 @@
     process_start(w, b, &b->control, true);
 }
 
-static void drop_stream(void *record)
+static void free_stream(void *record)
 {
     record_destroy(record);
 }
@@ -251,10 +251,10 @@
         w->arrivals[i] =
             (arrivals_t){g_array_new(FALSE, FALSE, sizeof(tc_time_t)), g_array_new(FALSE, FALSE, sizeof(tc_time_t))};
     w->random = g_rand_new_with_seed(seed);
-    w->tries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    w->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, drop_stream);
+    w->attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    w->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_stream);
     w->schedule = g_string_new(NULL);
-    w->began = tc_time_now();
+    w->started_at = tc_time_now();
     w->port = lab_unused_ports("127.0.1.2"); /* where the list stands */
     g_strlcpy(w->root, "/tmp/trackcove-soak-XXXXXX", sizeof(w->root));
     g_assert_nonnull(g_mkdtemp(w->root));
@@ -268,7 +268,7 @@
     return w;
 }
 
-static void process_end(process_t *p)
+static void process_kill(process_t *p)
 {
     if (!p->pid)
         return;
@@ -281,8 +281,8 @@
 void world_end_processes(world_t *w)
 {
     for (int i = 0; i < WORLD_BOXES; i++) {
-        process_end(&w->boxes[i].entry);
-        process_end(&w->boxes[i].control);
+        process_kill(&w->boxes[i].entry);
+        process_kill(&w->boxes[i].control);
     }
 }
 
@@ -292,15 +292,15 @@
     for (int i = 0; i < WORLD_WORKERS; i++)
         engine_destroy(&w->worker[i]);
     for (int i = 0; i < WORLD_BOXES; i++) {
-        proxy_stop(w->boxes[i].way_to_entry);
-        if (w->boxes[i].way_to_control)
-            proxy_stop(w->boxes[i].way_to_control);
+        proxy_stop(w->boxes[i].entry_proxy);
+        if (w->boxes[i].control_proxy)
+            proxy_stop(w->boxes[i].control_proxy);
     }
     for (int i = 0; i < 2; i++) {
         g_array_free(w->arrivals[i].requests, TRUE);
         g_array_free(w->arrivals[i].extras, TRUE);
     }
-    g_hash_table_destroy(w->tries);
+    g_hash_table_destroy(w->attempts);
     g_hash_table_destroy(w->streams);
     g_string_free(w->schedule, TRUE);
     g_rand_free(w->random);
--- a/tests/platform/soak/world.h
+++ b/tests/platform/soak/world.h
@@ -37,8 +37,8 @@
     char ip[20];
     char dir[64]; /**< "" without a disk */
     process_t entry, control;
-    tc_time_t harmed_at;                    /**< its entry stood still, was suspended or started last; 0: never */
-    proxy_t *way_to_entry, *way_to_control; /**< what other boxes' connections pass through; NULL for none */
+    tc_time_t disrupted_at;                    /**< its entry stood still, was suspended or started last; 0: never */
+    proxy_t *entry_proxy, *control_proxy; /**< what other boxes' connections pass through; NULL for none */
 } box_t;
 
 /** What the back ends saw of one try of a caller. */
@@ -49,7 +49,7 @@
     bool read;         /**< a worker read its prompt */
     unsigned arrivals; /**< at workers, without that one */
     unsigned box;      /**< that it was sent to, from 1 on; 0: unknown */
-} try_t;
+} attempt_t;
 
 struct fatal_callers;
 
@@ -73,32 +73,32 @@
         struct world *world;
         lab_backend_t *backend;
         char addr[32]; /**< as it is listed: a proxy's */
-        proxy_t *way;
+        proxy_t *proxy;
         char id[16];
         int kind;       /**< 0: plain, 1: prefill, 2: decode */
-        double trouble; /**< share of its answers that go wrong */
+        double failure_rate; /**< share of its answers that go wrong */
         bool draining;
-        tc_time_t wake_at; /**< it stands still until then; 0: it does not */
-        tc_time_t back_at; /**< it has ended and is there again then; 0: it runs */
-        unsigned lives;
+        tc_time_t resume_at; /**< it stands still until then; 0: it does not */
+        tc_time_t restart_at; /**< it has ended and is there again then; 0: it runs */
+        unsigned restarts;
         double limit;       /**< requests a second that it takes of all boxes together, as its answers say; 0: any */
-        tc_time_t named_at; /**< its first answer that named one; 0: none did */
-        tc_time_t told_limit[WORLD_BOXES];   /**< the first such answer to each box, since it started; 0: none */
-        tc_time_t shed_until;                /**< it turns requests away and asks for none; 0: it does not */
-        GArray *rests;                       /**< what it asked boxes for, see notices.c */
+        tc_time_t limit_sent_at; /**< its first answer that named one; 0: none did */
+        tc_time_t limit_received_at[WORLD_BOXES];   /**< the first such answer to each box, since it started; 0: none */
+        tc_time_t reject_until;                /**< it turns requests away and asks for none; 0: it does not */
+        GArray *pauses;                       /**< what it asked boxes for, see notices.c */
         tc_time_t leave_at;                  /**< it says that it leaves, and ends then; 0: it does not */
-        tc_time_t listed_leaving_at;         /**< the list shows that; 0: it does not */
-        tc_time_t told_leaving[WORLD_BOXES]; /**< when it first answered a box so; 0: it did not */
-        GArray *limited; /**< tc_time_t: requests that reached it once all boxes were to hold that */
+        tc_time_t list_draining_at;         /**< the list shows that; 0: it does not */
+        tc_time_t leaving_received_at[WORLD_BOXES]; /**< when it first answered a box so; 0: it did not */
+        GArray *limited_at; /**< tc_time_t: requests that reached it once all boxes were to hold that */
     } worker[WORLD_WORKERS];
-    GHashTable *tries;            /**< id to try_t */
+    GHashTable *attempts;            /**< id to try_t */
     GHashTable *streams;          /**< name to record_t */
-    unsigned runs, torn;          /**< of streams; those that broke off or stopped within an event */
-    struct fatal_callers *fatals; /**< NULL before and after the run */
+    unsigned runs, truncated;          /**< of streams; those that broke off or stopped within an event */
+    struct fatal_callers *fatal_callers; /**< NULL before and after the run */
     arrivals_t arrivals[2];       /**< of plain requests, and of streams */
     bool failed;
     GString *schedule; /**< what was done, a line each */
-    tc_time_t began;
+    tc_time_t started_at;
 } world_t;
 
 /** Ports behind world_t.port. */
@@ -123,25 +123,25 @@
 /** "IP:port" of a box. */
 void world_addr(const world_t *world, int box, int port, char to[32]);
 /** The record of a try, made when first asked for. */
-try_t *world_try(world_t *world, const char *id);
+attempt_t *world_attempt(world_t *world, const char *id);
 /** The box that a try was sent to, from 0 on; -1: unknown, as of what is no caller's request. */
-int world_box_of(world_t *world, const char *id);
+int world_attempt_box(world_t *world, const char *id);
 /** Whether what the box's entry heard since then may be lost, or heard late: it stood still, was suspended or started
  *  again. */
-bool box_was_harmed(const world_t *world, int box, tc_time_t since);
+bool box_was_disrupted(const world_t *world, int box, tc_time_t since);
 /** The box hears something that it is to hold from now on. @param told when it first heard of it since it was harmed
  *  last; 0: never */
-void box_hears(const world_t *world, int box, tc_time_t *told);
+void box_note_delivery(const world_t *world, int box, tc_time_t *received_at);
 /** Whether a worker's answer reaches the box: a reset may take it along. */
-bool answer_is_heard(const lab_reply_t *answer);
+bool answer_is_delivered(const lab_reply_t *answer);
 /** The record of a stream, made when first asked for with the number of its tokens; NULL when there is none. */
 record_t *world_stream(world_t *world, const char *name, unsigned tokens);
 /** A promise is broken: say so and remember. */
-void world_broken(world_t *world, const char *promise, const char *what);
+void world_fail(world_t *world, const char *promise, const char *what);
 /** Note what is done. */
-void world_note(world_t *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
+void world_log(world_t *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
 /** A number from [0, 1), by lot. */
-double world_draw(world_t *world);
+double world_random(world_t *world);
 /** One of 0 to @p n - 1, by lot. */
 int world_pick(world_t *world, int n);
 
