--- a/tests/platform/soak/engines.c
+++ b/tests/platform/soak/engines.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ===== Reading and answering ===== */
+/* ===== Requests and answers ===== */
 
 static char *header_of(const char *request, const char *name)
 {
@@ -17,15 +17,15 @@
     return value;
 }
 
-/** A worker begins to work on a try. */
+/** Records that a worker starts to run an attempt, and checks that it may. */
 static void record_run(world_t *w, const char *id)
 {
     attempt_t *const t = world_attempt(w, id);
     t->runs++;
     if (t->once && t->runs > 1)
-        world_fail(w, "a request that must run once ran twice", id);
+        world_fail(w, "a request that must run at most once ran twice", id);
     if (t->refused)
-        world_fail(w, "a request that was refused as not run ran", id);
+        world_fail(w, "a request that was reported as not executed was run", id);
 }
 
 static lab_reply_t reply(lab_end_t end, const char *format, ...) __attribute__((format(printf, 2, 3)));
@@ -49,20 +49,21 @@
 typedef enum {
     STREAM_COMPLETE,
     STREAM_RESET,
-    STREAM_CLOSE, /* in order, without the end of the chunks */
-    STREAM_END_WITHIN_EVENT,   /* the chunks end well, within an event */
-    STREAM_STALL,  /* it falls silent, the connection stays */
+    STREAM_CLOSE,            /* closed without the last chunk */
+    STREAM_END_WITHIN_EVENT, /* the last chunk is sent, but within an event */
+    STREAM_STALL,            /* nothing more is sent, and the connection stays open */
     STREAM_ENDS
 } stream_end_t;
 
 enum {
-    EVENT_TOKENS_MAX = 4,  /* most in one event */
-    FILLER_BYTES_MAX = 60, /* most of an event's text behind what names it */
-    PART_BYTES_MAX = 120,  /* most of a stream sent at once: an event has 40 to 150 */
-    PIECE_DELAY_MAX_MS = 25       /* most between two parts */
+    EVENT_TOKENS_MAX = 4,   /* in one event */
+    FILLER_BYTES_MAX = 60,  /* of an event's text after its stream, run and tokens */
+    PART_BYTES_MAX = 120,   /* of a stream in one chunk; an event has 40 to 150 bytes */
+    PIECE_DELAY_MAX_MS = 25 /* between two pieces */
 };
 
-/** An event as engines write them: its id before or behind its text, or behind the line of a version. */
+/** Formats an event in one of the ways that engines use: its id before or after its text, or after a line of a version.
+ */
 static GString *write_event(world_t *w, const char *text, unsigned id, const char *nl)
 {
     GString *const out = g_string_new(NULL);
@@ -76,7 +77,8 @@
     return out;
 }
 
-/** Make the events behind the token that the run goes on behind, its own way. @return record_event_t */
+/** Produces the events of a run after token @p after, with formats and sizes of its own. @return array of
+ * record_event_t */
 static GArray *make_events(world_t *w, const record_t *r, const char *name, unsigned after)
 {
     GArray *const events = g_array_new(FALSE, FALSE, sizeof(record_event_t));
@@ -104,7 +106,7 @@
     return size;
 }
 
-/** Whether a stream that is cut there ends within an event. */
+/** Whether a stream that ends after @p cut bytes ends within an event. */
 static bool is_within(const GArray *events, size_t cut)
 {
     size_t end = 0;
@@ -113,15 +115,15 @@
     return end != cut;
 }
 
-/** Bytes that are sent of a stream that breaks off: any place, but the chunks never end well between two events, since
- *  nobody could tell that from a whole answer. */
+/** Returns after how many bytes a stream is truncated: anywhere, but with a proper last chunk only within an event,
+ * since between two events it can't be told from a complete answer. */
 static size_t choose_cut(world_t *w, const GArray *events, stream_end_t stream_end)
 {
     const size_t cut = (size_t)world_pick(w, (int)size_of(events));
     return stream_end == STREAM_END_WITHIN_EVENT && !is_within(events, cut) ? cut + 1 : cut;
 }
 
-/** Record the events. @return the first @p cut bytes of them */
+/** Adds the events to the record. @return their first @p cut bytes, to be freed by the caller */
 static GString *record_events(record_t *r, GArray *events, size_t cut)
 {
     GString *const out = g_string_new(NULL);
@@ -140,7 +142,7 @@
     g_array_append_val(pieces, piece);
 }
 
-/** Add @p bytes as chunks that end anywhere, each sent at its time, some in two parts. */
+/** Adds @p bytes as chunks of random size, each sent after a random delay, one in four in two pieces. */
 static void add_chunks(world_t *w, GString *out, GArray *pieces, const GString *bytes)
 {
     for (size_t at = 0, size; at < bytes->len; at += size) {
@@ -166,7 +168,7 @@
     }
 }
 
-/** A run of a stream, whose name is the request's body. */
+/** Runs a stream. Its name is the body of the request. */
 static lab_reply_t stream(struct worker *me, const char *id, const char *request, stream_end_t stream_end)
 {
     world_t *const w = me->world;
@@ -175,7 +177,7 @@
     record_t *const r = world_stream(w, name, 0);
     const unsigned after = (unsigned)strtoul(asked, NULL, 10);
     if (!r || !record_ends_with(r, after)) {
-        world_fail(w, "a run is asked to go on behind an event that was made", id);
+        world_fail(w, "a run is asked to resume only after an event that was produced", id);
         g_free(asked);
         return refuse();
     }
@@ -196,7 +198,8 @@
     g_string_append(out, !truncate || stream_end == STREAM_END_WITHIN_EVENT ? "0\r\n\r\n" : "");
     g_string_free(sent, TRUE);
     g_array_free(events, TRUE);
-    return (lab_reply_t){.bytes = g_string_free(out, FALSE), .end = truncate ? connection_end(stream_end) : LAB_KEEP, .pieces = pieces};
+    return (lab_reply_t){
+        .bytes = g_string_free(out, FALSE), .end = truncate ? connection_end(stream_end) : LAB_KEEP, .pieces = pieces};
 }
 
 /* ===== Workers ===== */
@@ -224,18 +227,18 @@
                  strlen(id), id);
 }
 
-enum { RESTART_MIN_MS = 1000, RESTART_MAX_MS = 3000 /* a worker that ended is there again */ };
+enum { RESTART_MIN_MS = 1000, RESTART_MAX_MS = 3000 /* from a worker's crash to its restart */ };
 
-/** The worker ends, and with it all that it runs. */
+/** Crashes the worker, and with it all its requests. */
 static void engine_crash(struct worker *me)
 {
-    world_log(me->world, "worker %s ends", me->id);
+    world_log(me->world, "worker %s crashes", me->id);
     proxy_set_down(me->proxy, true);
     lab_backend_crash(me->backend);
     me->restart_at = tc_time_now() + RESTART_MIN_MS + world_pick(me->world, RESTART_MAX_MS - RESTART_MIN_MS);
 }
 
-/** Add header lines to the head of an answer. @param line for g_free, or "" */
+/** Adds a header line to an answer. @param line freed with g_free(); "": none */
 static void add_header(lab_reply_t *answer, char *line)
 {
     char *const rest = answer->bytes ? strstr(answer->bytes, "\r\n") : NULL;
@@ -243,7 +246,7 @@
         char *const bytes = g_strdup_printf("%.*s%s%s", (int)(rest + 2 - answer->bytes), answer->bytes, line, rest + 2);
         g_free(answer->bytes);
         answer->bytes = bytes;
-        if (answer->pieces && answer->pieces->len > 0) /* the first one is the head */
+        if (answer->pieces && answer->pieces->len > 0) /* the first piece is the head */
             g_array_index(answer->pieces, lab_piece_t, 0).size += strlen(line);
     }
     g_free(line);
@@ -264,7 +267,7 @@
     if (fatal)
         fatal_arrived(fatal);
     if (answer.bytes)
-        ; /* it takes none */
+        ; /* the worker rejects all requests */
     else if (strcmp(expected, me->id) != 0)
         answer = reply(LAB_KEEP, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
     else if (me->kind == 1 && strcmp(stage, "prefill") == 0 && world_random(me->world) >= me->failure_rate)
@@ -281,7 +284,8 @@
     add_header(&answer, g_strdup(notices_header(me)));
     limits_answered(me, id, &answer);
     notices_answered(me, id, &answer);
-    arrivals_record(me->world, me->kind > 0, id, me->kind == 1 && answer.bytes && strstr(answer.bytes, "prefill_handle"));
+    arrivals_record(me->world, me->kind > 0, id,
+                    me->kind == 1 && answer.bytes && strstr(answer.bytes, "prefill_handle"));
     g_free(id);
     g_free(expected);
     g_free(stage);
@@ -311,7 +315,7 @@
     return answer;
 }
 
-/* ===== Life ===== */
+/* ===== Start and stop ===== */
 
 void engine_create(world_t *w, int i)
 {
@@ -344,9 +348,9 @@
 {
     k->restart_at = 0;
     limits_restart(k);
-    const bool left = k->leave_at > 0;
+    const bool has_left = k->leave_at > 0;
     notices_clear(k);
-    if (left || world_pick(k->world, 2)) /* else under its id */
+    if (has_left || world_pick(k->world, 2)) /* else it keeps its id */
         g_snprintf(k->id, sizeof(k->id), "i-%d.%u", (int)(k - k->world->worker), ++k->restarts);
     lab_backend_restart(k->backend);
     proxy_set_down(k->proxy, false);
--- a/tests/platform/soak/fatal.c
+++ b/tests/platform/soak/fatal.c
@@ -11,13 +11,13 @@
     FATAL_REQUESTS = 3,
     RETRY_MIN_MS = 100,
     RETRY_MAX_MS = 900,
-    AGREEMENT_MS = 3000, /* boxes that nothing has harmed for so long know what each of them knew */
-    CHECK_MS = 5500,  /* of calm: that, and time for more tries than are allowed */
-    LATE_MAX = 3,      /* sent after that, on the platform's word */
+    AGREEMENT_MS = 3000, /* boxes that were not disrupted for this long share what they know */
+    CHECK_MS = 5500,     /* after the last fault: AGREEMENT_MS, and time for more attempts than LATE_MAX */
+    LATE_MAX = 3,        /* attempts after that which the platform allows */
     WINDOW_MS = 10000,
     ALLOWANCE = 60
 };
-/** As the settings of the world have it. */
+/** As retry_budget_ratio in the settings of the boxes, see world.c. */
 #define RETRY_RATIO 0.2
 
 /* ===== Fatal requests ===== */
@@ -29,16 +29,16 @@
     lab_call_t *call;
     tc_time_t next_at;
     unsigned attempts;
-    unsigned ended;     /* workers */
-    tc_time_t third_end_at; /* the third of them, 0: none */
-    unsigned late;      /* sent to workers when all boxes were to know */
+    unsigned ended;         /* workers that crashed */
+    tc_time_t third_end_at; /* when the third one crashed; 0: fewer did */
+    unsigned late;          /* sent to workers when all boxes had to know of the three crashes */
 };
 
 struct fatal_callers {
     world_t *world;
     web_client_t *client;
     struct fatal list[FATAL_REQUESTS];
-    tc_time_t faults_ended_at; /* 0: boxes are harmed */
+    tc_time_t faults_ended_at; /* 0: faults are still injected */
 };
 
 fatal_callers_t *fatal_create(world_t *w, web_client_t *client)
@@ -133,7 +133,7 @@
         return;
     const tc_time_t known_at = MAX(fatal->third_end_at, f->faults_ended_at) + AGREEMENT_MS;
     if (tc_time_now() >= known_at && ++fatal->late > LATE_MAX)
-        world_fail(f->world, "a request under which three workers ended is sent to no other", fatal->name);
+        world_fail(f->world, "a request that crashed three workers is not sent to another", fatal->name);
 }
 
 void fatal_started(struct fatal *fatal)
@@ -159,7 +159,7 @@
 {
     attempt_t *const t = world_attempt(w, id);
     if (prefilled && !t->read) {
-        t->read = true; /* the first prompt that is read is no extra */
+        t->read = true; /* the first prefill of a request is no extra arrival */
         return;
     }
     if (t->arrivals++ > 0)
@@ -170,7 +170,7 @@
 {
     static const retry_rules_t rules = {.ratio = RETRY_RATIO, .allowance = ALLOWANCE, .window = WINDOW_MS};
     if (windows_max_excess(a->requests, a->extras, &rules) > 0)
-        world_fail(w, "arrivals beyond the first of their request keep to the budget", name);
+        world_fail(w, "arrivals beyond the first of each request stay within the retry budget", name);
 }
 
 void arrivals_check(world_t *w)
--- a/tests/platform/soak/fatal.h
+++ b/tests/platform/soak/fatal.h
@@ -1,38 +1,38 @@
 /** @file fatal.h
- * The soak's requests that end every worker that begins to run them, and what workers see beyond the first arrival of a
- * request: both are checked against what the boxes promise of them.
+ * The soak's fatal requests, which crash every worker that runs them, and the count of arrivals at workers beyond the
+ * first of a request. Both are checked against the limits that the boxes guarantee.
  */
 #ifndef TRACKCOVE_TESTS_SOAK_FATAL_H
 #define TRACKCOVE_TESTS_SOAK_FATAL_H
 
 #include "platform/soak/world.h"
 
-/** Callers of fatal requests, who come again and again at any box. */
+/** Clients that send fatal requests repeatedly, to any box. */
 typedef struct fatal_callers fatal_callers_t;
 
 fatal_callers_t *fatal_create(world_t *world, web_client_t *client);
 void fatal_destroy(fatal_callers_t *callers);
-/** Send what is due, and take what came. */
+/** Sends the requests that are due and processes the answers. */
 void fatal_drive(fatal_callers_t *callers);
-/** From now on no box is harmed. */
+/** Notes that no more faults are injected. */
 void fatal_end_faults(fatal_callers_t *callers);
-/** Whether it has been calm for long enough to judge. */
+/** Whether enough time has passed since the last fault for the check to have taken effect. */
 bool fatal_is_checked(const fatal_callers_t *callers);
-/** How many workers ended in all, and after the third of each request. */
+/** Number of workers that crashed in all (@p ended), and beyond the third of each request (@p late). */
 void fatal_count(const fatal_callers_t *callers, unsigned *ended, unsigned *late);
 
 /** The fatal request with that body, or NULL. */
 struct fatal *fatal_find(world_t *world, const char *body);
-/** It reached a worker. */
+/** Notes that the request reached a worker. */
 void fatal_arrived(struct fatal *fatal);
-/** A worker begins to run it, and ends. */
+/** Notes that a worker started to run the request, and crashed. */
 void fatal_started(struct fatal *fatal);
 
-/** A caller sends a request for the service, "app" or "lm". */
+/** Notes that a client sends a request. @param lm the service: true for "lm", false for "app" */
 void arrivals_request(world_t *world, bool lm);
-/** A request reached a worker. @param prefilled it read the prompt, and no more */
+/** Notes that a request reached a worker. @param prefilled the worker only ran the prefill */
 void arrivals_record(world_t *world, bool lm, const char *id, bool prefilled);
-/** No window of ten seconds holds more extras than its requests, or those of a window before, allow. */
+/** Checks that no window of 10 s holds more extra arrivals than the requests in it, or in a window before it, allow. */
 void arrivals_check(world_t *world);
 
 #endif
--- a/tests/platform/soak/limits.c
+++ b/tests/platform/soak/limits.c
@@ -1,14 +1,14 @@
 #include "platform/soak/limits.h"
 
 enum {
-    AGREEMENT_MS = 3000, /* after an answer of a worker first named its limit it is held, */
-    PROPAGATION_MS = 500,    /* by boxes that had passed on such an answer so long before, or longer */
+    AGREEMENT_MS = 3000,  /* after the first answer with a limit: by then all boxes together keep it */
+    PROPAGATION_MS = 500, /* a box keeps the limit from this long after it passed on such an answer */
     WINDOW_MS = 4000,
-    RATE_MIN = 2, /* of a limit, a second */
+    RATE_MIN = 2, /* of a limit, requests/s */
     RATE_MAX = 7
 };
 
-/** Requests in a window: half more than the limit allows, and five. */
+/** Requests that the check allows in a window: 50% more than the limit, and five. */
 static double allowed_requests(double rate)
 {
     return 1.5 * rate * WINDOW_MS / 1000 + 5;
@@ -17,7 +17,7 @@
 void limits_remove(struct worker *k)
 {
     if (k->limit > 0)
-        world_log(k->world, "worker %s names no limit", k->id);
+        world_log(k->world, "worker %s removes its limit", k->id);
     k->limit = 0;
     g_array_set_size(k->limited_at, 0);
 }
@@ -38,7 +38,7 @@
     }
     k->limit = RATE_MIN + world_pick(k->world, RATE_MAX - RATE_MIN);
     limits_restart(k);
-    world_log(k->world, "worker %s names a limit of %.0f", k->id, k->limit);
+    world_log(k->world, "worker %s sets a limit of %.0f requests/s", k->id, k->limit);
 }
 
 char *limits_header(const struct worker *k)
@@ -56,8 +56,8 @@
     box_note_delivery(k->world, box, &k->limit_received_at[box]);
 }
 
-/** Whether the box that sent the request is to hold the limit: a start or a stand-still since it heard of it excuses it
- *  until it hears of it again. */
+/** Whether the box that sent the request must keep the limit. A restart or a suspension since it received the limit
+ *  excuses it until it receives the limit again. */
 static bool must_hold_limit(const struct worker *k, int box, tc_time_t now)
 {
     const tc_time_t received_at = k->limit_received_at[box];
--- a/tests/platform/soak/limits.h
+++ b/tests/platform/soak/limits.h
@@ -1,22 +1,22 @@
 /** @file limits.h
- * The soak's workers that name a limit for all boxes together, and whether they get more.
+ * Workers of the soak that announce a request rate limit for all boxes together, and the check that it is kept.
  */
 #ifndef TRACKCOVE_TESTS_SOAK_LIMITS_H
 #define TRACKCOVE_TESTS_SOAK_LIMITS_H
 
 #include "platform/soak/world.h"
 
-/** The worker names another limit from now on, or none any more, by lot. */
+/** Removes the worker's limit, or sets a random one when it has none. */
 void limits_change(struct worker *worker);
-/** It names none. */
+/** Removes the worker's limit. */
 void limits_remove(struct worker *worker);
-/** It starts again: boxes have heard nothing of it yet. */
+/** Resets what was recorded, as the worker restarts: no box has received its limit yet. */
 void limits_restart(struct worker *worker);
-/** The header line of its answers, or "". @return for g_free */
+/** Header line for the worker's answers, or "". Free with g_free(). */
 char *limits_header(const struct worker *worker);
-/** A request of that id reached it. */
+/** Notes and checks that the request @p id reached the worker. */
 void limits_arrived(struct worker *worker, const char *id);
-/** What it answered to a request of that id, with that line. */
+/** Notes the worker's answer to the request @p id, which has the header line. */
 void limits_answered(struct worker *worker, const char *id, const lab_reply_t *answer);
 
 #endif
--- a/tests/platform/soak/notices.c
+++ b/tests/platform/soak/notices.c
@@ -1,20 +1,20 @@
 #include "platform/soak/notices.h"
 
 enum {
-    REJECT_MS = 3000,  /* for which a worker turns requests away */
-    LEAVE_MS = 6000, /* before one that leaves ends */
+    REJECT_MS = 3000, /* how long a worker rejects requests */
+    LEAVE_MS = 6000,  /* from the announcement that a worker leaves to its end */
     PAUSE_MIN_MS = 1000,
-    PAUSE_MAX_MS = 2500, /* that it asks for */
-    IN_FLIGHT_MS = 500, /* requests that come so soon after the answer were on their way */
-    LATE_REQUESTS_MAX = 2,       /* that may come behind that, by the platform's word */
-    DRAIN_MS = 3000     /* after an answer that said so its box sends none to a worker that leaves */
+    PAUSE_MAX_MS = 2500,   /* pause that a rejection asks for */
+    IN_FLIGHT_MS = 500,    /* requests that arrive this soon after the answer were already in flight */
+    LATE_REQUESTS_MAX = 2, /* requests after that which the platform allows */
+    DRAIN_MS = 3000        /* after it received the announcement, a box sends no more requests to the worker */
 };
 
-/** One answer that asked a box for no calls. */
+/** One answer that asked a box to pause. */
 typedef struct {
     int box;
     tc_time_t at, until;
-    unsigned late_requests; /* requests of that box behind UNDER_WAY_MS */
+    unsigned late_requests; /* requests of that box after IN_FLIGHT_MS */
 } pause_t;
 
 bool notices_are_active(const struct worker *k)
@@ -34,17 +34,17 @@
         if (notices_are_active(&w->worker[i]))
             return;
     if (k->restart_at || k->resume_at)
-        return; /* it doesn't run */
+        return; /* it is down or suspended */
     proxy_set(k->proxy, PROXY_PASS);
-    proxy_reset(k->proxy); /* of connections that lose answers */
+    proxy_reset(k->proxy); /* closes connections that drop answers */
     if (world_pick(w, 2)) {
         k->reject_until = tc_time_now() + REJECT_MS;
-        world_log(w, "worker %s asks for no calls", k->id);
+        world_log(w, "worker %s rejects requests and asks boxes to pause", k->id);
         return;
     }
     k->leave_at = tc_time_now() + LEAVE_MS;
     k->list_draining_at = tc_time_now() + world_pick(w, LEAVE_MS);
-    world_log(w, "worker %s says that it leaves", k->id);
+    world_log(w, "worker %s announces that it leaves", k->id);
 }
 
 void notices_stop_rejecting(struct worker *k)
@@ -66,7 +66,7 @@
 {
     const tc_time_t now = tc_time_now();
     if (k->reject_until && now >= k->reject_until + PAUSE_MAX_MS)
-        notices_clear(k); /* all that it asked for is over */
+        notices_clear(k); /* all pauses have expired */
     k->draining = k->list_draining_at && now >= k->list_draining_at;
     return k->leave_at && now >= k->leave_at;
 }
@@ -78,7 +78,7 @@
         if (r->box != box || now < r->at + IN_FLIGHT_MS || now >= r->until || box_was_disrupted(k->world, box, r->at))
             continue;
         if (++r->late_requests > LATE_REQUESTS_MAX)
-            world_fail(k->world, "a worker that asked a box for no calls gets none", k->id);
+            world_fail(k->world, "a box sends no requests to a worker that asked it to pause", k->id);
     }
 }
 
@@ -87,11 +87,11 @@
     const tc_time_t now = tc_time_now();
     const int box = world_attempt_box(k->world, id);
     if (box < 0)
-        return; /* no caller's request */
+        return; /* not a request of a client */
     check_pauses(k, box, now);
     const tc_time_t received_at = k->leaving_received_at[box];
     if (received_at && now >= received_at + DRAIN_MS && !box_was_disrupted(k->world, box, received_at))
-        world_fail(k->world, "a worker that says that it leaves gets no more requests", k->id);
+        world_fail(k->world, "a worker that announced that it leaves gets no more requests", k->id);
 }
 
 lab_reply_t notices_refuse(struct worker *k, const char *id)
--- a/tests/platform/soak/notices.h
+++ b/tests/platform/soak/notices.h
@@ -1,33 +1,35 @@
 /** @file notices.h
- * The soak's workers that ask boxes for no calls for a while, or say that they leave, in their answers, and whether
- * they get requests all the same. While one does its way is whole, so that boxes hear what it answered.
+ * Workers of the soak whose answers ask boxes to pause (Retry-After) or announce that they leave (Server-Leaving), and
+ * the check that boxes then send no requests. The proxy of such a worker passes all data, so that boxes receive its
+ * answers.
  */
 #ifndef TRACKCOVE_TESTS_SOAK_NOTICES_H
 #define TRACKCOVE_TESTS_SOAK_NOTICES_H
 
 #include "platform/soak/world.h"
 
-/** For a worker's rests. */
+/** Creates the array of pauses of a worker. */
 GArray *notices_create_pauses(void);
-/** The worker turns all requests away for a while and asks each box for no more, or leaves, by lot; unless one does
- *  already. */
+/** Makes the worker, at random, reject all requests for a while and ask each box to pause, or announce that it leaves.
+ *  No effect while any worker does so. */
 void notices_begin(struct worker *worker);
-/** It asks for nothing any more; when it leaves it goes on with that. */
+/** Stops rejecting requests. A worker that leaves goes on to leave. */
 void notices_stop_rejecting(struct worker *worker);
-/** It says nothing of the kind: it starts anew. */
+/** Resets the worker's state, as it restarts. */
 void notices_clear(struct worker *worker);
-/** Whether it does, so that its way is to be left alone. */
+/** Whether the worker rejects requests or leaves, so that no faults may be injected at its proxy. */
 bool notices_are_active(const struct worker *worker);
-/** Call every tick. @return whether it leaves and is to end now */
+/** To be called on every tick. @return whether the worker has to end now, as it announced */
 bool notices_tick(struct worker *worker);
 
-/** A request of that id reached it. */
+/** Checks that the request @p id was allowed to reach the worker. */
 void notices_arrived(struct worker *worker, const char *id);
-/** The refusal by which it asks the box that sent the request for no more, or one without bytes: it takes requests. */
+/** Returns the rejection that asks the sending box to pause, or a reply without bytes when the worker accepts requests.
+ */
 lab_reply_t notices_refuse(struct worker *worker, const char *id);
-/** The header line of its answers, or "". */
+/** Header line for the worker's answers, or "". */
 const char *notices_header(const struct worker *worker);
-/** What it answered to a request of that id, with that line. */
+/** Notes the worker's answer to the request @p id, which has the header line. */
 void notices_answered(struct worker *worker, const char *id, const lab_reply_t *answer);
 
 #endif
--- a/tests/platform/soak/record.c
+++ b/tests/platform/soak/record.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* ===== Life ===== */
+/* ===== Creation ===== */
 
 static void event_free(void *arg)
 {
@@ -25,7 +25,7 @@
     g_free(r);
 }
 
-/* ===== What runs make ===== */
+/* ===== Events of runs ===== */
 
 void record_add(record_t *r, const record_event_t *event)
 {
@@ -42,12 +42,12 @@
     return token == 0;
 }
 
-/* ===== What a caller gets ===== */
+/* ===== Answers ===== */
 
-/** Bytes of the first event, 0 when it is not whole: it ends with an empty line. */
+/** Size of the first event in bytes, 0 when it is incomplete. An event ends with an empty line. */
 static size_t event_size(const char *data, size_t size)
 {
-    size_t line = 0; /* where it begins */
+    size_t line = 0; /* start of the line */
     for (size_t i = 0; i < size; i++) {
         if (data[i] != '\n')
             continue;
@@ -59,7 +59,7 @@
     return 0;
 }
 
-/** The event that a run sent whole and that is this one byte for byte, or NULL. */
+/** Returns the event with the same bytes that a run sent completely, or NULL. */
 static const record_event_t *find_event(const record_t *r, const char *data, size_t size)
 {
     for (guint i = 0; i < r->events->len; i++) {
@@ -70,7 +70,8 @@
     return NULL;
 }
 
-/** A run that is not the one before went on behind what the caller had, and no run comes back after another. */
+/** Whether @p e may follow the client's last event: it is of the same run, or of a later run that resumed just after
+ * that event. */
 static bool may_follow(const record_t *r, const record_event_t *e)
 {
     if (e->run.number == r->run)
@@ -82,19 +83,19 @@
 {
     const record_event_t *const e = find_event(r, data, size);
     if (!e)
-        return "each event of a stream is one that a run made, byte for byte";
+        return "each event of a stream equals one that a run produced, byte for byte";
     if (e->first <= r->last)
         return "no event of a stream is repeated";
     if (e->first > r->last + 1)
         return "no event of a stream is lost";
     if (!may_follow(r, e))
-        return "a run of a stream goes on behind the event before it";
+        return "a run of a stream resumes after the event before it";
     r->last = e->last;
     r->run = e->run.number;
     return NULL;
 }
 
-/** What is left of an answer that broke off within an event is the beginning of what a run made of the next one. */
+/** Whether the rest of a truncated answer is a prefix of the next event, as a run produced it. */
 static bool is_event_prefix(const record_t *r, const char *data, size_t size)
 {
     for (guint i = 0; i < r->events->len; i++) {
@@ -116,8 +117,8 @@
         size -= length;
     }
     if (!is_event_prefix(r, body, size))
-        return "the torn end of a stream is one that a run made";
+        return "the truncated end of a stream is a prefix of an event that a run produced";
     if (complete && (size > 0 || r->last != r->tokens))
-        return "a stream that ends well is complete";
+        return "a stream that ends without error is complete";
     return NULL;
 }
--- a/tests/platform/soak/routes.c
+++ b/tests/platform/soak/routes.c
@@ -18,10 +18,10 @@
 
 enum { IDLE_ROUTES = 2000 };
 
-/** Longest pause that a route names: a stream is silent after four of them, and engines pause for less than one. */
+/** Longest expected gap in a stream. A stream counts as stalled after four of them; engines pause for less than one. */
 #define GAP_AIM "\"gap_aim_ms\":40,"
 
-/** Routes that nobody asks for: every third version has two thousand, so that configurations grow and shrink. */
+/** Adds routes that no request uses: 2,000 in every third version, so that configurations grow and shrink. */
 static void add_idle_routes(GString *text, uint64_t version)
 {
     const int routes = version % 3 == 0 ? IDLE_ROUTES : 0;
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -1,10 +1,10 @@
 /** @file soak.c
- * Randomised soak: the real programs as separate processes, faults from outside, promises checked from what callers,
- * operators and back ends see while it runs.
+ * Randomised soak test: runs the real programs as separate processes, injects faults from outside, and checks
+ * guarantees by what clients, operators and back ends see.
  *
  *     soak --bin DIR --seed N --seconds S
  *
- * Prints the seed; on a broken promise the schedule and the folder with logs. Exit status 1 then.
+ * Prints the seed. When a guarantee is violated, also prints the schedule and the folder with logs, and exits with 1.
  */
 
 #include <glib.h>
@@ -26,7 +26,7 @@
 enum {
     TICK_MS = 5,
     CALLERS_MAX = 60,
-    PLAIN_CALLERS = 12, /* of these, that ask for nothing but plain answers: more than workers with limits take */
+    PLAIN_CALLERS = 12, /* of these, the ones that send plain requests only: more than workers with limits accept */
     FAULT_MIN_MS = 250,
     FAULT_MAX_MS = 900,
     PUT_EVERY_MS = 400,
@@ -34,34 +34,35 @@
     FREEZE_MAX_MS = 1500,
     SUSPEND_MIN_MS = 300,
     SUSPEND_MAX_MS = 3000,
-    BLACKHOLE_BYTES_MAX = 600,    /* most that pass before a connection falls silent: within its stream */
-    WIPE_EVERY_MS = 12000, /* a box with a new disk must be a member again before the next disk goes */
-    TOKENS_MIN = 5,        /* of a stream */
+    BLACKHOLE_BYTES_MAX = 600, /* forwarded before a connection turns into a black hole: ends within a stream */
+    WIPE_EVERY_MS = 12000,     /* a box with a new disk must be a member again before the next disk is lost */
+    TOKENS_MIN = 5,            /* of a stream */
     TOKENS_MAX = 30,
-    ABORT_BYTES_MAX = 800, /* most that a caller has when it leaves: an event has 40 to 150, an answer up to 30 */
-    REQUESTS_MAX = 4,  /* of one caller for one stream */
-    MEMORY_KB_MAX = 44 * 1024,
-    SETTLE_MS = 20000, /* after the last fault everything must be as before within this time */
-    START_MS = 15000
+    ABORT_BYTES_MAX =
+        800,          /* received before a client aborts; an event has 40 to 150 bytes, an answer up to 30 events */
+    REQUESTS_MAX = 4, /* of one client for one stream */
+    MEMORY_KB_MAX = 44 * 1024, /* per process, see check_memory() */
+    SETTLE_MS = 20000,         /* from the last fault to full recovery */
+    START_MS = 15000           /* from the start to the first 20 requests served in a row */
 };
 
-/** Of streams that may be taken up elsewhere. */
+/** Share of the requests for resumable streams that clients abort. */
 static const double ABORT_SHARE = 0.15;
-/** Of the answers of decode engines, until a fault changes it. */
+/** Share of the answers of decode engines that fail, until a fault changes it. */
 static const double DECODE_FAILURE_RATE = 0.1;
 
 /* ===== State ===== */
 
-/** A caller, with one request after the other. */
+/** A client that sends one request after the other. */
 typedef struct {
     lab_call_t *call; /* NULL between requests */
-    char id[24];      /* of the request */
-    char name[16];    /* of what is asked for, in one request or several */
+    char id[24];      /* of the attempt */
+    char name[16];    /* of the plain request or stream, the same for all its attempts */
     kind_t kind;
     int box;
-    record_t *stream;  /* that is asked for until it is whole, or NULL */
-    unsigned requests; /* for it */
-    size_t abort_at_bytes;   /* the caller closes when it has so many bytes; 0: it stays */
+    record_t *stream;      /* requested until it is complete, or NULL */
+    unsigned requests;     /* attempts for name so far */
+    size_t abort_at_bytes; /* the client closes after this many bytes; 0: never */
 } caller_t;
 
 typedef struct {
@@ -70,24 +71,24 @@
     web_client_t *client;
     caller_t callers[CALLERS_MAX];
     unsigned started, answered, served, refused, unknown;
-    unsigned aborted, resumed; /* callers that closed within a stream; that came back for the rest of one */
+    unsigned aborted, resumed; /* streams that clients aborted; streams that they resumed */
     unsigned faults, puts, reads;
     lab_call_t *put, *read;
-    uint64_t version; /* offered last */
+    uint64_t version; /* newest version that was put */
     uint64_t put_version, acked;
-    int put_box;         /* that was asked */
-    uint64_t read_floor; /* acknowledged before the read was sent */
-    uint64_t newest_read;       /* newest version that a read told */
+    int put_box;          /* index of the box that the put was sent to */
+    uint64_t read_floor;  /* newest version acknowledged or read before the read was sent */
+    uint64_t newest_read; /* newest version that a read returned */
     tc_time_t next_fault, next_put, last_wipe;
     fatal_callers_t *fatal_callers;
-    bool faults_ended;       /* no more faults */
-    unsigned served_in_row; /* requests served one after the other since the last failure */
+    bool faults_ended;      /* no faults are injected */
+    unsigned served_in_row; /* requests served since the last failure */
     bool config_is_newest;
 } soak_t;
 
-/* ===== Callers ===== */
+/* ===== Clients ===== */
 
-/** Ask for something new. */
+/** Chooses a new request. */
 static void choose_request(soak_t *s, caller_t *c)
 {
     world_t *const w = s->world;
@@ -99,7 +100,7 @@
         c->stream = world_stream(w, c->name, TOKENS_MIN + (unsigned)world_pick(w, TOKENS_MAX - TOKENS_MIN + 1));
 }
 
-/** Come back for the rest of a stream, at another box. */
+/** Resumes a stream at another box. */
 static void choose_resumption(soak_t *s, caller_t *c)
 {
     c->box = (c->box + 1 + world_pick(s->world, WORLD_BOXES - 1)) % WORLD_BOXES;
@@ -130,7 +131,7 @@
     g_free(text);
 }
 
-/** The answer, or what the caller has of it. @param whole it ended well */
+/** Checks the answer, or the part of it that was received. @param complete it ended without error */
 static void check_body(const soak_t *s, const caller_t *c, bool complete)
 {
     const GString *const body = c->call->body;
@@ -138,12 +139,12 @@
     if (c->stream)
         error = record_check_answer(c->stream, body->str, body->len, complete);
     else if (complete && strcmp(body->str, c->id) != 0)
-        error = "a caller gets its own whole answer";
+        error = "a client gets the complete answer to its own request";
     if (error)
         world_fail(s->world, error, c->id);
 }
 
-/** No call is under way; a stream that is not whole may be asked for again. */
+/** Frees the call. The next request resumes a stream that is incomplete and resumable, up to REQUESTS_MAX requests. */
 static void free_call(caller_t *c)
 {
     lab_call_free(c->call);
@@ -171,14 +172,14 @@
     if (complete && (call->status == 503 || call->status == 429)) {
         attempt_t *const t = world_attempt(w, c->id);
         s->refused++;
-        t->refused = t->once; /* what may be repeated may have been begun before */
+        t->refused = t->once; /* a repeatable request may have been started before */
         if (t->once && t->runs > 0)
-            world_fail(w, "a refusal as not run is true", c->id);
+            world_fail(w, "a request reported as not executed was not run", c->id);
     }
     free_call(c);
 }
 
-/** The caller closes its connection within the answer. */
+/** Closes the client's connection in the middle of the answer. */
 static void abort_call(soak_t *s, caller_t *c)
 {
     web_call_cancel(c->call->call);
@@ -210,7 +211,7 @@
     return lab_call(s->client, addr, text);
 }
 
-/** Some boxes die at the moment at which they acknowledge. */
+/** Kills one control program in ten right after it acknowledged. */
 static void on_acknowledged(soak_t *s)
 {
     box_t *const box = &s->world->boxes[s->put_box];
@@ -226,7 +227,7 @@
         if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 200)
             on_acknowledged(s);
         if (s->put->how == WEB_RESULT_COMPLETE && s->put->status == 400)
-            world_fail(s->world, "a valid configuration is not refused", s->put->body->str);
+            world_fail(s->world, "a valid configuration is not rejected", s->put->body->str);
         lab_call_free(s->put);
         s->put = NULL;
     }
@@ -235,7 +236,7 @@
     s->next_put = now + PUT_EVERY_MS;
     if (s->acked == s->version)
         s->version += 1 + (uint64_t)world_pick(s->world, 3);
-    s->put_version = s->version; /* until it is acknowledged the same is sent again, to any box */
+    s->put_version = s->version; /* the same version is sent again, to any box, until it is acknowledged */
     s->puts++;
     char *const body = routes_text(s->version);
     char *const text =
@@ -254,7 +255,7 @@
                                  : NULL;
         const uint64_t version = (uint64_t)json_integer_value(json_object_get(root, "version"));
         if (root && version < s->read_floor)
-            world_fail(s->world, "a read is never older than what was acknowledged", "config");
+            world_fail(s->world, "a read is never older than an acknowledged or read version", "config");
         s->newest_read = root && version > s->newest_read ? version : s->newest_read;
         s->config_is_newest = root && version >= s->acked;
         json_decref(root);
@@ -287,7 +288,7 @@
     s->last_wipe = now;
     world_log(w, "disk of %s is lost", b->ip);
     process_restart(w, b, &b->control, SIGKILL, 500);
-    lab_run_for(s->loop, 50); /* the process is gone before its folder is emptied */
+    lab_run_for(s->loop, 50); /* the process exits before its folder is emptied */
     folder_empty(b->dir);
 }
 
@@ -295,21 +296,21 @@
 {
     if (!p->pid || p->ending)
         return;
-    world_log(s->world, "%s %s on %s", p->paused ? "wake" : "pause", p->program, b->ip);
+    world_log(s->world, "%s %s on %s", p->paused ? "resume" : "pause", p->program, b->ip);
     process_signal(p, p->paused ? SIGCONT : SIGSTOP);
     p->paused = !p->paused;
     if (p == &b->entry)
         b->disrupted_at = tc_time_now();
 }
 
-/** Decode engines are two of six: half of what goes wrong with workers is theirs. */
+/** Chooses a worker for a fault. Only two of six are decode engines: at least half of the faults are theirs. */
 static struct worker *pick_worker(world_t *w)
 {
     const bool any = world_random(w) < 0.5;
     return &w->worker[any ? world_pick(w, WORLD_WORKERS) : WORLD_DECODE + world_pick(w, WORLD_WORKERS - WORLD_DECODE)];
 }
 
-/** One that names a limit: any of a plain service, or one of the decode engines, so that streams go on. */
+/** Chooses a worker to get a limit: any plain worker or the first decode engine; streams still have the other one. */
 static struct worker *pick_limited(world_t *w)
 {
     const int i = world_pick(w, WORLD_PREFILL + 1);
@@ -320,7 +321,7 @@
 {
     struct worker *const k = pick_worker(s->world);
     k->failure_rate = k->failure_rate > 0 ? 0 : world_random(s->world);
-    world_log(s->world, "worker %s goes wrong in %.2f of its answers", k->id, k->failure_rate);
+    world_log(s->world, "worker %s fails %.2f of its answers", k->id, k->failure_rate);
 }
 
 static void freeze_worker(soak_t *s, tc_time_t now)
@@ -329,11 +330,12 @@
     const int span = FREEZE_MIN_MS + world_pick(s->world, FREEZE_MAX_MS - FREEZE_MIN_MS);
     if (notices_are_active(k))
         return;
-    world_log(s->world, "worker %s stands still for %d ms", k->id, span);
+    world_log(s->world, "worker %s is suspended for %d ms", k->id, span);
     engine_freeze(k, now + span);
 }
 
-/** Harm a way or mend it; a way to control boxes only while the others' are whole, so that a majority is left. */
+/** Sets a random mode at a proxy. At most one proxy to a control program gets a fault at a time, so that a majority is
+ *  left. */
 static void change_proxy_mode(soak_t *s)
 {
     world_t *const w = s->world;
@@ -343,31 +345,31 @@
     struct worker *const k = &w->worker[world_pick(w, WORLD_WORKERS)];
     switch (world_pick(w, 3)) {
     case 0:
-        world_log(w, "way to entry of %s: %s", b->ip, proxy_mode_names[mode]);
+        world_log(w, "proxy to entry of %s: %s", b->ip, proxy_mode_names[mode]);
         proxy_set(b->entry_proxy, mode);
         break;
     case 1:
         for (int at = 0; at < WORLD_DISKS; at++)
             proxy_set(w->boxes[at].control_proxy, at == i ? mode : PROXY_PASS);
-        world_log(w, "way to control of %s: %s, others pass", b->ip, proxy_mode_names[mode]);
+        world_log(w, "proxy to control of %s: %s, others pass", b->ip, proxy_mode_names[mode]);
         break;
     default:
         if (notices_are_active(k))
             break;
-        world_log(w, "way to worker %s: %s", k->id, proxy_mode_names[mode]);
+        world_log(w, "proxy to worker %s: %s", k->id, proxy_mode_names[mode]);
         proxy_set(k->proxy, mode);
         break;
     }
 }
 
-/** The connections that stand are reset, or fall silent for good. */
+/** Resets the present connections to a box and a worker, or makes them black holes. */
 static void break_connections(soak_t *s)
 {
     world_t *const w = s->world;
     box_t *const b = &w->boxes[world_pick(w, WORLD_BOXES)];
     const bool blackhole = world_random(w) < 0.5;
     void (*const disrupt)(proxy_t *) = blackhole ? proxy_blackhole : proxy_reset;
-    world_log(w, "connections to %s %s", b->ip, blackhole ? "fall silent" : "are reset");
+    world_log(w, "connections to %s %s", b->ip, blackhole ? "become black holes" : "are reset");
     disrupt(b->entry_proxy);
     if (b->control_proxy)
         disrupt(b->control_proxy);
@@ -376,7 +378,7 @@
         disrupt(k->proxy);
 }
 
-/** The connections to a worker that stand fall silent one way, after some bytes, and stay open. */
+/** Makes one direction of the present connections to a worker a black hole after some bytes; they stay open. */
 static void blackhole_worker(soak_t *s)
 {
     world_t *const w = s->world;
@@ -385,7 +387,7 @@
     const size_t bytes = (size_t)world_pick(w, BLACKHOLE_BYTES_MAX);
     if (notices_are_active(k))
         return;
-    world_log(w, "connections to worker %s lose %s after %zu bytes", k->id, answers ? "answers" : "calls", bytes);
+    world_log(w, "connections to worker %s drop %s after %zu bytes", k->id, answers ? "answers" : "calls", bytes);
     proxy_blackhole_after(k->proxy, answers, bytes);
 }
 
@@ -441,7 +443,8 @@
     inject_fault(s, now);
 }
 
-/** Decode engines go wrong from the start: not every run of the soak draws that by lot. */
+/** Starts the faults. Some are set at once, since not every run draws them at random: failures of decode engines,
+ * limits and notices. */
 static void begin_faults(soak_t *s)
 {
     s->faults_ended = false;
@@ -449,7 +452,7 @@
     for (int i = WORLD_DECODE; i < WORLD_WORKERS; i++)
         s->world->worker[i].failure_rate = DECODE_FAILURE_RATE;
     for (int i = 0; i < 2; i++)
-        limits_change(&s->world->worker[i]); /* for long enough to be judged */
+        limits_change(&s->world->worker[i]); /* early, so that they last long enough to be checked */
     notices_begin(&s->world->worker[WORLD_PREFILL - 1]);
 }
 
@@ -460,7 +463,7 @@
     fatal_end_faults(s->fatal_callers);
     s->served_in_row = 0;
     s->config_is_newest = false;
-    world_log(w, "no more faults");
+    world_log(w, "faults end");
     restore_proxies(w);
     for (int i = 0; i < WORLD_WORKERS; i++) {
         w->worker[i].failure_rate = 0;
@@ -476,7 +479,7 @@
     }
 }
 
-/** No process holds more than half of the memory of the smallest boxes, 88 MB. */
+/** Checks that no process uses more than half of the memory of the smallest boxes, which is 88 MB. */
 static void check_memory(const soak_t *s)
 {
     for (int i = 0; i < 2 * WORLD_BOXES && !s->world->failed; i++) {
@@ -519,7 +522,8 @@
 
 static bool is_recovered(const soak_t *s)
 {
-    return s->served_in_row >= 100 && s->config_is_newest && s->acked == s->version && fatal_is_checked(s->fatal_callers);
+    return s->served_in_row >= 100 && s->config_is_newest && s->acked == s->version &&
+           fatal_is_checked(s->fatal_callers);
 }
 
 static int report(const soak_t *s, guint32 seed)
@@ -528,11 +532,12 @@
     unsigned ended = 0, late = 0;
     if (s->fatal_callers)
         fatal_count(s->fatal_callers, &ended, &late);
-    printf("seed %u: %u requests, %u served, %u refused as not run, %u failed; %u runs of streams, %u torn within an "
-           "event, %u callers left one, %u returned; %u workers ended, %u of them after the third; %u faults; %u puts, "
-           "%u reads, newest %" G_GUINT64_FORMAT ": %s\n",
-           seed, s->answered, s->served, s->refused, s->unknown - s->refused, w->runs, w->truncated, s->aborted, s->resumed,
-           ended, late, s->faults, s->puts, s->reads, s->acked, w->failed ? "FAILED" : "passed");
+    printf("seed %u: %u requests, %u served, %u rejected as not executed, %u failed; %u runs of streams, %u truncated "
+           "within an event, %u aborted by clients, %u resumed; %u workers crashed, %u of them after the third; %u "
+           "faults; "
+           "%u puts, %u reads, newest version %" G_GUINT64_FORMAT ": %s\n",
+           seed, s->answered, s->served, s->refused, s->unknown - s->refused, w->runs, w->truncated, s->aborted,
+           s->resumed, ended, late, s->faults, s->puts, s->reads, s->acked, w->failed ? "FAILED" : "passed");
     if (!w->failed)
         return 0;
     printf("schedule:\n%slogs: %s\n", w->schedule->str, w->root);
@@ -553,18 +558,19 @@
 {
     gchar *bin = NULL, *shim = NULL;
     gint seed = 1, seconds = 20;
-    const GOptionEntry entries[] = {{"bin", 'b', 0, G_OPTION_ARG_FILENAME, &bin, "folder of the programs", "DIR"},
-                                    {"shim", 'p', 0, G_OPTION_ARG_FILENAME, &shim, "that suspends machines", "FILE"},
-                                    {"seed", 's', 0, G_OPTION_ARG_INT, &seed, "of everything drawn by lot", "N"},
-                                    {"seconds", 't', 0, G_OPTION_ARG_INT, &seconds, "with faults", "S"},
-                                    {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
-    GOptionContext *const context = g_option_context_new("- soak of the platform's programs");
+    const GOptionEntry entries[] = {
+        {"bin", 'b', 0, G_OPTION_ARG_FILENAME, &bin, "folder of the programs", "DIR"},
+        {"shim", 'p', 0, G_OPTION_ARG_FILENAME, &shim, "preloaded library that simulates suspended machines", "FILE"},
+        {"seed", 's', 0, G_OPTION_ARG_INT, &seed, "of all random choices", "N"},
+        {"seconds", 't', 0, G_OPTION_ARG_INT, &seconds, "duration of the faults", "S"},
+        {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
+    GOptionContext *const context = g_option_context_new("- soak test of the platform's programs");
     g_option_context_add_main_entries(context, entries, NULL);
     if (!g_option_context_parse(context, &argc, &argv, NULL) || !bin || !shim)
         return 2;
     g_option_context_free(context);
     signal(SIGPIPE, SIG_IGN);
-    signal(SIGUSR2, SIG_IGN); /* as programs inherit it until the shim takes it */
+    signal(SIGUSR2, SIG_IGN); /* inherited by the programs until the shim installs its handler */
     static soak_t s;
     s.loop = loop_create();
     s.client = web_client_create(s.loop);
@@ -572,13 +578,13 @@
     s.faults_ended = true;
     s.version = 1;
     if (!drive_until(&s, tc_time_now() + START_MS, is_up) && !s.world->failed)
-        world_fail(s.world, "the system comes up", "no service in time");
+        world_fail(s.world, "the system starts", "requests were not served in time");
     begin_faults(&s);
     (void)drive_until(&s, tc_time_now() + (tc_time_t)seconds * 1000, NULL);
     check_memory(&s);
     end_faults(&s);
     if (!drive_until(&s, tc_time_now() + SETTLE_MS, is_recovered) && !s.world->failed)
-        world_fail(s.world, "service recovers after the last fault", "not in time");
+        world_fail(s.world, "service recovers after the last fault", "not recovered in time");
     check_memory(&s);
     arrivals_check(s.world);
     const int status = report(&s, (guint32)seed);
--- a/tests/platform/soak/world.c
+++ b/tests/platform/soak/world.c
@@ -13,7 +13,7 @@
 #include "platform/soak/engines.h"
 #include "platform/soak/notices.h"
 
-/* ===== Notes ===== */
+/* ===== Records ===== */
 
 void world_log(world_t *w, const char *format, ...)
 {
@@ -25,10 +25,10 @@
     va_end(args);
 }
 
-void world_fail(world_t *w, const char *promise, const char *what)
+void world_fail(world_t *w, const char *guarantee, const char *what)
 {
-    world_log(w, "BROKEN %s: %s", promise, what);
-    fprintf(stderr, "broken: %s: %s\n", promise, what);
+    world_log(w, "VIOLATED %s: %s", guarantee, what);
+    fprintf(stderr, "guarantee violated: %s: %s\n", guarantee, what);
     w->failed = true;
 }
 
@@ -107,7 +107,7 @@
     g_free(text);
 }
 
-/** What its entry heard before may be lost, or heard late. */
+/** Notes that the entry program may have lost, or received late, what was sent to it before. */
 static void note_disruption(box_t *b, const process_t *p)
 {
     if (p == &b->entry)
@@ -135,7 +135,7 @@
 {
     if (!p->pid || p->ending)
         return;
-    world_log(w, "signal %d to %s on %s, back after %lld ms", number, p->program, b->ip, (long long)pause);
+    world_log(w, "signal %d to %s on %s, restart after %lld ms", number, p->program, b->ip, (long long)pause);
     p->ending = true;
     note_disruption(b, p);
     p->start_at = tc_time_now() + pause;
@@ -147,7 +147,7 @@
 void box_suspend(world_t *w, box_t *b, tc_time_t span)
 {
     process_t *const both[] = {&b->entry, &b->control};
-    world_log(w, "machine %s is suspended for %lld ms", b->ip, (long long)span);
+    world_log(w, "machine of box %s is suspended for %lld ms", b->ip, (long long)span);
     for (int i = 0; i < 2; i++) {
         if (!both[i]->pid || both[i]->ending || both[i]->paused)
             continue;
@@ -165,7 +165,7 @@
     p->resume_at = 0;
     note_disruption(b, p);
     if (!p->paused)
-        return; /* woken before */
+        return; /* resumed before */
     process_signal(p, SIGCONT);
     p->paused = false;
 }
@@ -175,8 +175,8 @@
     int status;
     if (p->pid && waitpid(p->pid, &status, WNOHANG) == p->pid) {
         if (!p->ending) {
-            char *const what = g_strdup_printf("%s on %s, status %d", p->program, b->ip, status);
-            world_fail(w, "no process ends by itself", what);
+            char *const what = g_strdup_printf("%s on %s, wait status %d", p->program, b->ip, status);
+            world_fail(w, "no process exits unasked", what);
             g_free(what);
             p->start_at = tc_time_now();
         }
@@ -205,9 +205,10 @@
             engine_leave(&w->worker[i]);
 }
 
-/* ===== Life ===== */
+/* ===== Start and stop ===== */
 
-/** Other boxes reach this box's programs through proxies: at the box's address, where the programs do not listen. */
+/** Creates a proxy for connections of other boxes. It listens at the box's address, where the programs do not listen.
+ */
 static proxy_t *create_proxy(const world_t *w, int i, int port)
 {
     char at[32], to[32];
@@ -218,7 +219,7 @@
 
 static void create_box(world_t *w, int i)
 {
-    enum { CONTROL, ENTRY }; /* order of the programs' own ports */
+    enum { CONTROL, ENTRY }; /* offsets of the programs' internal ports */
     box_t *const b = &w->boxes[i];
     g_snprintf(b->ip, sizeof(b->ip), "127.0.1.%d", 10 + i);
     b->entry_proxy = create_proxy(w, i, ENTRY);
@@ -255,7 +256,7 @@
     w->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_stream);
     w->schedule = g_string_new(NULL);
     w->started_at = tc_time_now();
-    w->port = lab_unused_ports("127.0.1.2"); /* where the list stands */
+    w->port = lab_unused_ports("127.0.1.2"); /* the address of the list of back ends */
     g_strlcpy(w->root, "/tmp/trackcove-soak-XXXXXX", sizeof(w->root));
     g_assert_nonnull(g_mkdtemp(w->root));
     char at[32];
--- a/tests/platform/soak/world.h
+++ b/tests/platform/soak/world.h
@@ -1,6 +1,6 @@
 /** @file world.h
- * The soak's world: boxes as real processes on addresses of 127.0.1.0/24, and the platform around them (list of back
- * ends, workers, engines) as fakes in the soak's own loop.
+ * The soak's system under test and its environment: boxes as real processes on addresses of 127.0.1.0/24, and fakes of
+ * the list of back ends, the workers and the engines in the soak's own loop.
  */
 #ifndef TRACKCOVE_TESTS_SOAK_WORLD_H
 #define TRACKCOVE_TESTS_SOAK_WORLD_H
@@ -17,132 +17,135 @@
     WORLD_BOXES = 5,
     WORLD_DISKS = 3,
     WORLD_WORKERS = 6,
-    WORLD_PREFILL = 3, /**< this worker is a prefill engine, */
-    WORLD_DECODE = 4   /**< this one and those behind it are decode engines */
+    WORLD_PREFILL = 3, /**< index of the prefill engine among the workers */
+    WORLD_DECODE = 4   /**< index of the first decode engine; all workers after it are decode engines too */
 };
 
 /** One program on one box. */
 typedef struct {
     const char *program;
     char settings[96];
-    pid_t pid;   /**< 0: not running */
-    bool ending; /**< its end was asked for */
-    bool paused;
-    tc_time_t resume_at; /**< of its machine, which is suspended; 0: it is not */
-    tc_time_t start_at;  /**< when it is started (again) */
+    pid_t pid;           /**< 0: not running */
+    bool ending;         /**< it was sent a signal to end it */
+    bool paused;         /**< stopped or suspended */
+    tc_time_t resume_at; /**< when its suspended machine resumes; 0: not suspended */
+    tc_time_t start_at;  /**< when it is started or restarted */
 } process_t;
 
-/** One box: an entry program, and a control program where it has a disk. */
+/** One box: an entry program, and a control program if it has a disk. */
 typedef struct {
     char ip[20];
     char dir[64]; /**< "" without a disk */
     process_t entry, control;
-    tc_time_t disrupted_at;                    /**< its entry stood still, was suspended or started last; 0: never */
-    proxy_t *entry_proxy, *control_proxy; /**< what other boxes' connections pass through; NULL for none */
+    tc_time_t disrupted_at;               /**< last time its entry program was paused, resumed or started; 0: never */
+    proxy_t *entry_proxy, *control_proxy; /**< proxies for connections of other boxes; NULL: none */
 } box_t;
 
-/** What the back ends saw of one try of a caller. */
+/** What the back ends saw of one attempt of a client. */
 typedef struct {
-    unsigned runs;     /**< back ends that began to work on it */
-    bool refused;      /**< the caller was told that it did not run and never will */
+    unsigned runs;     /**< workers that started to run it */
+    bool refused;      /**< the client was told that it was not and will not be executed */
     bool once;         /**< it must run at most once */
-    bool read;         /**< a worker read its prompt */
-    unsigned arrivals; /**< at workers, without that one */
-    unsigned box;      /**< that it was sent to, from 1 on; 0: unknown */
+    bool read;         /**< its prompt was prefilled */
+    unsigned arrivals; /**< at workers, without the first prefill */
+    unsigned box;      /**< number of the box that it was sent to, from 1; 0: unknown */
 } attempt_t;
 
 struct fatal_callers;
 
 /** Arrivals at the workers of one service. */
 typedef struct {
-    GArray *requests; /**< tc_time_t: when callers sent them */
+    GArray *requests; /**< tc_time_t: when clients sent them */
     GArray *extras;   /**< tc_time_t: arrivals beyond the first of a request */
 } arrivals_t;
 
-/** The boxes and the platform around them. */
+/** The boxes and their environment. */
 typedef struct world {
     loop_t *loop;
     GRand *random;
     const char *bin;  /**< folder of the programs */
-    const char *shim; /**< preloaded into them, so that their machines can be suspended */
+    const char *shim; /**< preloaded into them, to simulate that their machine is suspended */
     char root[48];
-    int port; /**< first of the ports, alike on all boxes */
+    int port; /**< first port, the same on all boxes */
     box_t boxes[WORLD_BOXES];
     lab_backend_t *list;
     struct worker {
         struct world *world;
         lab_backend_t *backend;
-        char addr[32]; /**< as it is listed: a proxy's */
+        char addr[32]; /**< address in the list, which is its proxy's */
         proxy_t *proxy;
         char id[16];
-        int kind;       /**< 0: plain, 1: prefill, 2: decode */
-        double failure_rate; /**< share of its answers that go wrong */
+        int kind;            /**< 0: plain, 1: prefill, 2: decode */
+        double failure_rate; /**< share of its answers that fail, from 0 to 1 */
         bool draining;
-        tc_time_t resume_at; /**< it stands still until then; 0: it does not */
-        tc_time_t restart_at; /**< it has ended and is there again then; 0: it runs */
+        tc_time_t resume_at;  /**< end of its suspension; 0: not suspended */
+        tc_time_t restart_at; /**< when it restarts after a crash; 0: it runs */
         unsigned restarts;
-        double limit;       /**< requests a second that it takes of all boxes together, as its answers say; 0: any */
-        tc_time_t limit_sent_at; /**< its first answer that named one; 0: none did */
-        tc_time_t limit_received_at[WORLD_BOXES];   /**< the first such answer to each box, since it started; 0: none */
-        tc_time_t reject_until;                /**< it turns requests away and asks for none; 0: it does not */
-        GArray *pauses;                       /**< what it asked boxes for, see notices.c */
-        tc_time_t leave_at;                  /**< it says that it leaves, and ends then; 0: it does not */
-        tc_time_t list_draining_at;         /**< the list shows that; 0: it does not */
-        tc_time_t leaving_received_at[WORLD_BOXES]; /**< when it first answered a box so; 0: it did not */
-        GArray *limited_at; /**< tc_time_t: requests that reached it once all boxes were to hold that */
+        double limit;            /**< requests/s from all boxes together, as its answers say; 0: no limit */
+        tc_time_t limit_sent_at; /**< its first answer with the limit; 0: none yet */
+        tc_time_t limit_received_at[WORLD_BOXES]; /**< first answer with the limit to each box since it was disrupted;
+                                                     0: none */
+        tc_time_t reject_until;                   /**< it rejects requests and asks boxes to pause; 0: it does not */
+        GArray *pauses;                           /**< pauses that it asked boxes for, see notices.c */
+        tc_time_t leave_at;                       /**< when it ends, as it announced; 0: it does not leave */
+        tc_time_t list_draining_at;               /**< from when on the list shows it as draining; 0: never */
+        tc_time_t
+            leaving_received_at[WORLD_BOXES]; /**< first announcement to each box since it was disrupted; 0: none */
+        GArray *limited_at;                   /**< tc_time_t: arrivals of requests when boxes had to keep the limit */
     } worker[WORLD_WORKERS];
-    GHashTable *attempts;            /**< id to try_t */
-    GHashTable *streams;          /**< name to record_t */
-    unsigned runs, truncated;          /**< of streams; those that broke off or stopped within an event */
+    GHashTable *attempts;                /**< id to attempt_t */
+    GHashTable *streams;                 /**< name to record_t */
+    unsigned runs, truncated;            /**< runs of streams; those that were truncated or stalled within an event */
     struct fatal_callers *fatal_callers; /**< NULL before and after the run */
-    arrivals_t arrivals[2];       /**< of plain requests, and of streams */
+    arrivals_t arrivals[2];              /**< for plain requests and for streams */
     bool failed;
-    GString *schedule; /**< what was done, a line each */
+    GString *schedule; /**< log of all faults and changes, one line each */
     tc_time_t started_at;
 } world_t;
 
-/** Ports behind world_t.port. */
+/** Port offsets from world_t.port. */
 enum { PORT_FRONT, PORT_READY, PORT_CONTROL, PORT_DIRECTORY, PORT_INNER = 10 };
 
-/** Make the fakes and the boxes, whose programs come up by and by. @param bin, shim borrowed */
+/** Creates the fakes and starts the programs of the boxes, without waiting for them. @param bin, shim not copied: must
+ *  outlive the world */
 world_t *world_create(loop_t *loop, guint32 seed, const char *bin, const char *shim);
-/** End all processes that the world started; before world_destroy. */
+/** Kills all processes that the world started. To be called before world_destroy(). */
 void world_end_processes(world_t *world);
-/** End all fakes. Files stay. */
+/** Stops all fakes and frees the world. Files are kept. */
 void world_destroy(world_t *world);
 
-/** Start and wake what is due, notice what ended by itself. */
+/** Starts, resumes and restarts what is due, and fails the run when a process has exited unasked. */
 void world_tick(world_t *world);
-/** Send a signal, when it runs. */
+/** Sends a signal to the process if it runs. */
 void process_signal(const process_t *process, int number);
-/** Suspend the machine of a box for a while. */
+/** Suspends the machine of a box for @p span ms. */
 void box_suspend(world_t *world, box_t *box, tc_time_t span);
-/** End it and start it again after @p pause. */
+/** Ends the process with the signal @p number and restarts it after @p pause ms. No effect when it is not running. */
 void process_restart(world_t *world, box_t *box, process_t *process, int number, tc_time_t pause);
 
-/** "IP:port" of a box. */
+/** Writes the address "IP:port" of a box. @param port offset, one of PORT_* */
 void world_addr(const world_t *world, int box, int port, char to[32]);
-/** The record of a try, made when first asked for. */
+/** Returns the record of an attempt; creates it on the first call. */
 attempt_t *world_attempt(world_t *world, const char *id);
-/** The box that a try was sent to, from 0 on; -1: unknown, as of what is no caller's request. */
+/** Index of the box that an attempt was sent to; -1: unknown, such as for requests that are not a client's. */
 int world_attempt_box(world_t *world, const char *id);
-/** Whether what the box's entry heard since then may be lost, or heard late: it stood still, was suspended or started
- *  again. */
+/** Whether the box's entry program may have lost, or received late, what was sent to it since @p since: it was paused,
+ *  suspended or restarted. */
 bool box_was_disrupted(const world_t *world, int box, tc_time_t since);
-/** The box hears something that it is to hold from now on. @param told when it first heard of it since it was harmed
- *  last; 0: never */
+/** Notes that the box receives information that it must act on from now on. @param received_at when it first received
+ * it since it was last disrupted; 0: never */
 void box_note_delivery(const world_t *world, int box, tc_time_t *received_at);
-/** Whether a worker's answer reaches the box: a reset may take it along. */
+/** Whether a worker's answer is certain to reach the box: a reset may discard it. */
 bool answer_is_delivered(const lab_reply_t *answer);
-/** The record of a stream, made when first asked for with the number of its tokens; NULL when there is none. */
+/** Returns the record of a stream. Creates it when there is none and @p tokens is above 0, else returns NULL. */
 record_t *world_stream(world_t *world, const char *name, unsigned tokens);
-/** A promise is broken: say so and remember. */
-void world_fail(world_t *world, const char *promise, const char *what);
-/** Note what is done. */
+/** Reports that a guarantee is violated and marks the run as failed. */
+void world_fail(world_t *world, const char *guarantee, const char *what);
+/** Adds a line to the schedule. */
 void world_log(world_t *world, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/** A number from [0, 1), by lot. */
+/** Random number in [0, 1). */
 double world_random(world_t *world);
-/** One of 0 to @p n - 1, by lot. */
+/** Random integer in [0, n). */
 int world_pick(world_t *world, int n);
 
 #endif
