--- a/tests/platform/soak/fatal.c
+++ b/tests/platform/soak/fatal.c
@@ -133,7 +133,7 @@
         return;
     const tc_time_t known_at = MAX(fatal->third_end_at, f->faults_ended_at) + AGREEMENT_MS;
     if (tc_time_now() >= known_at && ++fatal->late > LATE_MAX)
-        world_fail(f->world, "a request that crashed three workers is not sent to another", fatal->name);
+        world_fail(f->world, "a request that crashed three workers is sent to no other", fatal->name);
 }
 
 void fatal_started(struct fatal *fatal)
