--- a/tests/fault/test_baselines.c
+++ b/tests/fault/test_baselines.c
@@ -60,9 +60,9 @@
     halt_at(NOWHERE);
     g_assert_true(client_wait_tokens(&c, 1, 20000));
     g_assert_true(cluster_wait_until(one_runs, NULL, 5000));
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
+    g_assert_false(c.wrong || c.duplicated);
     g_assert_true(client_wait_idle(cluster, 5000));
 }
 
--- a/tests/fault/test_callers.c
+++ b/tests/fault/test_callers.c
@@ -162,7 +162,7 @@
     client_init(&c, "after-half-sent", 500, 20);
     client_start(&c, cluster, "entry-1");
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
 }
 
 static void test_entries(void)
@@ -204,10 +204,10 @@
     client_init(&other, "shared-id", 600, 200); /* another prompt */
     client_start(&other, cluster, "entry-2");
     client_join(&other);
-    g_assert_false(other.whole);
+    g_assert_false(other.complete);
     g_assert_cmpuint(atomic_load(&other.got), ==, 0);
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
 }
 
 int main(int argc, char **argv)
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -162,7 +162,7 @@
     client_init(&c, "after-frozen-leader", 500, 20);
     client_start(&c, cluster, "entry-1");
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
 }
 
 typedef struct {
@@ -288,7 +288,7 @@
     g_assert_cmpstr(refused.error, ==, "not_run");
     g_assert_cmpint(client_count(cluster, "refused", "runs"), ==, 0);
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
     const json_int_t none = 0;
     for (int i = 1; i <= 3; i++) {
         char name[32];
--- a/tests/fault/test_orders.c
+++ b/tests/fault/test_orders.c
@@ -64,8 +64,8 @@
 {
     for (int i = 0; i < STREAMS; i++) {
         client_join(&clients[i]);
-        if (!clients[i].whole || clients[i].wrong || clients[i].doubled)
-            g_error("%s: whole %d wrong %d error %s", clients[i].id, clients[i].whole, clients[i].wrong,
+        if (!clients[i].complete || clients[i].wrong || clients[i].duplicated)
+            g_error("%s: whole %d wrong %d error %s", clients[i].id, clients[i].complete, clients[i].wrong,
                     clients[i].error);
     }
 }
@@ -86,7 +86,7 @@
     client_init(&after, "after-change", 500, 20);
     client_start(&after, cluster, "entry-1");
     client_join(&after);
-    g_assert_true(after.whole && !after.wrong);
+    g_assert_true(after.complete && !after.wrong);
 }
 
 /** The leader freezes while the engines drain; the next one orders; the old one wakes. One engine checks the fence,
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -26,9 +26,9 @@
 
 static void assert_whole(const client_t *c)
 {
-    if (!c->whole || c->wrong || c->doubled)
-        g_error("%s: whole %d wrong %d doubled %d got %u status %d error %s", c->id, c->whole, c->wrong, c->doubled,
-                atomic_load(&c->got), c->status, c->error);
+    if (!c->complete || c->wrong || c->duplicated)
+        g_error("%s: whole %d wrong %d doubled %d got %u status %d error %s", c->id, c->complete, c->wrong,
+                c->duplicated, atomic_load(&c->got), c->status, c->error);
 }
 
 /** An entry that does not schedule the cell. */
@@ -50,7 +50,7 @@
     client_start(&c, cluster, "entry-1");
     if (!cluster_wait_until(engine_busy, NULL, 5000))
         g_error("no engine took it: status %d error %s", c.status, c.error);
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
     g_assert_true(client_wait_idle(cluster, 2500)); /* well before the prefill would have ended by itself */
@@ -63,7 +63,7 @@
     client_init(&c, "leave-decode", 1000, 4000); /* a minute of decode */
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 5, 10000));
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
     g_assert_true(client_wait_idle(cluster, 5000));
@@ -117,7 +117,7 @@
     char *const engine = busiest("decode");
     cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     cluster_inject_fault(cluster, engine, "revive", 0);
@@ -166,7 +166,7 @@
     g_assert_true(client_wait_tokens(&c, 20, 10000));
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     client_t rest;
     client_init(&rest, c.id, 1000, 400);
     rest.resend = true;
@@ -262,7 +262,7 @@
     const unsigned got = atomic_load(&c.got);
     cluster_signal(cluster, entry, SIGCONT);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     g_assert_cmpuint(atomic_load(&c.got), ==, got); /* not one token more */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
@@ -419,9 +419,9 @@
         if (!client_wait_tokens(&c, atomic_load(&c.got) + 2, 10000))
             g_error("byte %u: got %u error %s", byte, atomic_load(&c.got), c.error);
     }
-    g_assert_false(c.wrong || c.doubled);
+    g_assert_false(c.wrong || c.duplicated);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     g_free(engine);
     wire_plain();
@@ -476,8 +476,8 @@
     wire_decode(engine, "halt", 20, 10);
     cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
-    g_assert_false(c.whole);
+    g_assert_false(c.wrong || c.duplicated);
+    g_assert_false(c.complete);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
     cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
@@ -516,7 +516,7 @@
     cluster_signal(cluster, entry, SIGKILL);
     cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
+    g_assert_false(c.wrong || c.duplicated);
     if (differs)
         wire_decode(engine, "vary", 15, 0);
     client_init(rest, id, 500, 300);
@@ -546,8 +546,8 @@
 {
     client_t rest;
     come_again_after_both_died("resend-other", &rest, true);
-    g_assert_false(rest.wrong || rest.doubled);
-    g_assert_false(rest.whole);
+    g_assert_false(rest.wrong || rest.duplicated);
+    g_assert_false(rest.complete);
     g_assert_cmpstr(rest.error, ==, "outcome_unknown");
 }
 
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -33,7 +33,7 @@
         return true;
     }
     if (strcmp(event->data, "[DONE]") == 0) {
-        c->whole = true;
+        c->complete = true;
         return true;
     }
     json_t *const body = json_loads(event->data, 0, NULL);
@@ -41,7 +41,7 @@
         json_string_value(json_object_get(json_array_get(json_object_get(body, "choices"), 0), "text"));
     const unsigned token = (unsigned)strtoul(event->id, NULL, 10);
     const unsigned got = atomic_load(&c->got);
-    c->doubled = c->doubled || token <= got;
+    c->duplicated = c->duplicated || token <= got;
     c->wrong = c->wrong || token <= got || !stub_text_matches(text, r->hash, got, token);
     g_strlcpy(c->event_id, event->id, sizeof(c->event_id));
     atomic_store(&c->got, token);
@@ -52,13 +52,13 @@
 static bool on_data(void *arg, const char *data, size_t size)
 {
     stream_reader_t *const r = arg;
-    return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->leave);
+    return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->disconnect);
 }
 
 static bool on_idle(void *arg)
 {
     const stream_reader_t *const r = arg;
-    return !atomic_load(&r->client->leave);
+    return !atomic_load(&r->client->disconnect);
 }
 
 static char *make_prompt(const client_t *c)
@@ -109,7 +109,7 @@
     if (rc == TC_E_REFUSED)
         copy_error_type(c->error, result.body ? result.body : "", result.body_size);
     const unsigned length = stub_answer_length(reading.hash, c->max_tokens);
-    c->wrong = c->wrong || (c->whole && atomic_load(&c->got) != length);
+    c->wrong = c->wrong || (c->complete && atomic_load(&c->got) != length);
     c->status = result.status;
     free(result.body);
     g_free(body);
--- a/tests/harness/client.h
+++ b/tests/harness/client.h
@@ -19,14 +19,14 @@
     char event_id[48];   /* id of the last event received; when set before the start, sent instead of last_event */
     /* results */
     pthread_t thread;
-    atomic_uint got;   /* last token received; starts at last_event */
-    atomic_bool leave; /* set to make the client disconnect */
+    atomic_uint got;        /* last token received; starts at last_event */
+    atomic_bool disconnect; /* set to make the client disconnect */
     atomic_bool ended;
-    bool whole;     /* [DONE] was received */
-    bool wrong;     /* the text or the length differs from the expected answer */
-    bool doubled;   /* an event was received twice */
-    char error[32]; /* error.type; "": no error */
-    int status;     /* HTTP status; 0: no answer */
+    bool complete;   /* [DONE] was received */
+    bool wrong;      /* the text or the length differs from the expected answer */
+    bool duplicated; /* an event was received twice */
+    char error[32];  /* error.type; "": no error */
+    int status;      /* HTTP status; 0: no answer */
 } client_t;
 
 /** Initialises a request. The prompt is derived from @p id, so that prompts of different ids differ. */
