--- a/tests/harness/cluster.c
+++ b/tests/harness/cluster.c
@@ -120,8 +120,7 @@
     write_settings(c, file, settings, patch);
 }
 
-/** Adds an entry box beyond those of the example, for benchmarks: the settings of entry-1 with another name and ports.
- */
+/** Adds an entry box beyond those of the example, for benchmarks: entry-1 with another name and ports. */
 static void prepare_extra_entry(cluster_t *c, const cluster_options_t *o, unsigned number)
 {
     enum { EXTRA_HTTP = 10000, EXTRA_PEER = 11000, EXTRA_THREADS = 8 };
--- a/tests/harness/lab.c
+++ b/tests/harness/lab.c
@@ -36,7 +36,7 @@
     loop_watch_t listener; /* fd is -1 while the back end is down */
     lab_script_t script;
     void *arg;
-    unsigned requests, left;
+    unsigned requests, abandoned;
     bool early, frozen;
     struct cds_list_head conns;
 };
@@ -190,7 +190,7 @@
     if (n < 0 && errno == EAGAIN)
         return;
     if (n <= 0) {
-        c->backend->left += c->hanging;
+        c->backend->abandoned += c->hanging;
         conn_end(c, false);
         return;
     }
@@ -340,7 +340,7 @@
 
 unsigned lab_backend_abandoned(const lab_backend_t *b)
 {
-    return b->left;
+    return b->abandoned;
 }
 
 /* ===== Calls ===== */
--- a/tests/platform/soak/engines.c
+++ b/tests/platform/soak/engines.c
@@ -62,8 +62,7 @@
     PIECE_DELAY_MAX_MS = 25 /* between two pieces */
 };
 
-/** Formats an event in one of the ways that engines use: its id before or after its text, or after a line of a version.
- */
+/** Formats an event in one of several valid ways: its id before or after its text, or after another field. */
 static GString *write_event(world_t *w, const char *text, unsigned id, const char *nl)
 {
     GString *const out = g_string_new(NULL);
--- a/tests/platform/soak/notices.h
+++ b/tests/platform/soak/notices.h
@@ -24,8 +24,7 @@
 
 /** Checks that the request @p id was allowed to reach the worker. */
 void notices_arrived(struct worker *worker, const char *id);
-/** Returns the rejection that asks the sending box to pause, or a reply without bytes when the worker accepts requests.
- */
+/** Returns the rejection that asks the box to pause, or a reply without bytes when the worker accepts requests. */
 lab_reply_t notices_refuse(struct worker *worker, const char *id);
 /** Header line for the worker's answers, or "". */
 const char *notices_header(const struct worker *worker);
--- a/tests/platform/soak/soak.c
+++ b/tests/platform/soak/soak.c
@@ -34,13 +34,12 @@
     FREEZE_MAX_MS = 1500,
     SUSPEND_MIN_MS = 300,
     SUSPEND_MAX_MS = 3000,
-    BLACKHOLE_BYTES_MAX = 600, /* forwarded before a connection turns into a black hole: ends within a stream */
+    BLACKHOLE_BYTES_MAX = 600, /* before a connection becomes a black hole: less than a stream has */
     WIPE_EVERY_MS = 12000,     /* a box with a new disk must be a member again before the next disk is lost */
     TOKENS_MIN = 5,            /* of a stream */
     TOKENS_MAX = 30,
-    ABORT_BYTES_MAX =
-        800,          /* received before a client aborts; an event has 40 to 150 bytes, an answer up to 30 events */
-    REQUESTS_MAX = 4, /* of one client for one stream */
+    ABORT_BYTES_MAX = 800,     /* before a client aborts; an event has 40 to 150, an answer up to 30 events */
+    REQUESTS_MAX = 4,          /* of one client for one stream */
     MEMORY_KB_MAX = 44 * 1024, /* per process, see check_memory() */
     SETTLE_MS = 20000,         /* from the last fault to full recovery */
     START_MS = 15000           /* from the start to the first 20 requests served in a row */
@@ -310,7 +309,7 @@
     return &w->worker[any ? world_pick(w, WORLD_WORKERS) : WORLD_DECODE + world_pick(w, WORLD_WORKERS - WORLD_DECODE)];
 }
 
-/** Chooses a worker to get a limit: any plain worker or the first decode engine; streams still have the other one. */
+/** Chooses a worker to get a limit: a plain worker or one decode engine, so that streams can use the other one. */
 static struct worker *pick_limited(world_t *w)
 {
     const int i = world_pick(w, WORLD_PREFILL + 1);
--- a/tests/platform/soak/world.c
+++ b/tests/platform/soak/world.c
@@ -207,8 +207,7 @@
 
 /* ===== Start and stop ===== */
 
-/** Creates a proxy for connections of other boxes. It listens at the box's address, where the programs do not listen.
- */
+/** Creates a proxy for connections of other boxes, at the box's address, where its programs do not listen. */
 static proxy_t *create_proxy(const world_t *w, int i, int port)
 {
     char at[32], to[32];
--- a/tests/platform/soak/world.h
+++ b/tests/platform/soak/world.h
@@ -83,15 +83,13 @@
         unsigned restarts;
         double limit;            /**< requests/s from all boxes together, as its answers say; 0: no limit */
         tc_time_t limit_sent_at; /**< its first answer with the limit; 0: none yet */
-        tc_time_t limit_received_at[WORLD_BOXES]; /**< first answer with the limit to each box since it was disrupted;
-                                                     0: none */
-        tc_time_t reject_until;                   /**< it rejects requests and asks boxes to pause; 0: it does not */
-        GArray *pauses;                           /**< pauses that it asked boxes for, see notices.c */
-        tc_time_t leave_at;                       /**< when it ends, as it announced; 0: it does not leave */
-        tc_time_t list_draining_at;               /**< from when on the list shows it as draining; 0: never */
-        tc_time_t
-            leaving_received_at[WORLD_BOXES]; /**< first announcement to each box since it was disrupted; 0: none */
-        GArray *limited_at;                   /**< tc_time_t: arrivals of requests when boxes had to keep the limit */
+        tc_time_t limit_received_at[WORLD_BOXES];   /**< first answer with it to each box since its last disruption */
+        tc_time_t reject_until;                     /**< it rejects requests and asks boxes to pause; 0: it does not */
+        GArray *pauses;                             /**< pauses that it asked boxes for, see notices.c */
+        tc_time_t leave_at;                         /**< when it ends, as it announced; 0: it does not leave */
+        tc_time_t list_draining_at;                 /**< from when on the list shows it as draining; 0: never */
+        tc_time_t leaving_received_at[WORLD_BOXES]; /**< as limit_received_at, for the announcement */
+        GArray *limited_at;                         /**< tc_time_t: arrivals once all boxes had to keep the limit */
     } worker[WORLD_WORKERS];
     GHashTable *attempts;                /**< id to attempt_t */
     GHashTable *streams;                 /**< name to record_t */
