--- a/tests/platform/soak/world.h
+++ b/tests/platform/soak/world.h
@@ -83,7 +83,7 @@
         unsigned restarts;
         double limit;            /**< requests/s from all boxes together, as its answers say; 0: no limit */
         tc_time_t limit_sent_at; /**< its first answer with the limit; 0: none yet */
-        tc_time_t limit_received_at[WORLD_BOXES];   /**< first answer with it to each box since its last disruption */
+        tc_time_t limit_received_at[WORLD_BOXES];   /**< first one to each box since its disruption; 0: none */
         tc_time_t reject_until;                     /**< it rejects requests and asks boxes to pause; 0: it does not */
         GArray *pauses;                             /**< pauses that it asked boxes for, see notices.c */
         tc_time_t leave_at;                         /**< when it ends, as it announced; 0: it does not leave */
