--- a/bench/bench.c
+++ b/bench/bench.c
@@ -111,13 +111,13 @@
     case KILL_ENTRY:
     case KILL_SCHEDULER: kill_and_restart(c, name ? name : "entry-1"); break;
     case KILL_ENGINE:
-        cluster_fault(c, "d0", "die", 0);
+        cluster_inject_fault(c, "d0", "die", 0);
         g_usleep(ENGINE_DOWN_US);
-        cluster_fault(c, "d0", "revive", 0);
+        cluster_inject_fault(c, "d0", "revive", 0);
         break;
     case STALL_TRANSFER:
-        cluster_fault(c, "d0", "stall", STALL_MS);
-        cluster_fault(c, "d1", "stall", STALL_MS);
+        cluster_inject_fault(c, "d0", "stall", STALL_MS);
+        cluster_inject_fault(c, "d1", "stall", STALL_MS);
         break;
     case FREEZE_ENTRY:
         cluster_signal(c, name, SIGSTOP);
@@ -141,7 +141,7 @@
     const bool shift = strcmp(run->scenario, "load_shift") == 0;
     if (shift)
         snprintf(seconds, sizeof(seconds), "%d", SHIFT_AT_S + SHIFT_AFTER_S);
-    char *const entries = cluster_entries(c);
+    char *const entries = cluster_entry_addrs(c);
     char at[16];
     snprintf(at, sizeof(at), "%d", SHIFT_AT_S);
     const char *const argv[] = {"trackcove-load",
@@ -171,7 +171,7 @@
                                 "--shift-at",
                                 at,
                                 NULL};
-    const GPid pid = cluster_begin(c, argv, "load.out");
+    const GPid pid = cluster_run_async(c, argv, "load.out");
     if (run->fault != NO_FAULT) {
         g_usleep((gulong)((WARMUP_S + opt_seconds * 0.3) * 1e6));
         inject_fault(c, run->fault);
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -172,7 +172,7 @@
     g_usleep(IDLE_US / 2);
     const totals_t idle_end = totals(c, ENTRIES);
     const double idle_elapsed_ms = now_ms() - begin;
-    char *const entries = cluster_entries(c);
+    char *const entries = cluster_entry_addrs(c);
     char text[16];
     snprintf(text, sizeof(text), "%g", load);
     const char *const argv[] = {"trackcove-load",
@@ -216,7 +216,7 @@
 {
     char patch[64];
     snprintf(patch, sizeof(patch), "{\"targets\":{\"max_queue\":%d}}", value);
-    return client_change(c, name, patch) == 200;
+    return client_change_config(c, name, patch) == 200;
 }
 
 /** Time from sending the confirmation until the change is in force on all boxes, ms; -1: the change failed. */
@@ -228,7 +228,7 @@
     if (!submit_change(c, request, 1000 + number))
         return -1;
     for (;;) {
-        json_t *const status = cluster_operate(c, "/v1/status", NULL, NULL, 1000);
+        json_t *const status = cluster_call_leader(c, "/v1/status", NULL, NULL, 1000);
         const bool done = json_integer_value(json_object_get(status, "accepted")) ==
                           json_integer_value(json_object_get(status, "in_force"));
         json_decref(status);
--- a/tests/fault/test_baselines.c
+++ b/tests/fault/test_baselines.c
@@ -59,14 +59,14 @@
     client_init(&c, "silent", 500, 8000); /* at least a minute of decode */
     halt_decode_engines_at(1);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(a_stream_is_halted, NULL, 10000));
+    g_assert_true(cluster_wait_until(a_stream_is_halted, NULL, 10000));
     halt_decode_engines_at(UNREACHED_TOKEN);
     g_assert_true(client_wait_tokens(&c, 1, 20000));
-    g_assert_true(cluster_until(one_request_is_live, NULL, 5000));
-    atomic_store(&c.leave, true);
+    g_assert_true(cluster_wait_until(one_request_is_live, NULL, 5000));
+    atomic_store(&c.disconnect, true);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_false(c.wrong || c.duplicated);
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 int main(int argc, char **argv)
--- a/tests/fault/test_control.c
+++ b/tests/fault/test_control.c
@@ -17,7 +17,7 @@
 /** Version of the configuration that the leader has accepted. */
 static json_int_t accepted_version(void)
 {
-    json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 10000);
+    json_t *const status = cluster_call_leader(cluster, "/v1/status", NULL, NULL, 10000);
     const json_int_t version = json_integer_value(json_object_get(status, "accepted"));
     json_decref(status);
     return version;
@@ -36,7 +36,7 @@
 {
     char patch[64];
     snprintf(patch, sizeof(patch), "{\"targets\":{\"max_queue\":%d}}", value);
-    g_assert_cmpint(client_change(cluster, request, patch), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, request, patch), ==, 200);
 }
 
 static void test_change_comes_into_force(void)
@@ -102,10 +102,10 @@
 static void test_bad_settings_refused(void)
 {
     const json_int_t before = accepted_version();
-    g_assert_cmpint(client_change(cluster, "bad-range", "{\"targets\":{\"ttft_ms\":0}}"), ==, 400);
-    g_assert_cmpint(client_change(cluster, "bad-name", "{\"targets\":{\"speed\":1}}"), ==, 400);
-    g_assert_cmpint(client_change(cluster, "last-of-role",
-                                  "{\"engines\":{\"d0\":null,\"d1\":null,\"d2\":null,\"d3\":null,\"d4\":null}}"),
+    g_assert_cmpint(client_change_config(cluster, "bad-range", "{\"targets\":{\"ttft_ms\":0}}"), ==, 400);
+    g_assert_cmpint(client_change_config(cluster, "bad-name", "{\"targets\":{\"speed\":1}}"), ==, 400);
+    g_assert_cmpint(client_change_config(cluster, "last-of-role",
+                                         "{\"engines\":{\"d0\":null,\"d1\":null,\"d2\":null,\"d3\":null,\"d4\":null}}"),
                     ==, 400);
     g_assert_cmpint(accepted_version(), ==, before);
 }
@@ -128,7 +128,7 @@
 {
     const json_int_t before = accepted_version();
     int status = 0;
-    json_decref(cluster_operate(
+    json_decref(cluster_call_leader(
         cluster, "/v1/plan",
         json_pack("{s:s,s:{s:{s:i}}}", "request_id", "killed", "patch", "targets", "max_queue", 300), &status, 10000));
     g_assert_cmpint(status, ==, 200);
@@ -139,9 +139,9 @@
     /* The operator repeats the request with the same request id until a leader answers. */
     status = 0;
     for (int i = 0; i < 50 && status != 200; i++)
-        json_decref(cluster_operate(cluster, "/v1/confirm",
-                                    json_pack("{s:s,s:s}", "request_id", "killed-confirm", "plan", "plan-killed"),
-                                    &status, 10000));
+        json_decref(cluster_call_leader(cluster, "/v1/confirm",
+                                        json_pack("{s:s,s:s}", "request_id", "killed-confirm", "plan", "plan-killed"),
+                                        &status, 10000));
     g_assert_cmpint(status, ==, 200);
     g_assert_cmpint(accepted_version(), ==, before + 1); /* applied once, whichever leader accepted it */
     cluster_spawn(cluster, confirm.leader);
@@ -165,7 +165,7 @@
     client_init(&c, "after-frozen-leader", 500, 20);
     client_start(&c, cluster, "entry-1");
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
 }
 
 typedef struct {
@@ -189,7 +189,7 @@
  *  @return whether it votes and the list has exactly three members: a fourth one is an identity from before a repair */
 static bool find_control(const char *box, char id[32])
 {
-    json_t *const status = cluster_operate(cluster, "/v1/status", NULL, NULL, 1000);
+    json_t *const status = cluster_call_leader(cluster, "/v1/status", NULL, NULL, 1000);
     const json_t *const list = json_object_get(status, "control");
     bool voter = false;
     size_t i;
@@ -230,16 +230,16 @@
     empty_disk("control-2");
     set_max_queue("during-loss", 501);
     cluster_spawn(cluster, "control-2");
-    g_assert_true(cluster_until(is_repaired, &second, 20000));
+    g_assert_true(cluster_wait_until(is_repaired, &second, 20000));
     cluster_signal(cluster, "control-1", SIGKILL); /* the box that founded the cluster, together with its disk */
     empty_disk("control-1");
     set_max_queue("after-second", 502);
     expected_queue_t wanted = {.box = "control-2", .queue = 502};
-    g_assert_true(cluster_until(has_max_queue, &wanted, 10000));
+    g_assert_true(cluster_wait_until(has_max_queue, &wanted, 10000));
     cluster_spawn(cluster, "control-1"); /* it is allowed to found a cluster, but must not found a second one here */
-    g_assert_true(cluster_until(is_repaired, &first, 20000));
+    g_assert_true(cluster_wait_until(is_repaired, &first, 20000));
     wanted.box = "control-1";
-    g_assert_true(cluster_until(has_max_queue, &wanted, 10000));
+    g_assert_true(cluster_wait_until(has_max_queue, &wanted, 10000));
     g_assert_true(client_wait_in_force(cluster, 20000));
 }
 
@@ -259,7 +259,7 @@
     g_assert_cmpint(accepted_version(), ==, before + CHANGES);
     cluster_spawn(cluster, box);
     expected_queue_t wanted = {.box = box, .queue = 1000 + CHANGES - 1};
-    g_assert_true(cluster_until(has_max_queue, &wanted, 20000));
+    g_assert_true(cluster_wait_until(has_max_queue, &wanted, 20000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     const char *const argv[] = {"trackcove", "data", "check", "data/control-1", NULL};
     g_assert_cmpint(cluster_run(cluster, argv, NULL), ==, 0);
@@ -284,7 +284,7 @@
         snprintf(name, sizeof(name), "control-%d", i);
         cluster_signal(cluster, name, SIGKILL);
     }
-    g_assert_true(cluster_until(not_ready, (void *)"entry-1", 15000));
+    g_assert_true(cluster_wait_until(not_ready, (void *)"entry-1", 15000));
     client_t refused;
     client_init(&refused, "refused", 500, 20);
     client_start(&refused, cluster, "entry-1");
@@ -292,7 +292,7 @@
     g_assert_cmpstr(refused.error, ==, "not_run");
     g_assert_cmpint(client_count(cluster, "refused", "runs"), ==, 0);
     client_join(&c);
-    g_assert_true(c.whole && !c.wrong && !c.doubled);
+    g_assert_true(c.complete && !c.wrong && !c.duplicated);
     const json_int_t none = 0;
     for (int i = 1; i <= 3; i++) {
         char name[32];
--- a/tests/fault/test_leaving.c
+++ b/tests/fault/test_leaving.c
@@ -13,7 +13,7 @@
 
 static GPid start_load(const char *seconds, const char *output)
 {
-    char *const entries = cluster_entries(cluster);
+    char *const entries = cluster_entry_addrs(cluster);
     const char *const load[] = {"trackcove-load",
                                 "--entries",
                                 entries,
@@ -31,7 +31,7 @@
                                 "0",
                                 "--strict",
                                 NULL};
-    const GPid pid = cluster_begin(cluster, load, output);
+    const GPid pid = cluster_run_async(cluster, load, output);
     g_free(entries);
     return pid;
 }
@@ -69,7 +69,7 @@
 {
     const GPid load = start_load("8", "sigterm.out");
     served_t served = {.entry = "entry-2"};
-    g_assert_true(cluster_until(has_served, &served, 15000));
+    g_assert_true(cluster_wait_until(has_served, &served, 15000));
     cluster_signal(cluster, "entry-2", SIGTERM);
     g_assert_cmpint(cluster_wait_exit(cluster, "entry-2", 60000), ==, 0);
     assert_clean(load, "sigterm.out");
@@ -83,7 +83,7 @@
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const GPid load = start_load("8", "drain.out");
     served_t served = {.entry = scheduler};
-    g_assert_true(cluster_until(has_served, &served, 15000));
+    g_assert_true(cluster_wait_until(has_served, &served, 15000));
     const char *const argv[] = {"trackcove",
                                 "drain",
                                 scheduler,
@@ -103,9 +103,9 @@
     char *const next = cluster_scheduler(cluster, 10000);
     g_assert_cmpstr(next, !=, scheduler);
     int status = 0;
-    json_decref(cluster_operate(cluster, "/v1/drain",
-                                json_pack("{s:s,s:s,s:b}", "request_id", "undrain", "box", scheduler, "on", 0), &status,
-                                10000));
+    json_decref(cluster_call_leader(cluster, "/v1/drain",
+                                    json_pack("{s:s,s:s,s:b}", "request_id", "undrain", "box", scheduler, "on", 0),
+                                    &status, 10000));
     g_assert_cmpint(status, ==, 200);
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
@@ -133,15 +133,15 @@
     const long long before = requests_started("d0");
     while (requests_started("d0") == before)
         g_usleep(20000);
-    cluster_fault(cluster, "d0", "leave", 0);
-    cluster_fault(cluster, "p0", "leave", 0);
+    cluster_inject_fault(cluster, "d0", "leave", 0);
+    cluster_inject_fault(cluster, "p0", "leave", 0);
     g_usleep(NO_NEW_WORK_AFTER_US); /* the guaranteed limit, not an estimate: no new work starts after it */
     const long long d0 = requests_started("d0"), p0 = requests_started("p0");
     assert_clean(load, "engine.out");
     g_assert_cmpint(requests_started("d0"), ==, d0);
     g_assert_cmpint(requests_started("p0"), ==, p0);
-    cluster_fault(cluster, "d0", "stay", 0);
-    cluster_fault(cluster, "p0", "stay", 0);
+    cluster_inject_fault(cluster, "d0", "stay", 0);
+    cluster_inject_fault(cluster, "p0", "stay", 0);
 }
 
 int main(int argc, char **argv)
--- a/tests/fault/test_orders.c
+++ b/tests/fault/test_orders.c
@@ -65,8 +65,8 @@
 {
     for (int i = 0; i < STREAMS; i++) {
         client_join(&clients[i]);
-        if (!clients[i].whole || clients[i].wrong || clients[i].doubled)
-            g_error("%s: complete %d, wrong tokens %d, error %s", clients[i].id, clients[i].whole, clients[i].wrong,
+        if (!clients[i].complete || clients[i].wrong || clients[i].duplicated)
+            g_error("%s: complete %d, wrong tokens %d, error %s", clients[i].id, clients[i].complete, clients[i].wrong,
                     clients[i].error);
     }
 }
@@ -76,17 +76,18 @@
 {
     client_t clients[STREAMS];
     start_streams(clients, "drained");
-    g_assert_true(cluster_until(is_busy, (void *)"d0", 10000));
-    g_assert_cmpint(client_change(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==, 200);
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d0", 10000));
+    g_assert_cmpint(client_change_config(cluster, "d0-prefill", "{\"engines\":{\"d0\":{\"role\":\"prefill\"}}}"), ==,
+                    200);
     join_streams(clients);
     expected_role_t wanted = {.engine = "d0", .role = "prefill"};
-    g_assert_true(cluster_until(has_role, &wanted, 20000));
+    g_assert_true(cluster_wait_until(has_role, &wanted, 20000));
     g_assert_cmpint(count_of("d0", "obeyed"), ==, 1);
     client_t after;
     client_init(&after, "after-change", 500, 20);
     client_start(&after, cluster, "entry-1");
     client_join(&after);
-    g_assert_true(after.whole && !after.wrong);
+    g_assert_true(after.complete && !after.wrong);
 }
 
 /** The leader freezes while the engines drain, the next leader sends the orders, and the first one resumes. One engine
@@ -95,10 +96,10 @@
 {
     client_t clients[STREAMS];
     start_streams(clients, "frozen");
-    g_assert_true(cluster_until(is_busy, (void *)"d1", 10000));
-    g_assert_true(cluster_until(is_busy, (void *)"d2", 10000));
-    g_assert_cmpint(client_change(cluster, "two-engines",
-                                  "{\"engines\":{\"d1\":{\"role\":\"prefill\"},\"d2\":{\"role\":\"prefill\"}}}"),
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d1", 10000));
+    g_assert_true(cluster_wait_until(is_busy, (void *)"d2", 10000));
+    g_assert_cmpint(client_change_config(cluster, "two-engines",
+                                         "{\"engines\":{\"d1\":{\"role\":\"prefill\"},\"d2\":{\"role\":\"prefill\"}}}"),
                     ==, 200);
     const char *const old = cluster_leader(cluster, 10000);
     cluster_signal(cluster, old, SIGSTOP);
@@ -106,15 +107,15 @@
     join_streams(clients);
     expected_role_t fenced_engine = {.engine = "d2", .role = "prefill"},
                     unfenced_engine = {.engine = "d1", .role = "prefill"};
-    g_assert_true(cluster_until(has_role, &fenced_engine, 30000));
-    g_assert_true(cluster_until(has_role, &unfenced_engine, 30000));
-    g_assert_cmpint(
-        client_change(cluster, "back", "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"), ==,
-        200);
+    g_assert_true(cluster_wait_until(has_role, &fenced_engine, 30000));
+    g_assert_true(cluster_wait_until(has_role, &unfenced_engine, 30000));
+    g_assert_cmpint(client_change_config(cluster, "back",
+                                         "{\"engines\":{\"d1\":{\"role\":\"decode\"},\"d2\":{\"role\":\"decode\"}}}"),
+                    ==, 200);
     cluster_signal(cluster, old, SIGCONT);
     fenced_engine.role = unfenced_engine.role = "decode";
-    g_assert_true(cluster_until(has_role, &fenced_engine, 30000));
-    g_assert_true(cluster_until(has_role, &unfenced_engine, 30000));
+    g_assert_true(cluster_wait_until(has_role, &fenced_engine, 30000));
+    g_assert_true(cluster_wait_until(has_role, &unfenced_engine, 30000));
     g_assert_true(client_wait_in_force(cluster, 20000));
     for (int i = 0; i < 2; i++) {
         const char *const engine = i ? "d1" : "d2";
--- a/tests/fault/test_requests.c
+++ b/tests/fault/test_requests.c
@@ -28,9 +28,9 @@
 
 static void assert_whole(const client_t *c)
 {
-    if (!c->whole || c->wrong || c->doubled)
+    if (!c->complete || c->wrong || c->duplicated)
         g_error("%s: complete %d, wrong tokens %d, doubled tokens %d, got %u tokens, status %d, error %s", c->id,
-                c->whole, c->wrong, c->doubled, atomic_load(&c->got), c->status, c->error);
+                c->complete, c->wrong, c->duplicated, atomic_load(&c->got), c->status, c->error);
 }
 
 /** Name of an entry other than the one that schedules the cell. */
@@ -50,12 +50,12 @@
     client_t c;
     client_init(&c, "leave-prefill", 60000, 100); /* 3 s of prefill */
     client_start(&c, cluster, "entry-1");
-    if (!cluster_until(engines_hold_memory, NULL, 5000))
+    if (!cluster_wait_until(engines_hold_memory, NULL, 5000))
         g_error("no engine started the request: status %d, error %s", c.status, c.error);
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
-    g_assert_true(client_wait_free(cluster, 2500)); /* well before the end of an uncancelled prefill */
+    g_assert_true(client_wait_idle(cluster, 2500)); /* well before the end of an uncancelled prefill */
     g_test_message("engines hold nothing after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
@@ -65,10 +65,10 @@
     client_init(&c, "leave-decode", 1000, 4000); /* 60 s of decode */
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 5, 10000));
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     const gint64 begin = g_get_monotonic_time();
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
     g_test_message("engines hold nothing after %lld ms", (long long)(g_get_monotonic_time() - begin) / 1000);
 }
 
@@ -100,13 +100,13 @@
     g_assert_true(client_wait_tokens(&c, 10, 10000));
     char *const engine = busiest_engine("decode");
     g_assert_nonnull(engine);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c); /* two engines generated it: no token is doubled or missing */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_engine_dies_once(void)
@@ -117,12 +117,12 @@
     client_start(&c, cluster, "entry-1");
     g_assert_true(client_wait_tokens(&c, 10, 10000));
     char *const engine = busiest_engine("decode");
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     client_t again; /* the caller repeats the request: it is not run again */
     client_init(&again, c.id, 1000, 300);
@@ -137,7 +137,7 @@
 {
     static const char *const engines[] = {"d0", "d1", "d2", "d3"};
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++) /* one decode engine is left that does not stall */
-        cluster_fault(cluster, engines[i], "stall", 6000);
+        cluster_inject_fault(cluster, engines[i], "stall", 6000);
     const long long before = client_metric(cluster, "entry-1", "trackcove_request_replans_total");
     const long long wasted = cluster_stat(cluster, "wasted");
     client_t clients[4];
@@ -154,8 +154,8 @@
     g_assert_cmpint(client_metric(cluster, "entry-1", "trackcove_request_replans_total"), >, before);
     g_test_message("prefill tokens wasted: %lld", cluster_stat(cluster, "wasted") - wasted);
     for (size_t i = 0; i < G_N_ELEMENTS(engines); i++)
-        cluster_fault(cluster, engines[i], "stall", 0);
-    g_assert_true(client_wait_free(cluster, 5000));
+        cluster_inject_fault(cluster, engines[i], "stall", 0);
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_entry_dies_and_caller_resumes(void)
@@ -168,7 +168,7 @@
     g_assert_true(client_wait_tokens(&c, 20, 10000));
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     client_t rest;
     client_init(&rest, c.id, 1000, 400);
     rest.resend = true;
@@ -180,7 +180,7 @@
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_entry_dies_and_caller_does_not_resume(void)
@@ -194,7 +194,7 @@
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&c);
     /* The lease of the entry expires, and the scheduler cancels the request. */
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
@@ -219,7 +219,7 @@
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 static void test_entry_and_scheduler_die(void)
@@ -237,7 +237,7 @@
     cluster_signal(cluster, entry, SIGKILL);
     client_join(&a);
     client_join(&b);
-    g_assert_true(client_wait_free(cluster, 15000)); /* the next scheduler cancels requests without an entry */
+    g_assert_true(client_wait_idle(cluster, 15000)); /* the next scheduler cancels requests without an entry */
     cluster_spawn(cluster, scheduler);
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
@@ -265,12 +265,12 @@
     const unsigned got = atomic_load(&c.got);
     cluster_signal(cluster, entry, SIGCONT);
     client_join(&c);
-    g_assert_false(c.whole);
+    g_assert_false(c.complete);
     g_assert_cmpuint(atomic_load(&c.got), ==, got); /* no further token was sent */
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 static void test_scheduler_freezes(void)
@@ -294,14 +294,14 @@
     assert_whole(&after);
     g_free(next);
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 8000));
+    g_assert_true(client_wait_idle(cluster, 8000));
 }
 
 /** A request starts through the entry that also schedules, and that box dies. Repeated while no box schedules, the
  *  request is refused, but not as "not_run". */
 static void test_resend_is_not_reported_not_run(void)
 {
-    g_assert_cmpint(client_change(cluster, "short-target", "{\"targets\":{\"ttft_ms\":400}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "short-target", "{\"targets\":{\"ttft_ms\":400}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     char *const scheduler = cluster_scheduler(cluster, 10000);
     const char *const entry = other_entry(scheduler);
@@ -320,8 +320,8 @@
     cluster_spawn(cluster, scheduler);
     g_assert_true(cluster_wait_ready(cluster, scheduler, 20000));
     g_free(scheduler);
-    g_assert_true(client_wait_free(cluster, 15000));
-    g_assert_cmpint(client_change(cluster, "long-target", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
+    g_assert_true(client_wait_idle(cluster, 15000));
+    g_assert_cmpint(client_change_config(cluster, "long-target", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
 }
 
@@ -377,7 +377,7 @@
 static void clear_stream_faults(void)
 {
     set_decode_stream_faults("", "plain", 0, 0);
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 static void test_events_in_pieces(void)
@@ -420,14 +420,14 @@
     for (unsigned byte = 0; byte < EVENT_BYTES; byte++) {
         json_int_t before = stopped_streams();
         set_stream_fault(engine, "break", byte, 0);
-        g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
+        g_assert_true(cluster_wait_until(more_streams_stopped, &before, 10000));
         if (!client_wait_tokens(&c, atomic_load(&c.got) + 2, 10000))
             g_error("no 2 tokens within 10 s of a break after byte %u: got %u in all, error %s", byte,
                     atomic_load(&c.got), c.error);
     }
-    g_assert_false(c.wrong || c.doubled);
+    g_assert_false(c.wrong || c.duplicated);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 1);
-    atomic_store(&c.leave, true);
+    atomic_store(&c.disconnect, true);
     client_join(&c);
     g_free(engine);
     clear_stream_faults();
@@ -442,7 +442,7 @@
     client_init(&c, "halts", 500, 600);
     set_decode_stream_faults("", "halt", 40, 8);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
+    g_assert_true(cluster_wait_until(more_streams_stopped, &before, 10000));
     set_decode_stream_faults("", "halt", 0, UNREACHED_TOKEN); /* no other stream stops */
     g_assert_true(client_wait_tokens(&c, 8, 10000));
     set_decode_stream_faults("", "go_on", 0, 0);
@@ -461,7 +461,7 @@
     client_init(&c, "halts-first", 500, 600);
     set_decode_stream_faults("", "halt", 40, 1);
     client_start(&c, cluster, "entry-1");
-    g_assert_true(cluster_until(more_streams_stopped, &before, 10000));
+    g_assert_true(cluster_wait_until(more_streams_stopped, &before, 10000));
     set_decode_stream_faults("", "halt", 0, UNREACHED_TOKEN); /* no other stream stops */
     g_assert_true(client_wait_tokens(&c, 1, 10000));
     set_decode_stream_faults("", "go_on", 0, 0);
@@ -481,12 +481,12 @@
     char *const engine = busiest_engine("decode");
     set_decode_stream_faults(engine, "vary", 15, 0);
     set_decode_stream_faults(engine, "halt", 20, 10);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
-    g_assert_false(c.whole);
+    g_assert_false(c.wrong || c.duplicated);
+    g_assert_false(c.complete);
     g_assert_cmpstr(c.error, ==, "outcome_unknown");
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     clear_stream_faults();
 }
@@ -500,11 +500,11 @@
     g_assert_true(client_wait_tokens(&c, 30, 10000));
     char *const engine = busiest_engine("decode");
     set_decode_stream_faults(engine, "break", 20, 10);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
     g_assert_cmpint(client_count(cluster, c.id, "answers"), ==, 2);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
     clear_stream_faults();
 }
@@ -521,9 +521,9 @@
     g_assert_true(client_wait_tokens(&c, 30, 10000));
     char *const engine = busiest_engine("decode");
     cluster_signal(cluster, entry, SIGKILL);
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
-    g_assert_false(c.wrong || c.doubled);
+    g_assert_false(c.wrong || c.duplicated);
     if (differs)
         set_decode_stream_faults(engine, "vary", 15, 0);
     client_init(rest, id, 500, 300);
@@ -532,7 +532,7 @@
     g_strlcpy(rest->event_id, c.event_id, sizeof(rest->event_id));
     client_start(rest, cluster, scheduler);
     client_join(rest);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     cluster_spawn(cluster, entry);
     g_assert_true(cluster_wait_ready(cluster, entry, 20000));
     g_free(engine);
@@ -553,8 +553,8 @@
 {
     client_t rest;
     resend_after_entry_and_engine_died("resend-other", &rest, true);
-    g_assert_false(rest.wrong || rest.doubled);
-    g_assert_false(rest.whole);
+    g_assert_false(rest.wrong || rest.duplicated);
+    g_assert_false(rest.complete);
     g_assert_cmpstr(rest.error, ==, "outcome_unknown");
 }
 
@@ -563,7 +563,7 @@
 {
     enum { TTFT_MS = 5000, LONG_PROMPT = 68000 }; /* 3.4 s of prefill */
     static const char *const prefills[] = {"p0", "p1", "p2", "p3", "p4"};
-    g_assert_cmpint(client_change(cluster, "five-seconds", "{\"targets\":{\"ttft_ms\":5000}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "five-seconds", "{\"targets\":{\"ttft_ms\":5000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
     client_t c;
     client_init(&c, "long-again", LONG_PROMPT, 600);
@@ -574,26 +574,26 @@
     while (g_get_monotonic_time() < due)
         g_assert_true(client_wait_tokens(&c, atomic_load(&c.got) + 1, 10000));
     for (size_t i = 0; i < G_N_ELEMENTS(prefills); i++) { /* empties their caches, so that the prefill is repeated */
-        cluster_fault(cluster, prefills[i], "die", 0);
-        cluster_fault(cluster, prefills[i], "revive", 0);
+        cluster_inject_fault(cluster, prefills[i], "die", 0);
+        cluster_inject_fault(cluster, prefills[i], "revive", 0);
     }
     char *const engine = busiest_engine("decode");
-    cluster_fault(cluster, engine, "die", 0);
+    cluster_inject_fault(cluster, engine, "die", 0);
     client_join(&c);
     assert_whole(&c);
-    cluster_fault(cluster, engine, "revive", 0);
+    cluster_inject_fault(cluster, engine, "revive", 0);
     g_free(engine);
-    g_assert_cmpint(client_change(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "twenty-seconds", "{\"targets\":{\"ttft_ms\":20000}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
-    g_assert_true(client_wait_free(cluster, 5000));
+    g_assert_true(client_wait_idle(cluster, 5000));
 }
 
 /** Under overload requests are refused early, and those refused as "not_run" have not run. */
 static void test_overload(void)
 {
-    g_assert_cmpint(client_change(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
+    g_assert_cmpint(client_change_config(cluster, "usual-target", "{\"targets\":{\"ttft_ms\":1600}}"), ==, 200);
     g_assert_true(client_wait_in_force(cluster, 15000));
-    char *const entries = cluster_entries(cluster);
+    char *const entries = cluster_entry_addrs(cluster);
     const char *const load[] = {"trackcove-load",
                                 "--entries",
                                 entries,
--- a/tests/fault/test_services.c
+++ b/tests/fault/test_services.c
@@ -15,7 +15,7 @@
 {
     static const char *const workers[] = {"air-notify-0", "air-notify-1", "air-notify-2"};
     for (size_t i = 0; i < G_N_ELEMENTS(workers); i++)
-        cluster_fault(cluster, workers[i], kind, ms);
+        cluster_inject_fault(cluster, workers[i], kind, ms);
 }
 
 static int call(const char *entry, const char *id, char type[32])
@@ -103,7 +103,7 @@
     char type[32] = "";
     fault_all("slow", 2000);
     GThread *const thread = g_thread_new("caller", run_caller, &first);
-    g_assert_true(cluster_until(has_run, id, 10000));
+    g_assert_true(cluster_wait_until(has_run, id, 10000));
     const char *const leader = cluster_leader(cluster, 10000);
     cluster_signal(cluster, "entry-2", SIGKILL);
     cluster_signal(cluster, leader, SIGKILL);
@@ -148,14 +148,14 @@
     /* A leader that was stopped still believes for a moment that it leads, and claims are refused until the next leader
      * is elected. Without this wait, the first call of the next test, which must run, was refused once. */
     int tries = 0;
-    g_assert_true(cluster_until(is_claimed_again, &tries, 20000));
+    g_assert_true(cluster_wait_until(is_claimed_again, &tries, 20000));
 }
 
 /** A slow worker is not treated as dead; one that fails is ejected for a while. */
 static void test_ejection(void)
 {
     char type[32];
-    cluster_fault(cluster, "air-notify-0", "die_before", 4000);
+    cluster_inject_fault(cluster, "air-notify-0", "die_before", 4000);
     int unknown = 0;
     for (int i = 0; i < 30; i++) {
         char id[32];
@@ -163,7 +163,7 @@
         unknown += call("entry-3", id, type) != 200;
     }
     g_assert_cmpint(unknown, <=, 2); /* ejected after its first failure */
-    cluster_fault(cluster, "air-notify-0", "die_before", 0);
+    cluster_inject_fault(cluster, "air-notify-0", "die_before", 0);
 }
 
 static bool is_served_again(void *arg)
@@ -182,7 +182,7 @@
 static void test_worker_sheds_calls(void)
 {
     char type[32];
-    cluster_fault(cluster, "air-notify-0", "shed", SHED_MS);
+    cluster_inject_fault(cluster, "air-notify-0", "shed", SHED_MS);
     int refused = 0;
     for (int i = 0; i < 12; i++) {
         char id[32];
@@ -202,7 +202,7 @@
     g_assert_cmpint(shed_by_worker, <=, 3); /* at most one call to each worker */
     fault_all("shed", 0);
     int tries = 0;
-    g_assert_true(cluster_until(is_served_again, &tries, 20000));
+    g_assert_true(cluster_wait_until(is_served_again, &tries, 20000));
 }
 
 int main(int argc, char **argv)
--- a/tests/harness/client.c
+++ b/tests/harness/client.c
@@ -14,9 +14,9 @@
     client_t *client;
     sse_t sse;
     uint64_t hash;
-} sse_reader_t;
+} stream_reader_t;
 
-static void copy_error(char to[32], const char *text, size_t size)
+static void copy_error_type(char to[32], const char *text, size_t size)
 {
     json_t *const body = json_loadb(text, size, 0, NULL);
     const char *const type = json_string_value(json_object_get(json_object_get(body, "error"), "type"));
@@ -26,39 +26,39 @@
 
 static bool on_event(void *arg, const sse_event_t *event)
 {
-    sse_reader_t *const r = arg;
+    stream_reader_t *const r = arg;
     client_t *const c = r->client;
     if (strcmp(event->name, "error") == 0) {
-        copy_error(c->error, event->data, strlen(event->data));
+        copy_error_type(c->error, event->data, strlen(event->data));
         return true;
     }
     if (strcmp(event->data, "[DONE]") == 0) {
-        c->whole = true;
+        c->complete = true;
         return true;
     }
     json_t *const body = json_loads(event->data, 0, NULL);
     const char *const text =
         json_string_value(json_object_get(json_array_get(json_object_get(body, "choices"), 0), "text"));
-    const unsigned place = (unsigned)strtoul(event->id, NULL, 10);
+    const unsigned token = (unsigned)strtoul(event->id, NULL, 10);
     const unsigned got = atomic_load(&c->got);
-    c->doubled = c->doubled || place <= got;
-    c->wrong = c->wrong || place <= got || !stub_text_matches(text, r->hash, got, place);
+    c->duplicated = c->duplicated || token <= got;
+    c->wrong = c->wrong || token <= got || !stub_text_matches(text, r->hash, got, token);
     g_strlcpy(c->event_id, event->id, sizeof(c->event_id));
-    atomic_store(&c->got, place);
+    atomic_store(&c->got, token);
     json_decref(body);
     return true;
 }
 
 static bool on_data(void *arg, const char *data, size_t size)
 {
-    sse_reader_t *const r = arg;
-    return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->leave);
+    stream_reader_t *const r = arg;
+    return sse_feed(&r->sse, data, size) && !atomic_load(&r->client->disconnect);
 }
 
 static bool on_idle(void *arg)
 {
-    const sse_reader_t *const r = arg;
-    return !atomic_load(&r->client->leave);
+    const stream_reader_t *const r = arg;
+    return !atomic_load(&r->client->disconnect);
 }
 
 static char *make_prompt(const client_t *c)
@@ -88,7 +88,7 @@
         headers[n++] = event;
     if (c->once)
         headers[n] = "X-Trackcove-Repeatable: no";
-    sse_reader_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
+    stream_reader_t reading = {.client = c, .hash = stub_prompt_hash(prompt, strlen(prompt))};
     const http_call_t call = {.url = url,
                               .method = "POST",
                               .body = body,
@@ -107,9 +107,9 @@
     const int rc = http_call(&call, &result, &err);
     sse_free(&reading.sse);
     if (rc == TC_E_REFUSED)
-        copy_error(c->error, result.body ? result.body : "", result.body_size);
+        copy_error_type(c->error, result.body ? result.body : "", result.body_size);
     const unsigned length = stub_answer_length(reading.hash, c->max_tokens);
-    c->wrong = c->wrong || (c->whole && atomic_load(&c->got) != length);
+    c->wrong = c->wrong || (c->complete && atomic_load(&c->got) != length);
     c->status = result.status;
     free(result.body);
     g_free(body);
@@ -155,7 +155,7 @@
 bool client_wait_tokens(client_t *c, unsigned tokens, int limit_ms)
 {
     tokens_t t = {.client = c, .tokens = tokens};
-    return cluster_until(has_tokens, &t, limit_ms) && atomic_load(&c->got) >= tokens;
+    return cluster_wait_until(has_tokens, &t, limit_ms) && atomic_load(&c->got) >= tokens;
 }
 
 /* ===== Counts ===== */
@@ -189,9 +189,9 @@
     return cluster_stat(arg, "held_pieces") == 0;
 }
 
-bool client_wait_free(cluster_t *cluster, int limit_ms)
+bool client_wait_idle(cluster_t *cluster, int limit_ms)
 {
-    return cluster_until(is_free, cluster, limit_ms);
+    return cluster_wait_until(is_free, cluster, limit_ms);
 }
 
 /* ===== Services ===== */
@@ -216,7 +216,7 @@
     const int rc = http_call(&call, &result, &err);
     type[0] = '\0';
     if (rc == TC_E_REFUSED)
-        copy_error(type, result.body ? result.body : "", result.body_size);
+        copy_error_type(type, result.body ? result.body : "", result.body_size);
     const int status = result.status;
     free(result.body);
     g_free(url);
@@ -225,11 +225,11 @@
 
 /* ===== Operators ===== */
 
-int client_change(cluster_t *cluster, const char *request, const char *patch)
+int client_change_config(cluster_t *cluster, const char *request, const char *patch)
 {
     char *const plan = g_strdup_printf("%s-plan", request);
     int status = 0;
-    json_t *const planned = cluster_operate(
+    json_t *const planned = cluster_call_leader(
         cluster, "/v1/plan", json_pack("{s:s,s:o}", "request_id", plan, "patch", json_loads(patch, 0, NULL)), &status,
         10000);
     g_free(plan);
@@ -237,16 +237,16 @@
         json_decref(planned);
         return status;
     }
-    json_decref(cluster_operate(cluster, "/v1/confirm",
-                                json_pack("{s:s,s:O}", "request_id", request, "plan", json_object_get(planned, "plan")),
-                                &status, 10000));
+    json_decref(cluster_call_leader(
+        cluster, "/v1/confirm", json_pack("{s:s,s:O}", "request_id", request, "plan", json_object_get(planned, "plan")),
+        &status, 10000));
     json_decref(planned);
     return status;
 }
 
 static bool in_force(void *arg)
 {
-    json_t *const status = cluster_operate(arg, "/v1/status", NULL, NULL, 1000);
+    json_t *const status = cluster_call_leader(arg, "/v1/status", NULL, NULL, 1000);
     const json_int_t accepted = json_integer_value(json_object_get(status, "accepted"));
     const json_int_t everywhere = json_integer_value(json_object_get(status, "in_force"));
     json_decref(status);
@@ -255,5 +255,5 @@
 
 bool client_wait_in_force(cluster_t *cluster, int limit_ms)
 {
-    return cluster_until(in_force, cluster, limit_ms);
+    return cluster_wait_until(in_force, cluster, limit_ms);
 }
