--- a/Makefile
+++ b/Makefile
@@ -37,7 +37,7 @@
 	@rm -f $@
 	@ar rcs $@ $^
 
-# Each program is one folder under programs/.
+# Each program is built from one folder under programs/.
 .SECONDEXPANSION:
 $(BUILD)/bin/trackcove-%: $$(addprefix $(BUILD)/,$$(addsuffix .o,$$(basename $$(wildcard programs/$$*/*.c)))) $(LIB)
 	@mkdir -p $(@D)
@@ -49,7 +49,7 @@
 	@echo "  ld  $@"
 	@$(CC) $(ALL_CFLAGS) $^ -o $@ $(LDLIBS)
 
-# Preloaded into programs under test; without sanitizers, whose own libraries must come first.
+# Preloaded into programs under test. Built without sanitizers: their runtime libraries must be loaded first.
 SHIM = $(BUILD)/tests/shim/suspend.so
 $(SHIM): tests/shim/suspend.c
 	@mkdir -p $(@D)
@@ -72,7 +72,7 @@
 # ===== The users' platform =====
 
 PLATFORM_BINS = $(BUILD)/bin/trackcove-forwardd $(BUILD)/bin/trackcove-registryd
-# No TLS, no client libraries: memory is counted on every box.
+# Without TLS and HTTP client libraries: memory use counts on every box.
 PLATFORM_LIBS = -Wl,--as-needed $(shell pkg-config --libs glib-2.0 msgpack jansson liburcu-bp libsodium libzstd yajl 2>/dev/null) \
                 -lhttp_parser -llog4c -lpthread -lm
 
@@ -85,7 +85,7 @@
 	@$(CC) $(ALL_CFLAGS) $^ -o $@ $(PLATFORM_LIBS)
 
 .PHONY: days
-days: ## play deploy/days on SITE=FILE with the users' bench, where it is (FLEETBENCH=PROGRAM; VARY=--vary varies them)
+days: ## run deploy/days on SITE=FILE with the users' benchmark program FLEETBENCH=PROGRAM; VARY=--vary varies them
 	@test -x "$(FLEETBENCH)" || { echo "FLEETBENCH names no program: days not run"; exit 1; }
 	@failed=0; for day in deploy/days/*.toml; do for seed in $(or $(SEEDS),1 2 3); do \
 	    line=$$($(FLEETBENCH) run $(SITE) $$day --no-cpu $(VARY) --seed $$seed --why "own days" | grep -E '^own-') || exit 1; \
@@ -101,12 +101,12 @@
 setup:
 	@sh scripts/setup.sh
 
-demo: setup ## start a deployment, stream answers through both pools, check them
+demo: setup ## start a deployment, stream answers through both pools, verify them
 	@$(MAKE) --no-print-directory all $(BUILD)/bench/demo
 	@$(BUILD)/bench/demo sahel
 
 .PHONY: bench
-bench: setup ## policies compared, with and without faults; lines go to bench/results/policies.jsonl
+bench: setup ## compare policies with and without faults; results go to bench/results/policies.jsonl
 	@$(MAKE) --no-print-directory all $(BUILD)/bench/bench
 	@mkdir -p bench/results
 	@$(BUILD)/bench/bench $(BENCH_ARGS)
@@ -118,11 +118,11 @@
 FAULT  = $(patsubst %.c,$(BUILD)/%,$(sort $(wildcard tests/fault/*.c)))
 ASAN   = -fsanitize=address,undefined -fno-sanitize-recover=all -fno-omit-frame-pointer
 
-# Tests that fail for a fault that is not mended yet: passed over, and printed. A line each: test, cause, issue.
+# Tests that fail because of a known fault: skipped, and printed. One line each: test, cause, issue.
 KNOWN_RED = $(shell sed -n 's/^\(\/[^:]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null)
 
 .PHONY: check check-all check-gen check-docs lint test-unit test-random test-fault test-asan fuzz
-check: setup ## everything that must pass: lint, generated code, unit, random, sanitizers, faults
+check: setup ## all checks: lint, generated code, unit, random, sanitizers, faults
 	@$(MAKE) --no-print-directory check-all
 
 check-all: check-gen check-docs lint
@@ -136,13 +136,13 @@
 .PHONY: test-bins
 test-bins: $(UNIT) $(RANDOM)
 
-test-unit: $(UNIT) ## unit tests alone
+test-unit: $(UNIT) ## run the unit tests
 	@prove -e '' $(UNIT)
 
-test-random: $(RANDOM) ## randomised runs alone; RANDOM_SEEDS=N for more
+test-random: $(RANDOM) ## run the randomised tests; RANDOM_SEEDS=N sets the number of seeds
 	@prove -e '' $(RANDOM)
 
-test-fault: all $(FAULT) ## fault tests alone
+test-fault: all $(FAULT) ## run the fault tests
 	@prove --timer -e '' $(FAULT)
 
 check-gen:
@@ -153,7 +153,7 @@
 	    echo "$$f is not what the schema gives: run make gen"; exit 1; }; done
 
 .PHONY: gen
-gen: ## generate lib/gen, the settings reference and the counters' page
+gen: ## generate lib/gen, the settings reference and the page of counters
 	@/usr/bin/python3 scripts/gen.py
 	@/usr/bin/python3 scripts/docs.py
 
@@ -166,22 +166,22 @@
 	@$(CC) $(ALL_CFLAGS) $^ -o $@ $(LDLIBS)
 
 .PHONY: soak soak-many
-soak: setup ## one soak of the platform's programs: SEED=N SECONDS=S
+soak: setup ## run one soak test of the platform's programs: SEED=N SECONDS=S
 	@$(MAKE) --no-print-directory platform $(SOAK)
 	@$(SOAK) --shim $(SHIM) --bin $(BUILD)/bin --seed $(or $(SEED),1) --seconds $(or $(SECONDS),20)
 
-soak-many: setup ## SEEDS=N soaks one after the other, from FIRST on
+soak-many: setup ## run SEEDS=N soak tests one after the other, from seed FIRST on
 	@$(MAKE) --no-print-directory platform $(SOAK)
 	@failed=0; for seed in $$(seq $(or $(FIRST),1) $$(($(or $(FIRST),1) + $(or $(SEEDS),50) - 1))); do \
 	    $(SOAK) --shim $(SHIM) --bin $(BUILD)/bin --seed $$seed --seconds $(or $(SECONDS),15) || failed=1; done; exit $$failed
 
-# Each deliberate fault of lib/common/mutant.h must be found: the checks can fail. Six show in the soak. That of the
-# lease shows to the randomised log alone (a leader that was paused hears of its successor before it reads the next
-# question), those of the clock and of the budget to their own tests: the soak checks both promises as well, but its boxes
-# see few moments at which a fault of theirs makes a difference.
+# Each deliberate fault of lib/common/mutant.h must be detected, which shows that the checks can fail. Six are detected
+# by the soak test. The fault of the lease is detected only by the randomised log test, since a leader that was paused
+# receives word of its successor before it reads the next request. The faults of the clock and of the budget are detected
+# by their own tests: the soak test checks both guarantees too, but rarely reaches a state in which they matter.
 SABOTAGE = $(MAKE) --no-print-directory -s BUILD=build-sabotage-$$which CFLAGS="-O2 -g -DTRACKCOVE_MUTANT=$$which"
 .PHONY: sabotage
-sabotage: setup $(SOAK) ## nine deliberate faults, each to be found within SEEDS=N soaks, or by a test
+sabotage: setup $(SOAK) ## inject nine deliberate faults; each must be detected within SEEDS=N soak tests, or by a test
 	@missed=0; for which in 1 3 4 5 8 9; do found=0; $(SABOTAGE) platform >/dev/null || exit 1; \
 	    for seed in $$(seq 1 $(or $(SEEDS),10)); do \
 	        if ! $(SOAK) --shim $(SHIM) --bin build-sabotage-$$which/bin --seed $$seed --seconds $(or $(SECONDS),15) >/dev/null 2>build-sabotage-$$which/broken; then \
@@ -197,7 +197,7 @@
 SOURCES = $(filter-out lib/gen/%,$(shell git ls-files '*.c' '*.h' 2>/dev/null))
 TIDY    = $(filter %.c,$(SOURCES))
 
-lint: ## clang-format, clang-tidy and cppcheck
+lint: ## run clang-format, clang-tidy and cppcheck
 	@clang-format --dry-run -Werror $(SOURCES)
 	@cppcheck --quiet --error-exitcode=1 --enable=warning,performance,portability --inline-suppr \
 	    --suppressions-list=scripts/cppcheck.txt -j4 -Ilib -Iprograms -Itests $(TIDY)
@@ -214,16 +214,16 @@
 	@echo "  fz  $@"
 	@clang $(FUZZ_FLAGS) $(CPPFLAGS) $< $(FUZZ_LIB) -o $@ $(LDLIBS)
 
-fuzz: $(patsubst tests/fuzz/%.c,$(BUILD)/fuzz/%,$(sort $(wildcard tests/fuzz/*.c))) ## libFuzzer; FUZZ_SECONDS=N each
+fuzz: $(patsubst tests/fuzz/%.c,$(BUILD)/fuzz/%,$(sort $(wildcard tests/fuzz/*.c))) ## run the libFuzzer targets; FUZZ_SECONDS=N each
 	@for f in decoders raft sched; do mkdir -p $(BUILD)/corpus/$$f; \
 	    $(BUILD)/fuzz/fuzz_$$f -max_total_time=$(FUZZ_SECONDS) -max_len=4096 -print_final_stats=1 \
 	    -artifact_prefix=$(BUILD)/fuzz/ $(BUILD)/corpus/$$f > $(BUILD)/fuzz/$$f.log 2>&1 || { tail -30 $(BUILD)/fuzz/$$f.log; exit 1; }; \
 	    grep -E 'number_of_executed_units|operations tried' $(BUILD)/fuzz/$$f.log | sed "s/^/$$f: /"; done
 
-# ===== Slopes and the capacity page =====
+# ===== Scaling and the capacity page =====
 
 .PHONY: bench-scale
-bench-scale: setup ## measure the slopes and write docs/CAPACITY.md and its plots
+bench-scale: setup ## measure how costs scale, and write docs/CAPACITY.md and its plots
 	@$(MAKE) --no-print-directory all platform $(BUILD)/bench/scale $(BUILD)/bench/scale_cores $(BUILD)/bench/config_sizes
 	@mkdir -p bench/results docs/plots
 	@$(BUILD)/bench/scale_cores > bench/results/scale.new
@@ -234,25 +234,25 @@
 	@python3 scripts/capacity.py
 	@python3 scripts/plots.py
 
-check-docs: ## pages made from data or sources are current
+check-docs: ## check that pages generated from data or sources are up to date
 	@python3 tests/scripts/test_sweep.py -q
 	@python3 scripts/capacity.py --check
 	@python3 scripts/results.py --check
 	@python3 scripts/docs.py --check
 
-# ===== Install, races, coverage =====
+# ===== Installation, data races, coverage =====
 
 PREFIX ?= /usr/local
 .PHONY: install tsan coverage clean
-install: all ## copy the programs to PREFIX/bin
+install: all ## install the programs in PREFIX/bin
 	@install -d $(DESTDIR)$(PREFIX)/bin
 	@install -m 755 $(BINS) $(DESTDIR)$(PREFIX)/bin
 
-tsan: ## unit tests with threads under the thread sanitizer
+tsan: ## run the multithreaded unit tests under the thread sanitizer
 	@$(MAKE) --no-print-directory BUILD=build-tsan SAN=-fsanitize=thread CFLAGS="-O1 -g" build-tsan/tests/unit/test_peer
 	@prove -e '' build-tsan/tests/unit/test_peer
 
-coverage: ## line coverage of lib/ by unit and randomised tests
+coverage: ## report the line coverage of lib/ by unit and randomised tests
 	@$(MAKE) --no-print-directory BUILD=build-cov SAN=--coverage CFLAGS="-O0 -g" test-bins
 	@prove -e '' $(patsubst %.c,build-cov/%,$(sort $(wildcard tests/unit/*.c) $(wildcard tests/random/*.c)))
 	@find build-cov/lib -name '*.gcda' | xargs gcov -n 2>/dev/null | awk '/^File .lib/{f=$$2} /^Lines/{if(f){print f,$$2,$$4;f=""}}' | sort
--- a/bench/bench.c
+++ b/bench/bench.c
@@ -1,9 +1,9 @@
 /** @file bench.c
- * Policies against each other at the sizes of today, with and without faults: `make bench`.
+ * Compares scheduling policies at current deployment sizes, with and without faults: `make bench`.
  *
- * Each line of output is one run of one policy; lines also go to the file given.
- * Runs with the same seed see the same arrivals and prompts. Several deployments
- * run side by side on different ports.
+ * Each line of output is one run of one policy; lines also go to the output file.
+ * Runs with the same seed have the same arrivals and prompts. Several deployments
+ * run in parallel on different ports.
  */
 
 #include <glib.h>
@@ -51,7 +51,7 @@
     g_array_append_val(runs, run);
 }
 
-/** Short prompts, then long ones: engines fixed in their roles beside the planner. */
+/** Short prompts, then long ones: engines with fixed roles compared with the planner. */
 static void add_load_shift_runs(void)
 {
     for (int seed = 1; seed <= opt_seeds; seed++) {
@@ -184,7 +184,8 @@
     g_free(entries);
     if (status == 0)
         return text;
-    fprintf(stderr, "load of %s %s ended with %d: %s\n", run->deployment, run->policy, status, text ? text : "");
+    fprintf(stderr, "trackcove-load for %s %s exited with status %d: %s\n", run->deployment, run->policy, status,
+            text ? text : "");
     g_free(text);
     return NULL;
 }
@@ -198,7 +199,7 @@
              planner ? "cell" : run->policy, planner ? "true" : "false");
     const cluster_options_t options = {.deployment = run->deployment,
                                        .config_patch = patch,
-                                       .entry_patch = "{\"threads\":160}", /* many deployments side by side */
+                                       .entry_patch = "{\"threads\":160}", /* several deployments run in parallel */
                                        .stub_args = run->stub_args,
                                        .port_offset = (unsigned)opt_ports + worker * PORTS_PER_WORKER};
     cluster_t *const c = cluster_start(&options);
@@ -234,15 +235,15 @@
 int main(int argc, char **argv)
 {
     const GOptionEntry entries[] = {
-        {"out", 'o', 0, G_OPTION_ARG_FILENAME, &opt_out, "file for the lines", "FILE"},
-        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_seconds, "measured time of a run, s (8)", "S"},
-        {"seeds", 's', 0, G_OPTION_ARG_INT, &opt_seeds, "seeds (3)", "N"},
-        {"parallel", 'p', 0, G_OPTION_ARG_INT, &opt_parallel, "deployments side by side (3)", "N"},
-        {"policy", 0, 0, G_OPTION_ARG_STRING, &opt_policy, "one policy only", "NAME"},
+        {"out", 'o', 0, G_OPTION_ARG_FILENAME, &opt_out, "output file", "FILE"},
+        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_seconds, "duration of a measurement, s (8)", "S"},
+        {"seeds", 's', 0, G_OPTION_ARG_INT, &opt_seeds, "number of seeds (3)", "N"},
+        {"parallel", 'p', 0, G_OPTION_ARG_INT, &opt_parallel, "deployments run in parallel (3)", "N"},
+        {"policy", 0, 0, G_OPTION_ARG_STRING, &opt_policy, "run one policy only", "NAME"},
         {"ports", 0, 0, G_OPTION_ARG_INT, &opt_ports, "added to every port (0)", "N"},
-        {"only", 0, 0, G_OPTION_ARG_STRING, &opt_only, "one scenario only", "NAME"},
+        {"only", 0, 0, G_OPTION_ARG_STRING, &opt_only, "run one scenario only", "NAME"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
-    GOptionContext *const context = g_option_context_new("- policies compared");
+    GOptionContext *const context = g_option_context_new("- compare scheduling policies");
     g_option_context_add_main_entries(context, entries, NULL);
     GError *error = NULL;
     if (!g_option_context_parse(context, &argc, &argv, &error)) {
@@ -253,7 +254,7 @@
     add_all_runs();
     out = fopen(opt_out, "w");
     if (!out) {
-        fprintf(stderr, "bench: cannot write %s\n", opt_out);
+        fprintf(stderr, "bench: cannot open output file %s\n", opt_out);
         return 1;
     }
     cluster_init();
--- a/bench/config_sizes.c
+++ b/bench/config_sizes.c
@@ -1,5 +1,5 @@
-/* What a configuration costs by its size: memory of every process, bytes over the links, time until it is in force at
- * 66 entry boxes behind 10 Mbit/s. A line of JSON a measure goes to standard output. */
+/* Costs of a configuration by its size: memory of the processes, bytes on the links, time until it is in force on 66
+ * entry boxes with links of 10 Mbit/s. Prints a line of JSON per measurement. */
 
 #include <glib.h>
 #include <stdio.h>
@@ -15,7 +15,7 @@
     fflush(stdout);
 }
 
-/** Of the control boxes, the one that took most. */
+/** Highest peak memory of a control box, kB. */
 static long control_peak_kb(const large_t *w)
 {
     long peak_kb_max = 0;
@@ -24,7 +24,7 @@
     return peak_kb_max;
 }
 
-/** Two configurations of that size, one after the other, and what the second one cost. */
+/** Puts two configurations of that size in force one after the other and measures the second. */
 static void measure(int routes)
 {
     static large_t w;
--- a/bench/demo.c
+++ b/bench/demo.c
@@ -1,5 +1,5 @@
 /** @file demo.c
- * One deployment, real processes, callers for a while, everything checked: `make demo`.
+ * Starts a deployment of real processes, runs callers and verifies every answer: `make demo`.
  */
 
 #include <stdio.h>
@@ -10,7 +10,7 @@
 {
     const char *const deployment = argc > 1 ? argv[1] : "sahel";
     const char *const seconds = argc > 2 ? argv[2] : "8";
-    printf("starting %s: stand-in engines, 3 control boxes, entry boxes\n", deployment);
+    printf("starting %s: stub engines, 3 control boxes, entry boxes\n", deployment);
     const cluster_options_t options = {.deployment = deployment, .port_offset = 5000};
     cluster_t *const cluster = cluster_start(&options);
     if (!cluster)
@@ -22,7 +22,7 @@
                                 seconds,          "--strict",  NULL};
     char *output = NULL;
     const int status = cluster_run(cluster, load, &output);
-    printf("%s%s\n", output ? output : "", status == 0 ? "demo: every answer was checked whole" : "demo: FAILED");
+    printf("%s%s\n", output ? output : "", status == 0 ? "demo: all answers verified" : "demo: FAILED");
     g_free(output);
     g_free(entries);
     cluster_stop(cluster, status != 0);
--- a/bench/http_client.c
+++ b/bench/http_client.c
@@ -1,6 +1,6 @@
 /** @file http_client.c
- * What reading a token stream costs: CivetWeb's client a byte at a time, CivetWeb's client in 64-byte reads, and our
- * client over libcurl. One run, one server in this process; figures are per token of about 110 bytes, 2 ms apart.
+ * Costs of reading a token stream: CivetWeb's client with 1-byte reads, the same with 64-byte reads, and our client
+ * over libcurl. The server runs in this process and sends a token of about 110 bytes every 2 ms; figures are per token.
  */
 
 #include <glib.h>
@@ -94,7 +94,7 @@
         read_curl(&sse);
     else
         read_civetweb(&sse, way == 1 ? 1 : 64);
-    printf("%-28s %6.1f us of processor time a token, latest token %7.1f ms late, %d tokens\n", name,
+    printf("%-28s %6.1f us of processor time per token, maximum delay %7.1f ms, %d tokens\n", name,
            (now_us(CLOCK_THREAD_CPUTIME_ID) - begin) / TOKENS, reader.max_delay_us / 1000, reader.n_events);
     sse_free(&sse);
 }
@@ -110,7 +110,7 @@
         return 1;
     http_route(server, "/stream", serve, NULL);
     for (int round = 0; round < 3; round++) {
-        measure("civetweb, byte by byte", 1);
+        measure("civetweb, 1-byte reads", 1);
         measure("civetweb, 64-byte reads", 64);
         measure("libcurl (our client)", 0);
     }
--- a/bench/one.c
+++ b/bench/one.c
@@ -1,6 +1,6 @@
 /** @file one.c
- * One run, for pairing two builds: TRACKCOVE_BIN=build/bin build/bench/one MIX LOAD SEED NAME [SECONDS] [CANCEL]
- * [PATCH]
+ * A single load run, for comparing two builds:
+ * TRACKCOVE_BIN=build/bin build/bench/one MIX LOAD SEED NAME [SECONDS] [CANCEL] [PATCH]
  */
 
 #include <stdio.h>
--- a/bench/scale.c
+++ b/bench/scale.c
@@ -1,8 +1,8 @@
 /** @file scale.c
- * Slopes of the running system: costs against entry boxes, changes and requests. `make bench-scale`.
+ * Scaling of the running system: costs by number of entry boxes, changes and requests. `make bench-scale`.
  *
- * Processor time is the sum over a process's threads as the kernel counts it;
- * bytes are the processes' own counters of what they send and receive.
+ * Processor time is the kernel's count, summed over the threads of a process;
+ * bytes are the processes' own counters of bytes sent and received.
  */
 
 #include <dirent.h>
@@ -28,7 +28,7 @@
     return (double)g_get_monotonic_time() / 1000;
 }
 
-/* ===== What a process costs ===== */
+/* ===== Costs of a process ===== */
 
 static double cpu_ms(GPid pid)
 {
@@ -69,7 +69,7 @@
                     client_metric(c, name, "trackcove_peer_bytes_received_total"));
 }
 
-/* ===== Idle: control against entry boxes ===== */
+/* ===== Idle: costs by number of entry boxes ===== */
 
 static cluster_t *start(const char *deployment, unsigned entries)
 {
@@ -86,7 +86,7 @@
     char *const scheduler = cluster_scheduler(c, 10000);
     const char *const leader = cluster_leader(c, 10000);
     const char *const plain = strcmp(scheduler, "entry-1") == 0 ? "entry-2" : "entry-1";
-    g_usleep(IDLE_US / 2); /* starting is over */
+    g_usleep(IDLE_US / 2); /* startup is complete */
     const char *const names[] = {leader, plain, scheduler};
     static const char *const kinds[] = {"leader", "entry", "scheduler"};
     double cpu[3], bytes[3];
@@ -110,7 +110,7 @@
     cluster_stop(c, false);
 }
 
-/* ===== Under load: what a request and a token cost ===== */
+/* ===== Under load: costs per request and per token ===== */
 
 typedef struct {
     double cpu, bytes, frames, requests, tokens, sched_us, granted;
@@ -139,7 +139,7 @@
     return x < y ? -1 : (x > y ? 1 : 0);
 }
 
-/** Waits for a placement, from the entries' logs. */
+/** Percentiles of the waiting time for a placement, from the logs of the entry boxes. */
 static void place_percentiles(const cluster_t *c, unsigned entries, double load)
 {
     GArray *const waits = g_array_new(FALSE, FALSE, sizeof(double));
@@ -219,7 +219,7 @@
     return client_change(c, name, patch) == 200;
 }
 
-/** From the confirmation's sending to "in force" everywhere, ms. */
+/** Time from sending the confirmation until the change is in force on all boxes, ms; -1: the change failed. */
 static double time_in_force(cluster_t *c, int number)
 {
     char request[32];
@@ -260,7 +260,7 @@
     cluster_stop(c, false);
 }
 
-/* ===== Leader's loss, catching up, rate ===== */
+/* ===== Leader failover, catch-up, rate of changes ===== */
 
 static json_int_t read_version(cluster_t *c, const char *control)
 {
@@ -315,7 +315,7 @@
 {
     static const unsigned entries[] = {3, 9, 30, 60, 120};
     static const double loads[] = {0.2, 0.5, 1.0};
-    if (argc > 1 && strcmp(argv[1], "load") == 0) { /* only what a token costs, for pairing two builds */
+    if (argc > 1 && strcmp(argv[1], "load") == 0) { /* the costs per token only, for comparing two builds */
         measure_load(1.0);
         return 0;
     }
--- a/bench/scale_cores.c
+++ b/bench/scale_cores.c
@@ -1,5 +1,6 @@
 /** @file scale_cores.c
- * Slopes of the cores alone: `make bench-scale` runs it first. Processor time of the thread, heap by mallinfo2.
+ * Scaling of the core modules in one thread, without I/O: `make bench-scale` runs it first. Processor time is the
+ * thread's, heap use is from mallinfo2.
  */
 
 #include <glib.h>
@@ -44,7 +45,7 @@
     return (double)size;
 }
 
-/* ===== Scheduler: a request's life against engines in the cell ===== */
+/* ===== Scheduler: a request's lifetime by number of engines in the cell ===== */
 
 static config_t make_cell(unsigned engines)
 {
@@ -91,8 +92,8 @@
     return attempt;
 }
 
-/** Where the records of engines outgrow the processor's caches, a request costs more than the line through smaller
- *  cells says: these sizes are fitted by themselves. */
+/** Above this number of engines their records exceed the processor's caches, and a request costs more than the linear
+ * fit of smaller cells predicts: larger cells are fitted separately. */
 enum { SMALL_CELL_ENGINES_MAX = 160 };
 
 static void measure_scheduler(unsigned engines)
@@ -102,7 +103,7 @@
     const sched_options_t options = {.cell = "main", .epoch = 1, .share_count = 1};
     sched_t *const s = sched_create(&options, 1000);
     sched_configure(s, &config, 1000);
-    const unsigned held = engines / 2 * 15; /* three quarters of what the decode engines hold */
+    const unsigned held = engines / 2 * 15; /* three quarters of the decode engines' capacity */
     placed_t *const ring = calloc(held, sizeof(*ring));
     tc_time_t now = 1000;
     unsigned granted = 0;
@@ -137,13 +138,13 @@
     print_point(engines <= SMALL_CELL_ENGINES_MAX ? "sched_us_a_tick" : "sched_us_a_tick_large", engines,
                 (cpu_us() - tick) / 200);
     if (granted < REQUESTS * 9 / 10)
-        fprintf(stderr, "scale: only %u of %d granted\n", granted, REQUESTS);
+        fprintf(stderr, "scale: only %u of %d requests placed\n", granted, REQUESTS);
     sched_destroy(s);
     free(ring);
     codec_free(&config_desc, &config);
 }
 
-/* ===== Membership: a beat against boxes ===== */
+/* ===== Membership: a heartbeat by number of boxes ===== */
 
 static msg_beat_t make_beat(unsigned box)
 {
@@ -192,7 +193,7 @@
     members_destroy(m);
 }
 
-/* ===== Boxes of the users' platform: a report against boxes ===== */
+/* ===== Boxes of the users' platform: a report by number of boxes ===== */
 
 static msg_report_t make_report(unsigned box, backend_load_t *loads, uint32_t n)
 {
@@ -217,7 +218,7 @@
     return frame_bytes(MSG_REPORT_ACK, &ack);
 }
 
-/** What a leader does with a report, ten back ends in it, and what it tells of other boxes. */
+/** Costs of a report with ten back ends for the leader, and size of the list of boxes in its answer. */
 static void measure_roster(unsigned boxes)
 {
     enum { ROUNDS = 100, LOADS = 10, LATER_MS = 1000000, MUCH_LATER_MS = 2 * LATER_MS };
@@ -247,7 +248,7 @@
     roster_destroy(r);
 }
 
-/* ===== Configuration: a change against workspaces ===== */
+/* ===== Configuration: a change by number of workspaces ===== */
 
 static void apply_command(state_t *s, command_t *command)
 {
@@ -312,7 +313,7 @@
     g_free(all);
 }
 
-/* ===== Claims and renewals ===== */
+/* ===== Claims and lease renewals ===== */
 
 static void measure_claims(unsigned claims)
 {
--- a/programs/controld/main.c
+++ b/programs/controld/main.c
@@ -1,5 +1,6 @@
 /** @file main.c
- * trackcove-controld: a control box. Settings in, loop and operators' interface up, until a signal.
+ * trackcove-controld: a control box. Reads its settings, then runs the event loop and the operators' HTTP interface
+ * until SIGTERM or SIGINT.
  */
 
 #include <glib.h>
@@ -46,7 +47,7 @@
     signal(SIGPIPE, SIG_IGN);
     loop_run(loop);
     (void)operators;
-    control_stop(control); /* operators who wait get their answer; everything else is synced already */
+    control_stop(control); /* answers operators whose calls are pending; all other state is already synced to disk */
     return 0;
 }
 
@@ -74,5 +75,5 @@
         return report_start_failure(&err);
     const int status = run(&settings);
     log_close();
-    _exit(status); /* the operators' threads may be in the middle of a call */
+    _exit(status); /* without exit handlers: HTTP threads may still be in a call */
 }
--- a/programs/entryd/main.c
+++ b/programs/entryd/main.c
@@ -1,5 +1,6 @@
 /** @file main.c
- * trackcove-entryd: an entry box. Settings in, loop and callers' interface up; SIGTERM is a planned stop.
+ * trackcove-entryd: an entry box. Reads its settings, then runs the event loop and the callers' HTTP interface. SIGTERM
+ * and SIGINT drain the box before it ends.
  */
 
 #include <glib.h>
@@ -19,7 +20,7 @@
 static void on_signal(int number)
 {
     (void)number;
-    entry_drain(entry); /* an atomic store */
+    entry_drain(entry); /* async-signal-safe: an atomic store */
 }
 
 static int report_start_failure(const tc_err_t *err)
@@ -71,5 +72,5 @@
         return report_start_failure(&err);
     const int status = run(&settings);
     log_close();
-    _exit(status); /* worker threads may be in a call to an engine */
+    _exit(status); /* without exit handlers: worker threads may still be in a call to an engine */
 }
--- a/programs/load/caller.c
+++ b/programs/load/caller.c
@@ -11,13 +11,13 @@
 /* ===== Constants ===== */
 
 enum {
-    CLIENT_DELAY_US = 3000, /* one way between a caller and the entries, as the users' pages say */
+    CLIENT_DELAY_US = 3000, /* one-way latency between a caller and the entries, from the users' requirements */
     ATTEMPTS_MAX = 6,
     REQUEST_TIMEOUT_MS = 60000,
     ENTRIES_TIMEOUT_MS = 1000
 };
 
-/* ===== Which entry ===== */
+/* ===== Entry selection ===== */
 
 static bool fetch_entries(load_caller_t *c, const char *addr)
 {
@@ -43,7 +43,7 @@
     return n > 0;
 }
 
-/** Address for the @p try-th attempt. */
+/** Copies the address for attempt number @p attempt (from 0) to @p addr; refreshes an expired list first. */
 static void choose_entry(load_caller_t *c, uint32_t attempt, char addr[64])
 {
     pthread_mutex_lock(&c->lock);
@@ -61,19 +61,19 @@
     pthread_mutex_unlock(&c->lock);
 }
 
-/* ===== Reading an answer ===== */
+/* ===== Answer reader ===== */
 
 typedef struct {
     uint64_t hash;
-    uint32_t length;   /* what the answer must be */
-    uint32_t got;      /* tokens in order so far */
-    char event_id[48]; /* id of the event that brought the last of them, as it came */
+    uint32_t length;   /* expected, tokens */
+    uint32_t got;      /* tokens received in order */
+    char event_id[48]; /* id of the event with the last of them, unchanged: sent back as Last-Event-ID */
     bool wrong, duplicated, done;
-    outcome_kind_t error; /* an error event came */
+    outcome_kind_t error; /* of the error event; valid if has_error */
     bool has_error;
     double begin, first, last, cancel_at;
     bool cancelled;
-    bool sent; /* an entry may have begun */
+    bool sent; /* an entry may have begun to execute the request */
     sse_t sse;
 } answer_reader_t;
 
@@ -150,7 +150,7 @@
 
 /* ===== Requests ===== */
 
-/** @return true when the request ended for this caller, false to try another entry */
+/** @return true when the outcome is final, false to retry at another entry */
 static bool complete_once(const char *addr, const char *model, const mix_request_t *q, const char *id,
                           answer_reader_t *r, outcome_t *out)
 {
@@ -161,7 +161,7 @@
     snprintf(event, sizeof(event), "Last-Event-ID: %s", r->event_id[0] ? r->event_id : "0");
     const char *headers[5] = {id_header, workspace};
     size_t n = 2;
-    if (r->sent) /* whoever sends again says so, with what it has */
+    if (r->sent) /* a resend names the last event that was received */
         headers[n++] = event;
     if (q->non_repeatable)
         headers[n] = "X-Trackcove-Repeatable: no";
@@ -197,7 +197,7 @@
         out->kind = r->cancelled ? OUTCOME_CANCELLED : (r->has_error ? r->error : OUTCOME_COMPLETE);
         return true;
     }
-    /* The entry is gone. Not to be repeated and sent: its outcome is unknown to this caller, who asks no more. */
+    /* The entry is lost. A request that may not be repeated and was sent has an unknown outcome: no retry. */
     if (q->non_repeatable && rc != TC_E_UNREACHABLE) {
         out->kind = OUTCOME_UNKNOWN;
         return true;
@@ -224,7 +224,7 @@
     if (out->kind == OUTCOME_COMPLETE && (r.wrong || r.got != r.length))
         out->kind = OUTCOME_LOST;
     if (r.wrong)
-        fprintf(stderr, "trackcove-load: request %s got wrong tokens\n", id);
+        fprintf(stderr, "trackcove-load: request %s received tokens that differ from the expected answer\n", id);
     out->ttft_ms = r.first > 0 ? r.first - r.begin : -1;
     out->tpot_ms = r.got > 1 ? (r.last - r.first) / (r.got - 1) : 0;
 }
--- a/programs/load/main.c
+++ b/programs/load/main.c
@@ -1,5 +1,5 @@
 /** @file main.c
- * trackcove-load: open-loop callers and experiment tool. Prints a table and a JSON line.
+ * trackcove-load: open-loop load generator that verifies every answer. Prints a table and a line of JSON.
  */
 
 #include <glib.h>
@@ -27,21 +27,23 @@
 static gboolean opt_strict, opt_quiet;
 
 static const GOptionEntry options[] = {
-    {"entries", 'e', 0, G_OPTION_ARG_STRING, &opt_entries, "entry addresses callers know, comma between",
-     "IP:PORT,..."},
+    {"entries", 'e', 0, G_OPTION_ARG_STRING, &opt_entries, "addresses of entry boxes, comma-separated", "IP:PORT,..."},
     {"mix", 'm', 0, G_OPTION_ARG_STRING, &opt_mix, "sahel, river, sahel-short or sahel-long", "NAME"},
-    {"then", 0, 0, G_OPTION_ARG_STRING, &opt_second_mix, "mix to change to in the middle", "NAME"},
-    {"shift-at", 0, 0, G_OPTION_ARG_DOUBLE, &opt_shift_s, "when, s after the start of measuring", "S"},
-    {"load", 'l', 0, G_OPTION_ARG_DOUBLE, &opt_load, "times the deployment's capacity (1.0)", "X"},
-    {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_measured_s, "measured time, s (10)", "S"},
-    {"warm", 0, 0, G_OPTION_ARG_DOUBLE, &opt_warmup_s, "time before it, not measured, s (2)", "S"},
+    {"then", 0, 0, G_OPTION_ARG_STRING, &opt_second_mix, "second mix, used from --shift-at on", "NAME"},
+    {"shift-at", 0, 0, G_OPTION_ARG_DOUBLE, &opt_shift_s, "time of the change to the second mix, s after the warm-up",
+     "S"},
+    {"load", 'l', 0, G_OPTION_ARG_DOUBLE, &opt_load, "offered load as a multiple of the deployment's capacity (1.0)",
+     "X"},
+    {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &opt_measured_s, "duration of the measurement, s (10)", "S"},
+    {"warm", 0, 0, G_OPTION_ARG_DOUBLE, &opt_warmup_s, "warm-up before the measurement, s (2)", "S"},
     {"seed", 's', 0, G_OPTION_ARG_INT, &opt_seed, "seed of arrivals and prompts (1)", "N"},
-    {"cancel", 0, 0, G_OPTION_ARG_DOUBLE, &opt_cancel, "share of callers who leave in the middle (0.02)", "X"},
-    {"admin", 0, 0, G_OPTION_ARG_STRING, &opt_admin, "stand-in's address, for its counts", "IP:PORT"},
+    {"cancel", 0, 0, G_OPTION_ARG_DOUBLE, &opt_cancel, "share of callers that close the connection early (0.02)", "X"},
+    {"admin", 0, 0, G_OPTION_ARG_STRING, &opt_admin, "address of trackcove-stub, to read its counts", "IP:PORT"},
     {"scenario", 0, 0, G_OPTION_ARG_STRING, &opt_scenario, "name for the output line", "NAME"},
     {"policy", 0, 0, G_OPTION_ARG_STRING, &opt_policy, "name for the output line", "NAME"},
-    {"strict", 0, 0, G_OPTION_ARG_NONE, &opt_strict, "exit 1 unless every answer was whole or honestly refused", NULL},
-    {"quiet", 'q', 0, G_OPTION_ARG_NONE, &opt_quiet, "only the JSON line", NULL},
+    {"strict", 0, 0, G_OPTION_ARG_NONE, &opt_strict, "exit 1 unless every answer was complete or correctly refused",
+     NULL},
+    {"quiet", 'q', 0, G_OPTION_ARG_NONE, &opt_quiet, "print only the JSON line", NULL},
     {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
 
 /* ===== Requests ===== */
@@ -99,7 +101,7 @@
         g_usleep((gulong)(left * 1000));
 }
 
-/** Poisson arrivals: requests come whether or not earlier ones have ended. */
+/** Open loop with Poisson arrivals: a request starts whether or not earlier ones have ended. */
 static void send_requests(void)
 {
     GRand *const random = g_rand_new_with_seed((guint32)opt_seed);
@@ -123,14 +125,14 @@
                   &attr);
         if (!opt_quiet && tc_time_exact() - reported_at > 2000) {
             reported_at = tc_time_exact();
-            fprintf(stderr, "  %.0f s: %llu sent, %d under way\n", (reported_at - begin) / 1000,
+            fprintf(stderr, "  %.0f s: %llu sent, %d in flight\n", (reported_at - begin) / 1000,
                     (unsigned long long)number, atomic_load(&running));
         }
     }
     g_rand_free(random);
 }
 
-/* ===== The stand-ins' counts ===== */
+/* ===== Counts of the stub ===== */
 
 static json_t *admin_stats(void)
 {
@@ -143,7 +145,7 @@
         http_call(&call, &result, &err) == TC_OK ? json_loadb(result.body, result.body_size, 0, NULL) : NULL;
     free(result.body);
     if (!body) {
-        fprintf(stderr, "trackcove-load: %s: no counts\n", opt_admin);
+        fprintf(stderr, "trackcove-load: cannot read counts from the stub at %s\n", opt_admin);
         exit(EXIT_CHECK_FAILED);
     }
     return body;
@@ -154,7 +156,7 @@
     return (double)json_integer_value(json_object_get(stats, key));
 }
 
-/** Pieces still held when all callers are gone; waits for a while until there are none. */
+/** Waits until the engines hold no pieces, for SETTLE_TIMEOUT_MS at most. @return the last counts, new reference */
 static json_t *wait_for_released_memory(void)
 {
     const double until = tc_time_exact() + SETTLE_TIMEOUT_MS;
@@ -183,7 +185,7 @@
     printf("%-28s %10u\n", "refused as not run", s->refused);
     printf("%-28s %10u\n", "outcome unknown", s->unknown);
     printf("%-28s %10u\n", "cancelled by the caller", s->cancelled);
-    printf("%-28s %10u / %u\n", "service calls whole", s->calls_complete, s->calls);
+    printf("%-28s %10u / %u\n", "service calls complete", s->calls_complete, s->calls);
     printf("%-28s %10u\n", "lost", s->lost);
     printf("%-28s %10u\n", "doubled", s->duplicated);
     printf("%-28s %10u\n", "false not run", s->false_not_run);
@@ -219,7 +221,7 @@
         load_caller_t *const c = &callers[i];
         pthread_mutex_init(&c->lock, NULL);
         snprintf(c->name, sizeof(c->name), "caller-%d-%d", opt_seed, i);
-        /* Each caller knows all addresses, but begins at its own. */
+        /* Each caller knows all addresses and starts with a different one. */
         for (guint k = 0; k < n && k < G_N_ELEMENTS(c->seeds); k++)
             g_strlcpy(c->seeds[c->n_seeds++], parts[(k + (guint)i) % n], sizeof(c->seeds[0]));
     }
@@ -228,7 +230,7 @@
 
 static bool parse_options(int argc, char **argv)
 {
-    GOptionContext *const context = g_option_context_new("- open-loop callers for trackcove");
+    GOptionContext *const context = g_option_context_new("- open-loop load generator for trackcove");
     g_option_context_add_main_entries(context, options, NULL);
     GError *error = NULL;
     const bool parsed = g_option_context_parse(context, &argc, &argv, &error);
@@ -239,7 +241,7 @@
         fprintf(stderr, "trackcove-load: %s\n", error->message);
     else if (!opt_entries || !mix || (opt_second_mix && !second_mix))
         fprintf(stderr, "trackcove-load: %s\n",
-                mix && (!opt_second_mix || second_mix) ? "--entries is required" : "no such mix: see --help");
+                mix && (!opt_second_mix || second_mix) ? "--entries is required" : "unknown mix; see --help");
     return parsed && opt_entries && mix && (!opt_second_mix || second_mix);
 }
 
--- a/programs/load/mix.c
+++ b/programs/load/mix.c
@@ -18,7 +18,7 @@
     {"snapshot", 0.08, 0, 0, 0, 4, 0.5, "gauge-api"},
 };
 
-/* Before and after a shift of load: short prompts with long answers, then long prompts with short answers. */
+/* The load shift scenario: short prompts with long answers, then long prompts with short answers. */
 static const mix_kind_t short_kinds[] = {
     {"question", 1.0, 600, 0, 130, 5, 0, NULL},
 };
@@ -42,7 +42,7 @@
     return NULL;
 }
 
-/** Fill with words that depend on a seed, so that equal seeds give equal text. */
+/** Appends @p bytes of pseudo-random text; equal seeds give equal text. */
 static void append_words(GString *text, uint64_t seed, size_t bytes)
 {
     const size_t end = text->len + bytes;
--- a/programs/load/mix.h
+++ b/programs/load/mix.h
@@ -1,5 +1,5 @@
 /** @file mix.h
- * What callers ask: the two users' kinds of request, in their shares.
+ * Request mixes: the kinds of request of the two users, with their shares.
  */
 #ifndef TRACKCOVE_LOAD_MIX_H
 #define TRACKCOVE_LOAD_MIX_H
@@ -12,12 +12,12 @@
 typedef struct {
     const char *name;
     double share;           /**< of all requests */
-    uint32_t prompt_tokens; /**< mean; single prompts vary by a quarter either way */
-    uint32_t prefix_tokens; /**< of these, shared with others about the same station or gauge */
+    uint32_t prompt_tokens; /**< mean; the unshared part varies by 25 per cent either way */
+    uint32_t prefix_tokens; /**< of these, the prefix shared by requests of a workspace about the same subject */
     uint32_t max_tokens;
     uint32_t priority;
-    double non_repeatable; /**< part of them that may not be repeated */
-    const char *service;   /**< plain service, or NULL for a completion */
+    double non_repeatable; /**< share of them that may not be executed twice */
+    const char *service;   /**< name of the plain service; NULL: a completion */
 } mix_kind_t;
 
 typedef struct {
@@ -25,8 +25,8 @@
     const char *model;
     uint32_t subjects; /**< stations or gauges */
     uint32_t workspaces;
-    double capacity; /**< completions a second at load 1: what prefill and decode engines can do without any
-                          reuse of prefixes (docs/design/standin.md) */
+    double capacity; /**< completions per second at load 1: the capacity of the prefill and decode engines without
+                          prefix reuse (docs/design/standin.md) */
     const mix_kind_t *kinds;
     uint32_t n_kinds;
 } mix_t;
@@ -40,10 +40,10 @@
     size_t prompt_size;
 } mix_request_t;
 
-/** @return NULL when there is no such mix */
+/** @return the mix, or NULL if there is none of that name */
 const mix_t *mix_find(const char *name);
 
-/** Draw a request; the same random state gives the same request. */
+/** Draws a request; the same random state and @p number give the same request. */
 void mix_draw(const mix_t *mix, GRand *random, uint64_t number, mix_request_t *request);
 
 #endif
--- a/programs/load/tally.c
+++ b/programs/load/tally.c
@@ -53,7 +53,8 @@
     s->good += o->kind == OUTCOME_COMPLETE && o->ttft_ms <= ttft_target && o->tpot_ms <= tpot_target;
 }
 
-/** Ask the stand-ins how often each id ran, and hold it against what the callers were told. */
+/** Compares the outcomes with the stub's count of executions per id: counts requests reported as not run that ran, and
+ * non-repeatable requests that ran twice. */
 static void check_runs(const tally_t *t, const char *url, summary_t *s)
 {
     json_t *const ids = json_array();
@@ -74,8 +75,8 @@
     const int rc = http_call(&call, &result, &err);
     json_t *const answer = rc == TC_OK ? json_loadb(result.body, result.body_size, 0, NULL) : NULL;
     if (!answer) {
-        fprintf(stderr, "trackcove-load: cannot count runs: %s\n", err.detail);
-        exit(1); /* a check that cannot be made has not passed */
+        fprintf(stderr, "trackcove-load: cannot read execution counts from the stub: %s\n", err.detail);
+        exit(1); /* without the counts the check has not passed */
     }
     for (guint i = 0; i < t->outcomes->len; i++) {
         const outcome_t *const o = &g_array_index(t->outcomes, outcome_t, i);
--- a/programs/load/tally.h
+++ b/programs/load/tally.h
@@ -1,5 +1,5 @@
 /** @file tally.h
- * What happened to the callers, counted.
+ * Outcomes of requests as callers saw them, and their summary.
  */
 #ifndef TRACKCOVE_LOAD_TALLY_H
 #define TRACKCOVE_LOAD_TALLY_H
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** How one request ended, as its caller saw it. */
+/** How one request ended for its caller. LOST: no attempt gave a complete, correct answer or a known error. */
 typedef enum {
     OUTCOME_COMPLETE,
     OUTCOME_NOT_RUN,
@@ -24,7 +24,7 @@
     char id[64];
     outcome_kind_t kind;
     bool service, non_repeatable, duplicated;
-    double ttft_ms, tpot_ms; /**< -1: none */
+    double ttft_ms, tpot_ms; /**< -1: no token received */
 } outcome_t;
 
 typedef struct {
@@ -32,7 +32,7 @@
     GArray *outcomes;
 } tally_t;
 
-/** Counts over a run. */
+/** Counts over a run: completions, then service calls; latencies in ms, of complete completions. */
 typedef struct {
     uint32_t offered, good, complete, refused, unknown, cancelled, lost, duplicated, invalid;
     uint32_t calls, calls_complete, calls_refused, calls_unknown;
@@ -43,7 +43,8 @@
 void tally_init(tally_t *tally);
 void tally_add(tally_t *tally, const outcome_t *outcome);
 
-/** Count. @param runs_url stand-in's page that tells how often an id ran, or NULL */
+/** Counts the outcomes and computes percentiles. Targets in ms.
+ * @param runs_url URL of the stub's execution counts, checked against the outcomes; NULL: not checked */
 void tally_summarize(tally_t *tally, const char *runs_url, double ttft_target, double tpot_target, summary_t *summary);
 
 #endif
--- a/programs/stub/admin.c
+++ b/programs/stub/admin.c
@@ -1,12 +1,13 @@
-/* Faults on command and counts of what happened, for tests and measuring. */
+/* Fault injection and counts for tests and benchmarks. */
 
 #include <string.h>
 
 #include "stub/stub.h"
 
-/* ===== Faults and counts, for tests ===== */
+/* ===== Faults and counts ===== */
 
-/** How streams are written from now on. @param n bytes, tokens or a place, by the kind */
+/** Sets a fault of streams. @param n bytes, tokens or a token position, depending on @p kind
+ * @return false if @p kind is unknown */
 static bool apply_stream_fault(sim_stream_faults_t *faults, const char *kind, uint32_t n, uint32_t place)
 {
     if (strcmp(kind, "split") == 0) {
@@ -133,7 +134,7 @@
                           0);
 }
 
-/** How often work began, and how often an answer began, for each id asked about. */
+/** Answers with the number of prefills and of decodes started for each requested id; a service call counts as both. */
 int stub_runs_handler(struct mg_connection *conn, void *arg)
 {
     (void)arg;
--- a/programs/stub/sim.c
+++ b/programs/stub/sim.c
@@ -39,7 +39,7 @@
     return true;
 }
 
-/** A prefill result is gone before any decode engine had it. */
+/** Counts a prefill result that is dropped before a decode engine fetched it. */
 static void count_wasted_prefill(sim_t *sim, const sim_request_t *r, uint64_t *reason)
 {
     if (r->decode || r->transferred || r->state != SIM_HELD)
@@ -71,7 +71,7 @@
     if (r->state >= SIM_DONE)
         return;
     count_wasted_prefill(sim, r, &sim->counts.wasted_cancel);
-    if (r->state == SIM_PREFILL) { /* half computed: what was done is lost */
+    if (r->state == SIM_PREFILL) { /* partly computed: that part is wasted */
         const double left = r->done_at > now ? r->done_at - now : 0;
         const double whole = SIM_PREFILL_BASE_MS + r->computed * 1000.0 / r->engine->cfg.prefill_rate;
         const uint64_t done = (uint64_t)(r->computed * (1 - left / whole));
@@ -143,7 +143,7 @@
     const uint32_t tokens = r->prompt_tokens + (decode ? max_tokens : 0);
     r->pieces = (tokens + SIM_PIECE_TOKENS - 1) / SIM_PIECE_TOKENS;
     hash_pieces(r, prompt, prompt_size, salt);
-    r->refs = 2; /* the list's and the caller's */
+    r->refs = 2; /* one for the list, one for the caller */
     tc_cond_init(&r->changed);
     cds_list_add_tail(&r->node, &engine->requests);
     return r;
@@ -155,7 +155,7 @@
     source->refs++;
 }
 
-/** The waiting request served next: by priority, then by arrival. */
+/** The next waiting request: lowest priority value first, then order of arrival. */
 static sim_request_t *next_waiting(const sim_engine_t *e, bool decode)
 {
     sim_request_t *r, *best = NULL;
@@ -306,7 +306,7 @@
     const link_cfg_t *const link = find_link(sim, r);
     const double rate = link ? link->rate / 1000.0 : 50;
     r->transfer_tokens_left -= rate * elapsed_ms / count_transfers(sim, link, now);
-    source->hold_until = now + SIM_HOLD_MS; /* it moves: it is kept */
+    source->hold_until = now + SIM_HOLD_MS; /* a result is kept while its transfer makes progress */
     if (r->transfer_tokens_left > 0)
         return;
     source->transferred = true;
@@ -375,7 +375,7 @@
     if (e->step_end > 0)
         step_batch(sim, e, now);
     const uint32_t batch = count_state(e, SIM_DECODE);
-    /* The next step begins where the last one ended, not where this tick happened to see it. */
+    /* A step starts at the exact end of the previous one, not at the later tick that noticed it. */
     const double begin = e->step_end > 0 && now - e->step_end < 5 ? e->step_end : now;
     e->step_end = batch ? begin + (SIM_STEP_BASE_US + SIM_STEP_PER_REQUEST_US * (double)batch) / 1000 : 0;
 }
--- a/programs/stub/stub.c
+++ b/programs/stub/stub.c
@@ -1,15 +1,15 @@
 /** @file stub.c
- * trackcove-stub: stand-in engines, plain services and platform list, many in one process.
+ * trackcove-stub: simulated engines, plain services and the platform's list, all in one process.
  *
- *   /e/ENGINE/v1/completions   prefill (do_remote_decode) or decode (do_remote_prefill), as published for
- *                              disaggregated serving: kv_transfer_params go from one to the other
+ *   /e/ENGINE/v1/completions   prefill (do_remote_decode) or decode (do_remote_prefill), the published
+ *                              interface of disaggregated serving: the prefill's kv_transfer_params go to the decode
  *   /e/ENGINE/v1/streams/ID?from=N   resume a stream
  *   /e/ENGINE/v1/cancel        {"request_id"}
- *   /e/ENGINE/v1/state         what it holds now; /e/ENGINE/v1/load: its load, late
- *   /e/ENGINE/v1/events?since=N  what happened in its prefix cache, late and with gaps
+ *   /e/ENGINE/v1/state         requests it holds now; /e/ENGINE/v1/load: its load, delayed
+ *   /e/ENGINE/v1/events?since=N  changes of its prefix cache, delayed and with gaps
  *   /e/ENGINE/v1/orders        fenced orders
  *   /s/WORKER/...              a plain service's worker
- *   /platform/list             live and leaving boxes, late
+ *   /platform/list             live and leaving engines and workers, delayed
  *   /admin/fault, /admin/stats, /admin/runs   for tests
  */
 
@@ -31,21 +31,21 @@
 enum {
     BODY_BYTES_MAX = 64 * 1024 * 1024,
     STUB_THREADS = 1200,
-    CHANGE_WAIT_MS = 100 /* between two looks whether a caller whose answer is due has left */
+    CHANGE_WAIT_MS = 100 /* interval at which a waiting handler checks for a lost connection */
 };
 
 sim_t *sim;
 worker_t workers[STUB_WORKERS_MAX];
 uint32_t n_workers;
 static double service_ms = 10;
-static gint event_loss_percent = 5;
+static gint event_loss = 5;
 
 int stub_send_error(struct mg_connection *conn, int status, const char *type, const char *text)
 {
     return http_send_json(conn, status, json_pack("{s:{s:s,s:s}}", "error", "type", type, "message", text), 0);
 }
 
-/** End the connection without an answer, as a process does that dies. @return a status for CivetWeb's log */
+/** Closes the connection without a response, like a process that dies. @return a status for CivetWeb's log */
 static int close_without_response(struct mg_connection *conn)
 {
     enum { NO_ANSWER = 499 };
@@ -53,13 +53,13 @@
     return NO_ANSWER;
 }
 
-/** Wait on a request's condition, for a short while at most so that a lost connection is noticed. */
+/** Waits on a request's condition, for CHANGE_WAIT_MS at most so that a lost connection is noticed. Lock held. */
 static void wait_for_change(sim_request_t *r)
 {
     tc_cond_wait_for(&r->changed, &sim->lock, CHANGE_WAIT_MS);
 }
 
-/** One-way delay between the caller's data centre and the engine's, both ways, as the links declare it. */
+/** Sleeps for the round trip between the caller's data centre and the engine's: twice the link's one-way delay. */
 static void network_delay(const struct mg_connection *conn, const char *dc)
 {
     const char *const from = http_header(conn, "X-Trackcove-Dc");
@@ -74,7 +74,7 @@
 
 /* ===== Streams ===== */
 
-/** Whether there is something to write behind place @p sent: an event's tokens, or the end. */
+/** Whether there is something to write after @p sent tokens: a full event, or the end of the stream. */
 static bool event_is_due(const sim_request_t *r, uint32_t sent)
 {
     const uint32_t tokens_max =
@@ -82,7 +82,8 @@
     return r->state >= SIM_DONE || r->generated >= sent + tokens_max;
 }
 
-/** One event of up to the engine's number of tokens, which stand one by one in token_ids. @return tokens out with it */
+/** Appends one event of up to event_tokens_max tokens; with that fault set, token_ids lists them one by one.
+ * @return number of tokens sent, including this event */
 static uint32_t append_event(GString *out, const sim_request_t *r, uint32_t sent)
 {
     const sim_stream_faults_t *const faults = &r->engine->stream_faults;
@@ -106,7 +107,7 @@
     return end;
 }
 
-/** With the lock held: how the event that ends at @p place is written; a stop is used up. */
+/** Returns the faults for the event that ends at @p place, and clears a stop that applies to it. Lock held. */
 static sim_stream_faults_t take_stream_faults(sim_engine_t *e, uint32_t place)
 {
     sim_stream_faults_t faults = e->stream_faults;
@@ -117,13 +118,13 @@
     return faults;
 }
 
-/** Whether an event is written by itself, not together with others that are due. */
-static bool is_written_alone(const sim_stream_faults_t *faults)
+/** Whether the event is the last one in its write. */
+static bool is_last_in_write(const sim_stream_faults_t *faults)
 {
     return faults->write_bytes > 0 || faults->stop != SIM_STOP_NONE;
 }
 
-/** Send bytes in pieces that arrive one by one. */
+/** Sends the data in chunks of @p piece bytes that arrive one by one; 0: in one write. */
 static void send_in_chunks(http_stream_t *stream, const char *data, size_t size, size_t piece)
 {
     enum { CHUNK_INTERVAL_US = 500 };
@@ -137,7 +138,8 @@
     }
 }
 
-/** Stand still until told to go on, the request is cancelled, or no reader can be interested any more. */
+/** Blocks until the test resumes the stream, the request is cancelled, the engine dies, or the stream's retention ends.
+ */
 static void pause_stream(sim_request_t *r, uint32_t resume_count)
 {
     const double until = tc_time_exact() + SIM_STREAM_RETENTION_MS;
@@ -149,7 +151,7 @@
     pthread_mutex_unlock(&sim->lock);
 }
 
-/** Write events, of which the last, at @p last, may be stopped. @return false when the connection is to end */
+/** Writes events; a stop interrupts the last one, at offset @p last. @return false if the connection must be closed */
 static bool write_events(http_stream_t *stream, sim_request_t *r, const GString *out, size_t last,
                          const sim_stream_faults_t *faults)
 {
@@ -162,7 +164,7 @@
     return faults->stop != SIM_STOP_BREAK;
 }
 
-/** Send tokens as they come, from place @p from on. The stream outlives its reader: only a cancel ends it. */
+/** Streams tokens from position @p from on. Decoding goes on when the reader disconnects: only a cancel ends it. */
 static int stream_tokens(struct mg_connection *conn, sim_request_t *r, uint32_t from)
 {
     http_stream_t stream = {.conn = conn, .sse = true};
@@ -177,8 +179,8 @@
             break;
         g_string_truncate(out, 0);
         sim_stream_faults_t faults = {.stop = SIM_STOP_NONE};
-        size_t last = 0; /* where the last event begins */
-        while (sent < r->generated && event_is_due(r, sent) && !is_written_alone(&faults)) {
+        size_t last = 0; /* offset of the last event */
+        while (sent < r->generated && event_is_due(r, sent) && !is_last_in_write(&faults)) {
             last = out->len;
             sent = append_event(out, r, sent);
             faults = take_stream_faults(r->engine, sent);
@@ -210,7 +212,7 @@
         return stub_send_error(conn, 409, "kv_lost", "the prefill result is gone");
     if (none_sent)
         return stub_send_error(conn, 410, "cancelled", "cancelled");
-    return close_without_response(conn); /* cut without the last chunk: the reader sees a broken stream */
+    return close_without_response(conn); /* without the final chunk: the reader sees a truncated stream */
 }
 
 /* ===== Completions ===== */
@@ -358,7 +360,7 @@
     sim_event_t events[SIM_CACHE_EVENTS_MAX];
     pthread_mutex_lock(&sim->lock);
     const uint32_t n =
-        sim_cache_events(sim, e, since, (uint32_t)event_loss_percent, events, SIM_CACHE_EVENTS_MAX, tc_time_exact());
+        sim_cache_events(sim, e, since, (uint32_t)event_loss, events, SIM_CACHE_EVENTS_MAX, tc_time_exact());
     pthread_mutex_unlock(&sim->lock);
     json_t *const list = json_array();
     for (uint32_t i = 0; i < n; i++) {
@@ -540,15 +542,14 @@
     gchar *listen = NULL, *config_path = NULL;
     gint load_lag = 500, list_lag = 1500;
     const GOptionEntry entries[] = {
-        {"listen", 'l', 0, G_OPTION_ARG_STRING, &listen, "where to listen", "IP:PORT"},
+        {"listen", 'l', 0, G_OPTION_ARG_STRING, &listen, "address to listen on", "IP:PORT"},
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &config_path, "configuration with engines, services and links",
          "FILE"},
-        {"load-lag-ms", 0, 0, G_OPTION_ARG_INT, &load_lag, "age of load reports, ms (500)", "MS"},
-        {"event-loss", 0, 0, G_OPTION_ARG_INT, &event_loss_percent, "cache events that never come, in a hundred (5)",
-         "N"},
-        {"list-lag-ms", 0, 0, G_OPTION_ARG_INT, &list_lag, "age of the platform's list, ms (1500)", "MS"},
+        {"load-lag-ms", 0, 0, G_OPTION_ARG_INT, &load_lag, "delay of load reports and cache events, ms (500)", "MS"},
+        {"event-loss", 0, 0, G_OPTION_ARG_INT, &event_loss, "share of cache events that are lost, per cent (5)", "N"},
+        {"list-lag-ms", 0, 0, G_OPTION_ARG_INT, &list_lag, "delay of the platform's list, ms (1500)", "MS"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
-    GOptionContext *const context = g_option_context_new("- stand-in engines, services and platform list");
+    GOptionContext *const context = g_option_context_new("- simulated engines, plain services and platform list");
     g_option_context_add_main_entries(context, entries, NULL);
     GError *error = NULL;
     if (!g_option_context_parse(context, &argc, &argv, &error) || !listen || !config_path) {
@@ -582,5 +583,5 @@
         sim_advance(sim, tc_time_exact());
         g_usleep(1000);
     }
-    _exit(0); /* handlers may be waiting inside; there is nothing to save */
+    _exit(0); /* without exit handlers: HTTP threads may be blocked, and there is no state to save */
 }
--- a/programs/stub_answer.h
+++ b/programs/stub_answer.h
@@ -1,8 +1,9 @@
 /** @file stub_answer.h
- * What the stand-in engines and the load tool must agree on: the answer to a prompt.
+ * The deterministic answer to a prompt, shared by the stub engines and by the clients that verify it.
  *
- * Each token depends on the whole prompt and on its place, so that a wrong,
- * mixed, short or doubled answer is seen by whoever knows the prompt.
+ * Each token depends on the whole prompt and on the token's position, so that
+ * a client which knows the prompt detects a wrong, mixed up, truncated or
+ * duplicated answer.
  */
 #ifndef TRACKCOVE_PROGRAMS_STUB_ANSWER_H
 #define TRACKCOVE_PROGRAMS_STUB_ANSWER_H
@@ -17,7 +18,7 @@
 
 /** Bytes of text counted as one token. */
 #define STUB_BYTES_PER_TOKEN 4u
-/** Size of one token's text with its end mark: a space and seven hex digits. */
+/** Size of one token's text with its terminating zero: a space and seven hex digits. */
 #define STUB_TOKEN_BYTES 9
 
 static inline uint64_t stub_prompt_hash(const char *prompt, size_t size)
@@ -31,7 +32,7 @@
     snprintf(to, STUB_TOKEN_BYTES, " %07llx", (unsigned long long)(mixed & 0xfffffff));
 }
 
-/** Whether @p text is just what follows the first @p got tokens, up to @p place; an event may hold several. */
+/** Whether @p text is exactly the tokens [@p got, @p place) of the answer; one event may hold several tokens. */
 static inline bool stub_text_matches(const char *text, uint64_t prompt_hash, uint32_t got, uint32_t place)
 {
     char token[STUB_TOKEN_BYTES];
@@ -45,7 +46,7 @@
     return true;
 }
 
-/** How long the answer is: 40 to 100 per cent of what the caller allows, fixed by the prompt. */
+/** Length of the answer in tokens, at least 1: 40 to 100 per cent of @p max_tokens, determined by the prompt. */
 static inline uint32_t stub_answer_length(uint64_t prompt_hash, uint32_t max_tokens)
 {
     const uint32_t share = 40 + (uint32_t)(prompt_hash >> 20) % 61;
--- a/programs/trackcove/account.c
+++ b/programs/trackcove/account.c
@@ -1,4 +1,4 @@
-/* What came of callers, by cause: from log files. */
+/* Outcomes of requests by cause, computed from log files. */
 
 #include <stdio.h>
 
@@ -45,7 +45,7 @@
     for (gchar **path = options->logs; *path; path++) {
         FILE *const in = fopen(*path, "r");
         if (!in) {
-            fprintf(stderr, "trackcove account: cannot read %s\n", *path);
+            fprintf(stderr, "trackcove account: cannot open log file %s\n", *path);
             account_destroy(account);
             return CLI_FAILED;
         }
--- a/programs/trackcove/cli.h
+++ b/programs/trackcove/cli.h
@@ -1,5 +1,5 @@
 /** @file cli.h
- * Shared by the parts of the operators' command line.
+ * Shared by the commands of the operators' command line.
  */
 #ifndef TRACKCOVE_CLI_H
 #define TRACKCOVE_CLI_H
@@ -11,29 +11,32 @@
 /** Exit codes, as shown by --help. */
 enum { CLI_OK = 0, CLI_FAILED = 1, CLI_USAGE = 2, CLI_REFUSED = 3, CLI_UNREACHABLE = 4 };
 
-/** Options every command takes. */
+/** Options of all commands. */
 typedef struct {
-    gchar *control; /**< control boxes, comma between */
-    gchar *entry;   /**< one entry box */
+    gchar *control; /**< addresses of control boxes, comma-separated */
+    gchar *entry;   /**< address of an entry box */
     gchar *token;
     gchar *request_id;
-    gchar **logs; /**< log files, for explain */
-    gint64 base;  /**< version a plan is made for, -1: the newest */
-    gint count;   /**< lines of watch, 0 for ever */
+    gchar **logs; /**< log files, for explain and account */
+    gint64 base;  /**< configuration version that a plan applies to; -1: the newest */
+    gint count;   /**< number of lines that watch prints; 0: no limit */
     gboolean json;
 } cli_options_t;
 
-/** Call a control box, the leader if it must be. @param body NULL for GET, else taken over
- * @param code exit code on failure @return answer, new reference, or NULL after a message */
+/** Calls the control boxes in turn until one gives a final answer. Status and members must come from the leader; after
+ * three rounds without it a follower's answer is returned.
+ * @param body NULL: GET; else POST, and the reference is stolen
+ * @param code set to the exit code, also on success
+ * @return the answer, a new reference, or NULL after a message on stderr */
 json_t *cli_control(const cli_options_t *options, const char *path, json_t *body, int *code);
 
-/** GET from an address. */
+/** Sends a GET request to an entry box. @param addr NULL prints a message and fails; other parameters as above */
 json_t *cli_get(const char *addr, const char *path, int *code);
 
-/** Print the answer as JSON when --json was given. @return whether it did */
+/** Prints the answer as JSON if --json was given. @return whether it did */
 bool cli_print_json(const cli_options_t *options, const json_t *answer);
 
-/** Commands: return an exit code. */
+/** Commands; they return an exit code. */
 int cmd_check(const cli_options_t *options, int argc, char **argv);
 int cmd_token(const cli_options_t *options, int argc, char **argv);
 int cmd_data(const cli_options_t *options, int argc, char **argv);
--- a/programs/trackcove/local.c
+++ b/programs/trackcove/local.c
@@ -1,4 +1,4 @@
-/* Commands that need no running system. */
+/* Commands that work without a running system. */
 
 #include <sodium.h>
 #include <stdio.h>
@@ -28,7 +28,7 @@
             fprintf(stderr, "%s: %s: %s\n", argv[1], err.peer, err.detail);
             return CLI_USAGE;
         }
-        printf("%s: good\n", argv[1]);
+        printf("%s: valid\n", argv[1]);
         codec_free(kinds[i].desc, object);
         g_free(object);
         return CLI_OK;
@@ -50,7 +50,7 @@
     if (options->json)
         printf("{\"token\":\"%s\",\"token_hash\":\"%s\"}\n", token, hash);
     else
-        printf("token       %s   (give it to the operator; it is not kept)\ntoken_hash  %s   (into the control boxes' "
+        printf("token       %s   (give it to the operator; it is not stored)\ntoken_hash  %s   (for the control boxes' "
                "settings)\n",
                token, hash);
     return CLI_OK;
@@ -78,7 +78,7 @@
     json_decref(line);
 }
 
-/** Keep a line that names the request. */
+/** Parses a log line and appends it if its field "request" is @p request. */
 static void collect_line(GPtrArray *lines, const char *text, const char *request)
 {
     json_t *const line = json_loads(text, 0, NULL);
@@ -88,7 +88,7 @@
     json_decref(line);
 }
 
-/** By the boxes' wall clocks, which may differ; lines of one box stay in their order. */
+/** Orders lines by time. The boxes' wall clocks may differ; lines of one box keep their order. */
 static int compare_times(const void *a, const void *b)
 {
     const json_int_t x = json_integer_value(json_object_get(*(json_t *const *)a, "time"));
@@ -127,7 +127,7 @@
     for (gchar **path = options->logs; *path; path++) {
         FILE *const in = fopen(*path, "r");
         if (!in) {
-            fprintf(stderr, "trackcove explain: cannot read %s\n", *path);
+            fprintf(stderr, "trackcove explain: cannot open log file %s\n", *path);
             g_ptr_array_free(lines, TRUE);
             return CLI_FAILED;
         }
--- a/programs/trackcove/main.c
+++ b/programs/trackcove/main.c
@@ -11,33 +11,33 @@
 typedef struct {
     const char *name;
     int (*run)(const cli_options_t *options, int argc, char **argv);
-    int args; /* needed after the name */
+    int args; /* number of required arguments after the name */
     const char *usage;
     const char *help;
 } command_entry_t;
 
 static const command_entry_t commands[] = {
-    {"check", cmd_check, 2, "check entry|control|config FILE", "check settings without starting anything"},
-    {"status", cmd_status, 0, "status", "leader, accepted and in-force version, who lags, cells"},
-    {"boxes", cmd_boxes, 0, "boxes", "entry boxes the control leader hears"},
-    {"entries", cmd_entries, 0, "entries --entry IP:PORT", "what callers are told to use"},
+    {"check", cmd_check, 2, "check entry|control|config FILE", "validate a settings file"},
+    {"status", cmd_status, 0, "status", "leader, accepted and in-force version, lagging boxes, cells"},
+    {"boxes", cmd_boxes, 0, "boxes", "entry boxes that report to the control leader"},
+    {"entries", cmd_entries, 0, "entries --entry IP:PORT", "entry boxes that callers are told to use"},
     {"engines", cmd_engines, 0, "engines --entry IP:PORT", "engines as the schedulers on that box see them"},
     {"config", cmd_config, 0, "config", "the accepted configuration"},
-    {"plan", cmd_plan, 1, "plan FILE|-", "what a JSON merge patch would change; nothing changes yet"},
-    {"confirm", cmd_confirm, 1, "confirm PLAN", "make a plan the next version"},
-    {"reject", cmd_reject, 1, "reject PLAN", "drop a plan"},
-    {"plans", cmd_plans, 0, "plans", "plans that wait"},
+    {"plan", cmd_plan, 1, "plan FILE|-", "show what a JSON merge patch would change, without changing it"},
+    {"confirm", cmd_confirm, 1, "confirm PLAN", "apply a plan as the next version"},
+    {"reject", cmd_reject, 1, "reject PLAN", "discard a plan"},
+    {"plans", cmd_plans, 0, "plans", "plans waiting for confirmation"},
     {"history", cmd_history, 0, "history", "accepted changes, newest first"},
-    {"diff", cmd_diff, 1, "diff VERSION", "the patch that leads from now back to a version"},
-    {"rollback", cmd_rollback, 1, "rollback VERSION", "plan a new version equal to an old one"},
-    {"watch", cmd_watch, 0, "watch [--count N]", "a line for each change of accepted or in-force version"},
+    {"diff", cmd_diff, 1, "diff VERSION", "the patch from the current version back to VERSION"},
+    {"rollback", cmd_rollback, 1, "rollback VERSION", "plan a new version that equals an earlier one"},
+    {"watch", cmd_watch, 0, "watch [--count N]", "print a line for each change of the accepted or in-force version"},
     {"drain", cmd_drain, 1, "drain BOX", "planned stop of an entry box"},
-    {"undrain", cmd_undrain, 1, "undrain BOX", "let the box start again"},
-    {"explain", cmd_explain, 1, "explain REQUEST --log FILE...", "every decision about a request, from log files"},
+    {"undrain", cmd_undrain, 1, "undrain BOX", "let a drained box start again"},
+    {"explain", cmd_explain, 1, "explain REQUEST --log FILE...", "all decisions about a request, from log files"},
     {"account", cmd_account, 0, "account --log FILE...",
-     "requests that were served late or not, by cause, from log files"},
-    {"token", cmd_token, 0, "token", "make an operator's token and its hash for the settings"},
-    {"data", cmd_data, 2, "data check DIR", "verify a data folder offline"},
+     "requests served late or not at all, by cause, from log files"},
+    {"token", cmd_token, 0, "token", "generate an operator's token and its hash for the settings"},
+    {"data", cmd_data, 2, "data check DIR", "verify a data directory offline"},
 };
 
 static const char EXAMPLES[] =
@@ -47,7 +47,7 @@
     "  trackcove status\n"
     "  echo '{\"targets\":{\"max_queue\":256}}' | trackcove plan -\n"
     "  trackcove confirm plan-3f1c...\n"
-    "Exit codes: 0 done, 1 failed, 2 wrong usage or settings, 3 refused (nothing changed), 4 no control leader "
+    "Exit codes: 0 success, 1 failure, 2 invalid usage or settings, 3 refused (nothing changed), 4 no control leader "
     "reached.\n";
 
 static char *summary(void)
@@ -69,7 +69,7 @@
         }
         return commands[i].run(options, argc - 2, argv + 2);
     }
-    fprintf(stderr, "trackcove: no command %s; see trackcove --help\n", argv[1]);
+    fprintf(stderr, "trackcove: unknown command %s; see trackcove --help\n", argv[1]);
     return CLI_USAGE;
 }
 
@@ -78,14 +78,15 @@
     cli_options_t o = {
         .control = g_strdup(g_getenv("TRACKCOVE_CONTROL")), .token = g_strdup(g_getenv("TRACKCOVE_TOKEN")), .base = -1};
     const GOptionEntry entries[] = {
-        {"control", 'c', 0, G_OPTION_ARG_STRING, &o.control, "control boxes (or TRACKCOVE_CONTROL)", "IP:PORT,..."},
-        {"entry", 'e', 0, G_OPTION_ARG_STRING, &o.entry, "an entry box", "IP:PORT"},
+        {"control", 'c', 0, G_OPTION_ARG_STRING, &o.control, "addresses of control boxes (or TRACKCOVE_CONTROL)",
+         "IP:PORT,..."},
+        {"entry", 'e', 0, G_OPTION_ARG_STRING, &o.entry, "address of an entry box", "IP:PORT"},
         {"token", 't', 0, G_OPTION_ARG_STRING, &o.token, "operator's token (or TRACKCOVE_TOKEN)", "TOKEN"},
-        {"request-id", 'r', 0, G_OPTION_ARG_STRING, &o.request_id, "id of this request: a resend with it is safe",
-         "ID"},
-        {"base", 'b', 0, G_OPTION_ARG_INT64, &o.base, "version a plan is made for (the newest)", "VERSION"},
-        {"log", 'l', 0, G_OPTION_ARG_FILENAME_ARRAY, &o.logs, "log file, may be given often", "FILE"},
-        {"count", 'n', 0, G_OPTION_ARG_INT, &o.count, "stop watching after so many lines", "N"},
+        {"request-id", 'r', 0, G_OPTION_ARG_STRING, &o.request_id,
+         "id of this request; resending with the same id is safe", "ID"},
+        {"base", 'b', 0, G_OPTION_ARG_INT64, &o.base, "version that a plan applies to (the newest)", "VERSION"},
+        {"log", 'l', 0, G_OPTION_ARG_FILENAME_ARRAY, &o.logs, "log file; may be repeated", "FILE"},
+        {"count", 'n', 0, G_OPTION_ARG_INT, &o.count, "stop watching after N lines", "N"},
         {"json", 'j', 0, G_OPTION_ARG_NONE, &o.json, "print the answer as JSON", NULL},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
     GOptionContext *const context = g_option_context_new("COMMAND [ARGUMENT...]");
--- a/programs/trackcove/remote.c
+++ b/programs/trackcove/remote.c
@@ -1,4 +1,4 @@
-/* Commands that ask control and entry boxes. */
+/* Commands that call control and entry boxes. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -48,7 +48,7 @@
         fprintf(stderr, "trackcove: refused: %s\n", detail ? detail : "");
 }
 
-/** Whether the answer must come from the leader. */
+/** Whether the path must be answered by the leader and @p answer is not from it. */
 static bool needs_leader(const char *path, const json_t *answer)
 {
     return strcmp(path, "/v1/status") == 0 || strcmp(path, "/v1/members") == 0
@@ -69,7 +69,7 @@
     gchar **const boxes = g_strsplit(o->control, ",", 0);
     const guint n = g_strv_length(boxes);
     json_t *answer = NULL, *follower_answer = NULL;
-    /* A resend with the same request id gets the first answer, so trying again is safe. */
+    /* A resend with the same request id gets the first answer, so retrying is safe. */
     for (guint i = 0; i < n * ROUNDS_MAX && !answer; i++) {
         int status = 0;
         json_t *const response = call_once(o, boxes[i % n], path, text, &status);
@@ -96,8 +96,7 @@
     }
     json_decref(follower_answer);
     if (!answer) {
-        fprintf(stderr,
-                "trackcove: no control leader answered; the outcome is unknown: ask again with --request-id %s\n",
+        fprintf(stderr, "trackcove: no control leader answered; the outcome is unknown: retry with --request-id %s\n",
                 o->request_id);
         *code = CLI_UNREACHABLE;
     } else if (*code != CLI_OK) {
@@ -150,7 +149,7 @@
     free(text);
 }
 
-/* ===== Showing ===== */
+/* ===== Queries ===== */
 
 int cmd_status(const cli_options_t *o, int argc, char **argv)
 {
@@ -210,7 +209,7 @@
     json_t *const answer = cli_get(o->entry, "/v1/entries?caller=operator", &code);
     if (code != CLI_OK || cli_print_json(o, answer))
         return code;
-    printf("keep for %lld ms\n", get_integer(answer, "keep_ms"));
+    printf("valid for %lld ms\n", get_integer(answer, "keep_ms"));
     size_t i;
     json_t *e;
     json_array_foreach(json_object_get(answer, "entries"), i, e)
@@ -232,7 +231,7 @@
         printf("cell %s is scheduled by %s (epoch %lld)\n", get_string(h, "cell"), get_string(h, "box"),
                get_integer(h, "epoch"));
     json_array_foreach(json_object_get(answer, "hosted"), i, h) {
-        printf("here: cell %s, %lld queued, %lld placed, %lld being cancelled\n", get_string(h, "cell"),
+        printf("on this box: cell %s, %lld queued, %lld placed, %lld being cancelled\n", get_string(h, "cell"),
                get_integer(h, "queued"), get_integer(h, "placed"), get_integer(h, "cancelling"));
         json_array_foreach(json_object_get(h, "engines"), k, e)
             printf("  %-12s %-8s pieces %3lld/%-3lld batch %2lld backlog %4lld ms  %.0f tokens/s%s%s\n",
@@ -310,7 +309,7 @@
     return CLI_OK;
 }
 
-/* ===== Changing ===== */
+/* ===== Changes ===== */
 
 static int submit_change(const cli_options_t *o, const char *path, json_t *body)
 {
@@ -321,8 +320,8 @@
         return code;
     const json_t *const effect = json_object_get(answer, "effect");
     if (effect) {
-        printf("plan       %s\nfor        version %lld\ntakes      %lld ms, of them %lld ms of the weight "
-               "store\ncapacity   %.2f of a role out for that time\n",
+        printf("plan       %s\nfor        version %lld\ntakes      %lld ms, of which %lld ms of the weight "
+               "store\ncapacity   %.2f of a role unavailable during that time\n",
                get_string(answer, "plan"), get_integer(answer, "base"), get_integer(effect, "takes_ms"),
                get_integer(effect, "weight_store_ms"), json_real_value(json_object_get(effect, "capacity_out_share")));
         size_t i;
@@ -362,7 +361,7 @@
     *version = strtoll(text, &end, 10);
     if (*end == '\0' && *version > 0)
         return true;
-    fprintf(stderr, "trackcove: a version is a whole number from 1, not %s\n", text);
+    fprintf(stderr, "trackcove: invalid version %s: must be an integer of at least 1\n", text);
     return false;
 }
 
