--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""What each mechanism is worth: plays the standard days of sites with one mechanism after the other switched off.
+"""Measures the benefit of each feature: runs the standard days of sites with one feature disabled at a time.
 
     FLEETBENCH=PROGRAM scripts/ablation.py [--seeds 0,1,2,3] [--days a,b] [--jobs 8] [--only queue,roles] SITE.toml...
 
-Works on a copy of the committed tree, since a switch goes into the template of the settings there. Prints a line a
-mechanism: the difference of the mean worth to all switched on. No processor time is charged, so a play mostly repeats.
+Works on a clone of the committed tree, in which it changes the template of the settings. Prints one line per feature:
+the difference of its mean score to that with all features enabled. No processor time is charged, so runs are mostly
+reproducible.
 """
 import argparse
 import concurrent.futures
@@ -18,18 +19,18 @@
 import tomllib
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# What platform/settings.c reads of the platform's fields.
+# The platform's fields that platform/settings.c reads.
 FIELDS = ["node_name", "ip", "zone", "data_dir", "listen", "cloud", "fault_tolerance", "bootstrap", "internal_ports",
           "seeds", "bounds"]
 
 
-def mechanisms():
+def features():
     with open(os.path.join(ROOT, "lib/common/feature.c"), encoding="utf-8") as source:
         return re.findall(r'\[FEATURE_\w+\] = "(\w+)"', source.read())
 
 
-def switch(tree, off):
-    """Have every program in the tree do without the mechanisms named."""
+def disable_features(tree, off):
+    """Disable the named features for every program in the tree."""
     template = json.dumps({"without": off})[:-1] + "".join(f', "{f}": {{{{{f}|json}}}}' for f in FIELDS) + " }"
     with open(os.path.join(tree, "deploy/settings.json.in"), "w", encoding="utf-8") as out:
         out.write(template)
@@ -39,7 +40,7 @@
         out.write(text)
 
 
-def play(job):
+def run_day(job):
     bench, tree, site, day, seed, why = job
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         done = subprocess.run([bench, "run", site, day, "--no-cpu", "--seed", seed, "--report", report.name, "--why", why],
@@ -54,7 +55,7 @@
 
 
 def measure(args, bench, tree, off):
-    switch(tree, off)
+    disable_features(tree, off)
     subprocess.run([bench, "build"], cwd=tree, check=True, capture_output=True)
     why = f"ablation: without {', '.join(off) or 'nothing'}"
     jobs = []
@@ -64,8 +65,8 @@
                 jobs += [(bench, tree, site, day["name"], seed, why) for seed in args.seeds.split(",")]
     sums = {}
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
-        for site, worth in pool.map(play, jobs):
-            sums.setdefault(site, []).append(worth)
+        for site, score in pool.map(run_day, jobs):
+            sums.setdefault(site, []).append(score)
     return {site: sum(w) / len(w) for site, w in sums.items()}
 
 
@@ -75,18 +76,18 @@
     parser.add_argument("--days")
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--only")
-    parser.add_argument("--keep-journal", help="copy the plays' journal entries into this folder")
+    parser.add_argument("--keep-journal", help="copy the journal entries of the runs into this folder")
     parser.add_argument("sites", nargs="+")
     args = parser.parse_args()
     args.sites = [os.path.abspath(s) for s in args.sites]
     bench = os.path.abspath(os.environ["FLEETBENCH"])
     tree = tempfile.mkdtemp(prefix="trackcove-ablation-")
     subprocess.run(["git", "clone", "-q", ROOT, tree], check=True)
-    whole = measure(args, bench, tree, [])
-    print("all on: " + ", ".join(f"{site} {worth:.4f}" for site, worth in whole.items()), flush=True)
-    for name in args.only.split(",") if args.only else mechanisms():
-        worth = measure(args, bench, tree, [name])
-        print(f"| {name} | " + " | ".join(f"{worth[site] - whole[site]:+.4f}" for site in whole) + " |", flush=True)
+    baseline = measure(args, bench, tree, [])
+    print("all on: " + ", ".join(f"{site} {score:.4f}" for site, score in baseline.items()), flush=True)
+    for name in args.only.split(",") if args.only else features():
+        score = measure(args, bench, tree, [name])
+        print(f"| {name} | " + " | ".join(f"{score[site] - baseline[site]:+.4f}" for site in baseline) + " |", flush=True)
     if args.keep_journal:
         shutil.copytree(os.path.join(tree, "journal"), args.keep_journal, dirs_exist_ok=True)
     shutil.rmtree(tree)
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Write docs/CAPACITY.md and its plots' data from bench/results/scale.jsonl; with --check only compare.
 
-Every figure on the page comes from the measured lines through the fits below.
+All figures of the page are computed from the measurements with the fits below.
 """
 import json
 import math
@@ -14,19 +14,19 @@
 DATA = os.path.join(ROOT, "bench/results/scale.jsonl")
 PAGE = os.path.join(ROOT, "docs/CAPACITY.md")
 
-# The size to come (the users' letter) and what follows from it.
+# The target size, as given by the users, and what follows from it.
 NODES, WORKERS, ACCELERATORS, REQUESTS, TOKENS = 410, 2400, 4900, 4300, 2_000_000
 WORKSPACES, MODELS, REGIONS, DCS, CHANGES_A_DAY, KV_GB = 21000, 4, 5, 17, 3000, 2600
 FAILS_A_DAY, RESTARTS_A_DAY = 52, 480
 LIMIT_CORE, LIMIT_MB, LIMIT_BYTES, LIMIT_BOXES = 0.012, 128, 13_000, 10
 CELL_ENGINES = 30
-ONCE_SHARE = 0.05  # requests and calls that may not be repeated; the share in both users' mixes is below it
+ONCE_SHARE = 0.05  # non-repeatable requests and calls; the share in both users' mixes is lower
 BEATS_A_SECOND, RENEWS_A_SECOND, POLL_BYTES = 4, 1000 / 300, 0
 DAY = 86400
 
 
 class Fits:
-    """Measured points by measure, with straight-line fits."""
+    """Measured points by measure, with linear fits."""
 
     def __init__(self, path):
         self.points = {}
@@ -43,8 +43,8 @@
         sxx = sum((p[0] - mx) ** 2 for p in pts)
         slope = sum((p[0] - mx) * (p[1] - my) for p in pts) / sxx if sxx else 0.0
         intercept = my - slope * mx
-        rest = sum((p[1] - slope * p[0] - intercept) ** 2 for p in pts)
-        err = math.sqrt(rest / (n - 2) / sxx) if n > 2 and sxx else 0.0
+        residual = sum((p[1] - slope * p[0] - intercept) ** 2 for p in pts)
+        err = math.sqrt(residual / (n - 2) / sxx) if n > 2 and sxx else 0.0
         return slope, intercept, err
 
     def at(self, name, x):
@@ -59,7 +59,7 @@
 
 
 def num(value, digits=3):
-    """A figure for people: few digits, thousands apart."""
+    """Format a figure with few digits and thousands separators."""
     if value >= 1000:
         return f"{value:,.0f}"
     return f"{value:.{digits}g}"
@@ -78,7 +78,7 @@
 
 
 def figures(f):
-    """Work the size to come out of the fits."""
+    """Compute the figures at the target size from the fits."""
     cells = WORKERS / CELL_ENGINES
     region_nodes = NODES / REGIONS
     per_node = REQUESTS / NODES
@@ -227,26 +227,26 @@
 
 
 def spread(values):
-    """Least to most of what several sweeps gave; one figure where they agree."""
+    """Range of the values of several sweeps; a single figure where they agree."""
     shown = [num(v) for v in sorted(values)]
     return shown[0] if shown[0] == shown[-1] else f"{shown[0]} to {shown[-1]}"
 
 
 def sweep_section():
-    """What sweeps showed, by deployment; raises SweepError for a figure that no finished sweep gave."""
+    """Results of the sweeps by deployment; raises SweepError for a figure without a finished sweep."""
     all_rows = sweep.read()
     heads = [r for r in all_rows if "days" in r]
     for head in heads:
         sweep.check(head)
     out = []
     for name in dict.fromkeys(h["deployment"] for h in heads):
-        mine = [h for h in heads if h["deployment"] == name]
-        boxes = [d["boxes"] for d in mine[0]["days"]]
+        own_heads = [h for h in heads if h["deployment"] == name]
+        boxes = [d["boxes"] for d in own_heads[0]["days"]]
         played = "; ".join(
-            f"{n} boxes: worth {spread([h['days'][i]['worth'] for h in mine])}, "
-            f"served {spread([h['days'][i]['served'] for h in mine])}"
-            + (", RULE BROKEN" if any(h["days"][i]["broken"] for h in mine) else "") for i, n in enumerate(boxes))
-        times = "one sweep" if len(mine) == 1 else f"{len(mine)} sweeps"
+            f"{n} boxes: worth {spread([h['days'][i]['worth'] for h in own_heads])}, "
+            f"served {spread([h['days'][i]['served'] for h in own_heads])}"
+            + (", RULE BROKEN" if any(h["days"][i]["broken"] for h in own_heads) else "") for i, n in enumerate(boxes))
+        times = "one sweep" if len(own_heads) == 1 else f"{len(own_heads)} sweeps"
         out += [f"**{name}** ({times}): {played}.", ""]
         lines = {}
         for r in all_rows:
@@ -263,7 +263,7 @@
 
 
 def platform_section():
-    """What trackcove-forwardd and trackcove-registryd took in played days, and what that comes to at the aim."""
+    """Resources used by trackcove-forwardd and trackcove-registryd in simulated days, extrapolated to the target size."""
     with open(PLATFORM, encoding="utf-8") as handle:
         rows = [json.loads(line) for line in handle]
     small, large = rows[0], rows[-1]
@@ -301,7 +301,7 @@
 
 
 def sizes_section():
-    """What a configuration costs on the users' platform, by its size."""
+    """Cost of a configuration on the users' platform, by its size."""
     f = Fits(SIZES)
     columns = ["text_kb", "packed_kb", "control_kb", "entry_kb", "link_kb", "acknowledged_ms", "in_force_ms"]
     points = {c: dict(f.points["config_size_" + c]) for c in columns}
--- a/scripts/docs.py
+++ b/scripts/docs.py
@@ -42,7 +42,7 @@
         found |= set(re.findall(r'log_begin\(&line, [^,]+, "(\w+)"', text))
         found |= set(re.findall(r'log_failure\([^,]+, "(\w+)"', text))
         found |= set(re.findall(r'log_hosting\(\w+, "(\w+)"', text))
-        found |= set(re.findall(r'log_trouble\(\w+, "(\w+)"', text))
+        found |= set(re.findall(r'log_attempt_error\(\w+, "(\w+)"', text))
         found |= set(re.findall(r'log_request\("(\w+)"', text))
         found |= set(re.findall(r'(?:forward_log|forward_log_end)\(\w+, "(\w+)"', text))
         for either in re.findall(r'log_begin\(&line, \w+ \? LOG_INFO : LOG_WARN, \w+ \? "(\w+)" : "(\w+)"\)', text):
--- a/scripts/examples.py
+++ b/scripts/examples.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
 """Write examples/sahel and examples/river: the two deployments as settings.
 
-Ports: base + 0 stand-in, +101.. entries for callers, +201.. entries for peers,
+Ports: base + 0 stub, +101.. entries for callers, +201.. entries for peers,
 +301.. control for operators, +401.. control for peers. Paths are relative to
-the deployment's folder, where each process is started.
+the deployment's folder, in which each process is started.
 """
 import hashlib
 import json
 import os
 
 ROOT = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..", "examples")
-# The demonstration operator's token; its hash stands in the settings. Make your own with `trackcove token`.
+# Token of the demonstration operator, whose hash is in the settings. Create your own with `trackcove token`.
 DEMO_TOKEN = "demo-operator-token-0123456789abcdef"
 DEPLOYMENTS = {
     "sahel": {
@@ -25,7 +25,7 @@
 
 
 def config(d):
-    """Return the configuration that the founder accepts as version 1."""
+    """Return the initial configuration, accepted as version 1 when the cluster is founded."""
     stub = f"http://127.0.0.1:{d['base']}"
     engines = {}
     for role, short in (("prefill", "p"), ("decode", "d")):
--- a/scripts/plots.py
+++ b/scripts/plots.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Draw docs/plots from bench/results with gnuplot: policies against load, and slopes."""
+"""Draw docs/plots from bench/results with gnuplot: policies by load, and linear fits of the scale measurements."""
 import json
 import os
 import subprocess
--- a/scripts/results.py
+++ b/scripts/results.py
@@ -48,12 +48,12 @@
     for key in sorted(found):
         if key[3] != "cell" or key[1] not in ("plain", "lag_doubled"):
             continue
-        mine = middle(found[key], "goodput")[0]
+        own = middle(found[key], "goodput")[0]
         cells = []
         for other in ("least_loaded", "random", "share"):
             rows = found.get((key[0], key[1], key[2], other))
-            theirs = middle(rows, "goodput")[0] if rows else 0
-            cells.append(f"{mine / theirs:.2f}" if theirs else "")
+            baseline = middle(rows, "goodput")[0] if rows else 0
+            cells.append(f"{own / baseline:.2f}" if baseline else "")
         lines.append(f"| {key[0]} | {key[2]} | {key[1]} | " + " | ".join(cells) + " |")
     return lines + [""]
 
--- a/scripts/sweep.py
+++ b/scripts/sweep.py
@@ -1,12 +1,11 @@
 #!/usr/bin/env python3
-"""Put what sweeps of the users' bench show into bench/results/sweep.jsonl, in place of what stood there of the same
-deployments.
+"""Write results of sweeps of the users' bench to bench/results/sweep.jsonl, replacing those of the same deployments.
 
     scripts/sweep.py NAME=OUTPUT ...
 
-NAME is how docs/CAPACITY.md calls the deployment, OUTPUT a file with what the sweep printed; a name may come several
-times, once a sweep. A sweep without a finished entry in the journal, or with other figures than its entry, is refused.
-Then scripts/capacity.py.
+NAME is the deployment's name in docs/CAPACITY.md, OUTPUT a file with the sweep's output; a name may be given once for
+each of several sweeps. A sweep that has no finished journal entry, or whose figures differ from its entry, is refused.
+Run scripts/capacity.py afterwards.
 """
 import glob
 import json
@@ -17,7 +16,8 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 JOURNAL = os.path.join(ROOT, "journal")
 RESULTS = os.path.join(ROOT, "bench/results/sweep.jsonl")
-# What the bench prints, and what the page calls it: the busiest box of the role, or the longest time.
+# Label in the output of the bench -> label on the page. Values are those of the busiest box of the role, or the longest
+# time.
 ROWS = {
     "forward: processor %": "entry: processor, % of a core",
     "forward: memory MB": "entry: memory, MB",
@@ -35,11 +35,11 @@
 
 
 class SweepError(Exception):
-    """A figure that no finished sweep gave."""
+    """A figure that does not come from a finished sweep."""
 
 
 def entry_of(journal_id, folder=JOURNAL):
-    """The finished entry of a sweep."""
+    """Return the finished journal entry of a sweep."""
     found = glob.glob(os.path.join(folder, f"*-{journal_id}.json")) if journal_id else []
     if not found:
         raise SweepError(f"sweep {journal_id or 'without a snapshot'}: no journal entry")
@@ -51,7 +51,7 @@
 
 
 def check(head, folder=JOURNAL):
-    """Refuse days that are not those of the sweep's journal entry."""
+    """Raise SweepError when the days differ from those of the sweep's journal entry."""
     played = {d["name"]: d for d in entry_of(head.get("journal"), folder)["days"]}
     if len(played) != len(head["days"]):
         raise SweepError(f"sweep {head['journal']}: {len(head['days'])} days, {len(played)} in its journal entry")
@@ -68,13 +68,13 @@
 
 
 def snapshot(text):
-    """Id of the journal entry of a sweep that printed this, "" when it was not finished."""
+    """Return the id of the sweep's journal entry from its output, "" when it did not finish."""
     found = re.findall(r"^snapshot (\w+)$", text, re.M)
     return found[-1] if found else ""
 
 
 def days(text):
-    """Worth and part served of the days, by the number of boxes."""
+    """Return the score and the served share of each day, by number of boxes."""
     found = re.findall(r"^sweep-(\d+)\s+\S+\s+\S+\s+([\d.]+)\s+([\d.]+)(.*)$", text, re.M)
     return [{"boxes": int(n), "worth": float(w), "served": float(s), "broken": "BROKEN" in rest} for n, w, s, rest in found]
 
@@ -90,13 +90,13 @@
 
 
 def read(path=RESULTS):
-    """All rows: a head with the days of each sweep, then what it measured."""
+    """Return all rows: for each sweep a head with its days, then its measurements."""
     with open(path, encoding="utf-8") as handle:
         return [json.loads(line) for line in handle]
 
 
 def take(name, text):
-    """The rows of one sweep."""
+    """Return the rows of one sweep."""
     head = {"deployment": name, "journal": snapshot(text), "days": days(text)}
     check(head)
     return [head] + [{"deployment": name, "journal": head["journal"], **row} for row in rows(text)]
